--- a/packages/bambootiller-core/src/bambootiller_core/gateway/first_look.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/initial_discovery.py
@@ -6,8 +6,8 @@
 
 Example::
 
-    look = FirstLook()
-    if look.is_over(now, backends, quiet_s=1.2): ...
+    look = InitialDiscovery()
+    if look.is_complete(now, backends, quiet_s=1.2): ...
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 #: An agent that hasn't spoken by then isn't waited for: its process may be gone.
 #: Seconds.
-MOST_S = 5.0
+MAX_STALL_S = 5.0
 #: Nor are engines that come and go waited for longer than this, or the weight store
 #: would be asked for nothing while they do. Seconds since the first one was heard.
-LONGEST_S = 10.0
+MAX_DISCOVERY_S = 10.0
 
 
-class FirstLook:
+class InitialDiscovery:
     """The look at one service, which is over once and for all."""
 
     def __init__(self) -> None:
@@ -36,12 +36,12 @@
         self._changed_at: float | None = None
         self._began_at: float | None = None
 
-    def is_over(
+    def is_complete(
         self, now: float, backends: Collection[Backend], quiet_s: float
     ) -> bool:
         """Whether no engine has been listed for ``quiet_s``, and all were heard, or
-        nothing at all has come to be known for :data:`MOST_S`, or the look has taken
-        :data:`LONGEST_S`."""
+        nothing at all has come to be known for :data:`MAX_STALL_S`, or the look has taken
+        :data:`MAX_DISCOVERY_S`."""
         if self._over:
             return True
         heard = sum([backend.engine is not None for backend in backends])
@@ -54,7 +54,7 @@
             self._began_at = now
         all_heard = 0 < len(backends) == heard
         all_known = all_heard and now - self._listed_at >= quiet_s
-        is_still = now - self._changed_at >= MOST_S
+        is_still = now - self._changed_at >= MAX_STALL_S
         lasts_s = now - self._began_at if self._began_at is not None else 0.0
-        self._over = all_known or is_still or lasts_s >= LONGEST_S
+        self._over = all_known or is_still or lasts_s >= MAX_DISCOVERY_S
         return self._over
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -37,7 +37,7 @@
     Wish,
 )
 from bambootiller_core.gateway.places import RUN_S, choose_victims, keep_values
-from bambootiller_core.gateway.turn_gate import TurnGate
+from bambootiller_core.gateway.store_permit_gate import StorePermitGate
 from bambootiller_core.gateway.want import Want
 
 #: Adapters that may be on their way to an engine at a time.
@@ -81,7 +81,7 @@
             book.answered(now, order, await engine.order(order))
     """
 
-    def __init__(self, engine: EngineSpec, gate: TurnGate | None = None) -> None:
+    def __init__(self, engine: EngineSpec, gate: StorePermitGate | None = None) -> None:
         self._engine = engine
         self._gate = gate
         self._report: EngineReport | None = None
@@ -180,7 +180,7 @@
     def next_order(self, now: float) -> EngineOrder | None:
         """The order to send now, if any."""
         if self._gate is not None:
-            self._gate.wanted = None
+            self._gate.blocked_load = None
         report = self._report
         if report is None or self._needs_report or self.fenced:
             return None
@@ -188,8 +188,8 @@
             return None
         if self._unsettled is not None:
             return self._unsettled
-        if self._gate is not None and self._gate.sought is not None:
-            self._say.renew(now, self._gate.sought.model)
+        if self._gate is not None and self._gate.acquiring is not None:
+            self._say.renew(now, self._gate.acquiring.model)
         self._say.forget(now)
         if report.busy or self._load is not None or self._unloading is not None:
             # The engine turns down every order while it carries one out for a model,
@@ -342,8 +342,8 @@
     def _sought(self) -> Loading | None:
         """The load for which a turn of the weight store is being taken, told as if it
         had begun, or the next plan would ask for another elsewhere."""
-        sought = self._gate.sought if self._gate is not None else None
-        return sought and Loading(sought.model, sought.load_s, True)
+        acquiring = self._gate.acquiring if self._gate is not None else None
+        return acquiring and Loading(acquiring.model, acquiring.load_s, True)
 
     def _for_adapter(self, now: float, wish: Wish) -> EngineOrder | None:
         report = self._report
@@ -414,7 +414,7 @@
     def _may_load(self, spec: ModelSpec, wish: Wish) -> bool:
         if self._gate is None or self._report.has_copy(spec.name):
             return True
-        return self._gate.permits(spec, wish.turns)
+        return self._gate.allows(spec, wish.turns)
 
     def _order(
         self,
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_account.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_account.py
@@ -21,8 +21,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from bambootiller_core.gateway.quota_limits import Limit
 from bambootiller_core.gateway.quota_messages import SHARE_S, CustomerAsk
-from bambootiller_core.gateway.quota_terms import Limit
 
 #: Demand fades by a factor of e in this time. Seconds; long enough for several calls of
 #: a customer at one of many entries.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
@@ -35,6 +35,7 @@
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
 
+from bambootiller_core.gateway.quota_limits import Limit
 from bambootiller_core.gateway.quota_messages import (
     SHARE_S,
     CustomerAsk,
@@ -43,7 +44,6 @@
     QuotaAsk,
 )
 from bambootiller_core.gateway.quota_record import Member
-from bambootiller_core.gateway.quota_terms import Limit
 
 #: An entry's share is so many times what its calls cost lately, so that it seldom needs
 #: an advance.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_messages.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_messages.py
@@ -1,7 +1,7 @@
 """What entries ask of the allocator of quotas, and what it answers.
 
 A customer stands for each limit that is shared out: backend servers name limits too
-(:mod:`named_limits`).
+(:mod:`reported_limits`).
 """
 
 from __future__ import annotations
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/named_limits.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/reported_limits.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from bambootiller_core.gateway.quota_terms import Limit
+from bambootiller_core.gateway.quota_limits import Limit
 from bambootiller_core.gateway.telling import Untold
 
 #: What was said of a backend server that is gone, or no limit any more, is forgotten
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -35,8 +35,12 @@
     copies_at,
     copies_of,
 )
-from bambootiller_core.gateway.store_queue import Pressing, StoreQueue, TurnKind
-from bambootiller_core.gateway.store_turns import StoreTurns
+from bambootiller_core.gateway.store_admission import StoreAdmission
+from bambootiller_core.gateway.store_queue import (
+    Oversubscription,
+    StartReason,
+    StoreQueue,
+)
 from bambootiller_core.gateway.want import NO_WANT, Want
 
 #: What it counts, in seconds, that a long load puts one model out of reach: asked for
@@ -81,7 +85,7 @@
     ready_in_s: float
     ask_now: bool
     from_store: bool
-    turn: TurnKind | None = None
+    turn: StartReason | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,8 +103,8 @@
     ``store_loads`` is how many loads the weight store serves at full speed; those that
     begin beyond it take longer. ``left_s`` is when the load under way at an engine
     ends, ``ends_elsewhere`` when those end, in seconds, that draw on the weight store
-    at engines which can't be planned with. ``tries_one_more``: whether the store may be
-    asked for one more than it is known to serve. ``barred`` are models and engines that
+    at engines which can't be planned with. ``allows_probe``: whether the store may be
+    asked for one more than it is known to serve. ``cooling_down`` are models and engines that
     no load from the store is planned for.
     """
 
@@ -110,16 +114,16 @@
         store_loads: int,
         left_s: Callable[[Backend], float] | None = None,
         ends_elsewhere: Collection[float] = (),
-        tries_one_more: bool = False,
-        barred: Collection[tuple[str, str]] = (),
+        allows_probe: bool = False,
+        cooling_down: Collection[tuple[str, str]] = (),
     ) -> None:
         self._engine = engine
         #: How many loads the weight store is taken to serve at full speed.
         self.store_loads = store_loads
         self._left_s = left_s or _told_left_s
         self._ends_elsewhere = ends_elsewhere
-        self._tries_one_more = tries_one_more
-        self._barred = barred
+        self._allows_probe = allows_probe
+        self._cooling_down = cooling_down
         #: How many loads draw on the weight store at the time of the last plan.
         self.store_loads_under_way = 0
         self._known: list[Backend] = []
@@ -158,12 +162,12 @@
         order = in_order(self._engine, now, known, copies, wants, plan)
         order = [item for item in order if item[0].size_mb <= self._engine.memory_mb]
         queue = self._store_queue(wants, store_ends)
-        turns = StoreTurns(queue, bool(store_ends), order, copies, wants)
+        admission = StoreAdmission(queue, bool(store_ends), order, copies, wants)
         for spec, rank in order:
-            turns.come_to(spec.name)
+            admission.mark_planned(spec.name)
             coming = plan.get(spec.name)
             if coming is None or rank is Rank.MUCH_WAITED_FOR:
-                self._plan_one(spec, rank, coming, wants, turns, plan)
+                self._plan_one(spec, rank, coming, wants, admission, plan)
             # Otherwise it is being moved, to make room for one before it in the order.
         return plan
 
@@ -192,35 +196,35 @@
         rank: Rank,
         coming: PlannedLoad | None,
         wants: Mapping[str, Want],
-        turns: StoreTurns,
+        admission: StoreAdmission,
         plan: dict[str, PlannedLoad],
     ) -> None:
         """Plan the load of one model, if there is one worth it; ``coming`` is one that
         is under way."""
         want = wants.get(spec.name, NO_WANT)
-        pressing = _pressing(spec, want)
-        if self._must_wait_for_store(spec, pressing, turns.queue):
-            admitted = turns.admit(rank, coming is not None)
+        oversubscription = _oversubscription(spec, want)
+        if self._must_wait_for_store(spec, oversubscription, admission.queue):
+            admitted = admission.admit(rank, coming is not None)
             if admitted and self._has_room(spec, _as_option(rank, want)):
-                turns.took(rank)
-                plan[spec.name] = _waiting_load(spec, turns.queue.add(spec.load_s))
+                admission.record_load(rank)
+                plan[spec.name] = _waiting_load(spec, admission.queue.add(spec.load_s))
             return
-        begins, _ = turns.queue.when(spec.load_s, pressing)
+        begins, _ = admission.queue.preview(spec.load_s, oversubscription)
         option = self._best(spec, _as_option(rank, want), begins)
         if option is None:
             return
         ready, waits_for_store, turn = option.ready_in_s, False, None
         if option.from_store:
-            if not turns.admit(rank, coming is not None):
+            if not admission.admit(rank, coming is not None):
                 return
-            if spec.name in self._copies and turns.leaves_to_others(spec):
-                _, ends = turn = turns.queue.when(spec.load_s)
+            if spec.name in self._copies and admission.defers_to_uncopied(spec):
+                _, ends = turn = admission.queue.preview(spec.load_s)
                 if not self._moves(spec, ends, wants, plan):
                     plan[spec.name] = _waiting_load(spec, turn)
                 return
-            turns.took(rank)
-            turn = turns.queue.kind(spec.load_s, pressing)
-            begins, ends = turns.queue.add(spec.load_s, pressing)
+            admission.record_load(rank)
+            turn = admission.queue.start_reason(spec.load_s, oversubscription)
+            begins, ends = admission.queue.add(spec.load_s, oversubscription)
             waits_for_store = begins > 0
             ready += ends - spec.load_s
         elif not _is_sooner(option, coming):
@@ -250,8 +254,8 @@
         if not any([want.rate for want in wants.values()]):
             return StoreQueue(self.store_loads, store_ends)
         most = max(1, len(self._places) // LONG_LOADS_PART)
-        one_more = self._tries_one_more and self.store_loads < most
-        return StoreQueue(min(self.store_loads, most), store_ends, one_more)
+        allow_probe = self._allows_probe and self.store_loads < most
+        return StoreQueue(min(self.store_loads, most), store_ends, allow_probe)
 
     def _survey(
         self, now: float, known: list[Backend], wants: Mapping[str, Want]
@@ -335,20 +339,20 @@
         return Place(backend, free_in)
 
     def _must_wait_for_store(
-        self, spec: ModelSpec, pressing: Pressing, queue: StoreQueue
+        self, spec: ModelSpec, oversubscription: Oversubscription, queue: StoreQueue
     ) -> bool:
         """Whether no engine has a copy to load the model from, and the weight store
         can't serve it now. Most models of a long plan are like that; for these it would
         be in vain to compare all engines."""
         if spec.name in self._copies:
             return False
-        return not queue.can_begin(spec.load_s, pressing)
+        return not queue.can_start(spec.load_s, oversubscription)
 
     def _has_room(self, spec: ModelSpec, want: Want) -> bool:
         """Whether some engine could make room for a load from the store."""
         return any(
             spec.name not in place.held
-            and (spec.name, place.instance) not in self._barred
+            and (spec.name, place.instance) not in self._cooling_down
             and self._adapters.calls_kept(place, spec.load_s) <= want.value
             and place.victims(self._engine, spec, want, spec.load_s) is not None
             for place in self._places
@@ -364,7 +368,7 @@
             if place.planned > 2 or spec.name in place.held:
                 continue
             seconds, from_store = place.tier_seconds(spec)
-            if from_store and (spec.name, place.instance) in self._barred:
+            if from_store and (spec.name, place.instance) in self._cooling_down:
                 continue
             ready = place.free_in_s + seconds + ORDER_S
             wait_s = max(0.0, store_wait_s) if from_store else 0.0
@@ -416,14 +420,14 @@
     return coming is None or option.ready_in_s + WORTH_S <= coming.ready_in_s
 
 
-def _pressing(spec: ModelSpec, want: Want) -> Pressing:
+def _oversubscription(spec: ModelSpec, want: Want) -> Oversubscription:
     if want.waiting >= MANY_WAITING:
-        return Pressing.MOST
+        return Oversubscription.MAY_OVERSUBSCRIBE
     if max(want.waiting, want.expected) >= TRIED_FOR:
-        return Pressing.MUCH
+        return Oversubscription.MAY_PROBE
     if want.expected and want.unserved_s >= TRIED_AFTER_LOADS * spec.load_s:
-        return Pressing.MUCH
-    return Pressing.LITTLE
+        return Oversubscription.MAY_PROBE
+    return Oversubscription.MUST_QUEUE
 
 
 def _waiting_load(spec: ModelSpec, turn: tuple[float, float]) -> PlannedLoad:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_turns.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_admission.py
@@ -18,17 +18,17 @@
 SECOND_COPY_LOADS = 1
 
 
-class StoreTurns:
+class StoreAdmission:
     """The store's queue, and who may join it.
 
-    ``is_taken`` tells whether any load from the store is under way, ``order`` the
+    ``is_busy`` tells whether any load from the store is under way, ``order`` the
     models of the plan in their order, ``copied`` those of which an engine has a copy,
     ``wants`` the demand for them.
 
     Example::
 
-        turns.come_to(spec.name)
-        if turns.admit(rank, is_coming=False):
+        turns.mark_planned(spec.name)
+        if turns.admit(rank, is_loading=False):
             begins_in_s, ready_in_s = turns.queue.add(spec.load_s)
             turns.took(rank)
     """
@@ -36,13 +36,13 @@
     def __init__(
         self,
         queue: StoreQueue,
-        is_taken: bool,
+        is_busy: bool,
         order: Iterable[tuple[ModelSpec, Rank]],
         copied: Collection[str],
         wants: Mapping[str, Want],
     ) -> None:
         self.queue = queue
-        self._is_taken = is_taken
+        self._is_busy = is_busy
         self._second_copies = 0
         self._wants = wants
         self._without_copy = {
@@ -54,25 +54,25 @@
     def _worth(self, spec: ModelSpec) -> float:
         return self._wants.get(spec.name, NO_WANT).turn_value / spec.load_s
 
-    def come_to(self, name: str) -> None:
+    def mark_planned(self, name: str) -> None:
         """The model is planned next."""
         self._without_copy.pop(name, None)
 
-    def admit(self, rank: Rank, is_coming: bool) -> bool:
-        """Whether a load is worth the store's time; ``is_coming``: one of the same
+    def admit(self, rank: Rank, is_loading: bool) -> bool:
+        """Whether a load is worth the store's time; ``is_loading``: one of the same
         model is under way.
 
         What waits would wait longer for a second engine from the store than the calls
         of the first; it comes later, as a second copy, while the store has nothing else
         to do.
         """
-        if is_coming or rank is Rank.HELD_ONCE:
+        if is_loading or rank is Rank.HELD_ONCE:
             return False
         if rank is Rank.SECOND_COPY:
-            return not self._is_taken and self._second_copies < SECOND_COPY_LOADS
+            return not self._is_busy and self._second_copies < SECOND_COPY_LOADS
         return True
 
-    def leaves_to_others(self, spec: ModelSpec) -> bool:
+    def defers_to_uncopied(self, spec: ModelSpec) -> bool:
         """Whether models without any copy, which come later in the plan, need all that
         the store can begin now. One with a copy leaves it to them: the engine with the
         copy has its turn later.
@@ -86,6 +86,6 @@
             others = [other for other in others if other >= worth]
         return len(others) >= max(1, self.queue.room())
 
-    def took(self, rank: Rank) -> None:
+    def record_load(self, rank: Rank) -> None:
         """A load draws on the store."""
         self._second_copies += rank is Rank.SECOND_COPY
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_speed.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -7,9 +7,9 @@
 
 Example::
 
-    speed = StoreSpeed(assumed_loads(engine))
+    speed = StoreConcurrency(initial_loads(engine))
     speed.observe(now, backends, engine)
-    planner = Planner(engine, speed.loads, tries_one_more=speed.tries_one_more)
+    planner = Planner(engine, speed.loads, allows_probe=speed.allows_probe)
 """
 
 from __future__ import annotations
@@ -30,32 +30,32 @@
 #: A store that serves one at a time keeps four engines from all other orders for four
 #: times a load's time: with loads of 13 s the models that they alone had copies of were
 #: out of reach for 52 s. Seconds.
-UNPROVEN_S = 25.0
+MAX_INITIAL_TOTAL_S = 25.0
 #: A load that takes this many times its stated time is slowed by others.
-SLOWED = 1.15
+SLOW_RATIO = 1.15
 #: One that takes no longer than this ran at full speed.
-FULL_SPEED = 1.08
+FULL_SPEED_RATIO = 1.08
 #: A store that serves a fraction more than a whole number still counts as serving it.
-ROUNDING = 0.25
+ROUNDING_MARGIN = 0.25
 #: One slow load may be its engine's doing; so many at different engines aren't.
-AGREEING = 2
+MIN_SLOW_LOADS = 2
 #: Loads that are seen to begin within this time may have begun in any order. Seconds;
 #: agents speak at least so often.
-SAME_TIME_S = 0.5
+SIMULTANEOUS_S = 0.5
 #: One that was tried beside the others and was lost with its engine has shown nothing.
 #: Another isn't tried for so long: while engines come and go each would be lost the
 #: same way. Seconds.
-TRY_AGAIN_S = 60.0
+PROBE_RETRY_S = 60.0
 #: A load that has outlived its estimate is expected to last this part of it longer.
 OVERRUN_SHARE = 0.15
 
 
-def assumed_loads(engine: EngineSpec) -> int:
+def initial_loads(engine: EngineSpec) -> int:
     """How many loads the store is taken to serve before any has been seen."""
     times = [spec.load_s for spec in engine.models.values()]
     if not times:
         return ASSUMED_LOADS
-    most = math.floor(UNPROVEN_S / max(0.1, statistics.median(times)))
+    most = math.floor(MAX_INITIAL_TOTAL_S / max(0.1, statistics.median(times)))
     return max(1, min(ASSUMED_LOADS, most))
 
 
@@ -96,7 +96,7 @@
     group: _Group
 
 
-class StoreSpeed:
+class StoreConcurrency:
     """The estimate for one service."""
 
     def __init__(self, loads: int = ASSUMED_LOADS) -> None:
@@ -110,7 +110,7 @@
         self._watched: dict[_Key, _Watched] = {}
 
     @property
-    def tries_one_more(self) -> bool:
+    def allows_probe(self) -> bool:
         """Whether one load beyond the estimate may be under way: while that is low and
         nothing has shown that the store serves no more.
 
@@ -202,10 +202,10 @@
             and not backend.engine.silent
             and not at.precedes(backend.incarnation)
         )
-        if told and seen_s <= SAME_TIME_S:
+        if told and seen_s <= SIMULTANEOUS_S:
             self._ended(watched)
         elif watched.place > self.loads:
-            self._tries_from = now + TRY_AGAIN_S
+            self._tries_from = now + PROBE_RETRY_S
 
     def _current(
         self, now: float, backends: Iterable[Backend], engine: EngineSpec
@@ -226,7 +226,7 @@
 
     def _begun(self, now: float, key: _Key, stated_s: float, loading: Loading) -> None:
         group = self._group
-        if group is None or now - group.began > SAME_TIME_S:
+        if group is None or now - group.began > SIMULTANEOUS_S:
             group = self._group = _Group(now, len(self._watched))
         group.size += 1
         place = len(self._watched) + 1
@@ -238,8 +238,8 @@
 
     def _ended(self, watched: _Watched) -> None:
         seconds = watched.seen_at - watched.began
-        at_full_speed = seconds <= FULL_SPEED * watched.stated_s
-        whole = seconds >= watched.stated_s / FULL_SPEED
+        at_full_speed = seconds <= FULL_SPEED_RATIO * watched.stated_s
+        whole = seconds >= watched.stated_s / FULL_SPEED_RATIO
         if whole and at_full_speed:
             group = watched.group
             group.at_full_speed += 1
@@ -251,13 +251,13 @@
         bounds = []
         for watched in self._watched.values():
             seconds = watched.seen_at - watched.began
-            if seconds > SLOWED * watched.stated_s:
+            if seconds > SLOW_RATIO * watched.stated_s:
                 most = watched.group.most_under_way
                 bounds.append(most * watched.stated_s / seconds)
         if not bounds:
             return
         self._bounded = True
-        if len(bounds) < AGREEING:
+        if len(bounds) < MIN_SLOW_LOADS:
             return
-        bound = math.floor(statistics.median(bounds) + ROUNDING)
+        bound = math.floor(statistics.median(bounds) + ROUNDING_MARGIN)
         self.loads = max(1, min(self.loads, bound))
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_speeds.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency_by_service.py
@@ -3,7 +3,7 @@
 Example::
 
     speed = speeds.observe(now, service, backends)
-    planner = Planner(service.engine, speed.loads, left_by(speed, now))
+    planner = Planner(service.engine, speed.loads, remaining_time(speed, now))
 """
 
 from __future__ import annotations
@@ -12,34 +12,34 @@
 
 from bambootiller_core.gateway.config import ServiceSpec
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.store_speed import StoreSpeed, assumed_loads
+from bambootiller_core.gateway.store_concurrency import StoreConcurrency, initial_loads
 
 
-class StoreSpeeds:
+class StoreConcurrencyByService:
     """The estimates by service."""
 
     def __init__(self) -> None:
-        self._speeds: dict[str, StoreSpeed] = {}
+        self._speeds: dict[str, StoreConcurrency] = {}
 
     @property
-    def least_loads(self) -> float:
+    def min_loads(self) -> float:
         """The loads that the store is taken to serve at full speed, by the slowest of
         the services; 0 if there are none."""
         return min((speed.loads for speed in self._speeds.values()), default=0)
 
     def observe(
         self, now: float, service: ServiceSpec, backends: Collection[Backend]
-    ) -> StoreSpeed:
+    ) -> StoreConcurrency:
         """Take a look at the loads under way; to be called several times a second."""
         speed = self._speeds.get(service.name)
         if speed is None:
-            speed = StoreSpeed(assumed_loads(service.engine))
+            speed = StoreConcurrency(initial_loads(service.engine))
             self._speeds[service.name] = speed
         speed.observe(now, backends, service.engine)
         return speed
 
 
-def left_by(speed: StoreSpeed, now: float) -> Callable[[Backend], float]:
+def remaining_time(speed: StoreConcurrency, now: float) -> Callable[[Backend], float]:
     """When the load under way at an engine ends, the store's speed considered."""
 
     def left_s(backend: Backend) -> float:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_idle.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_idle.py
@@ -2,7 +2,7 @@
 
 Example::
 
-    idle = StoreIdle()
+    idle = StoreIdleTracker()
     spell = idle.observe(now, loads_under_way=0, awaited={"tutor"})
     idle.total_s  # a level for the metrics page
 """
@@ -13,14 +13,14 @@
 
 #: A load begins some moments after the one before has ended: the agent has to see the
 #: end, and an entry to plan. A spell shorter than this is no finding. Seconds.
-SPELL_S = 1.0
+MIN_IDLE_S = 1.0
 #: A spell that goes on is told again after this time. Seconds.
-AGAIN_S = 5.0
+REPEAT_S = 5.0
 #: Looks that lie further apart than this say nothing of the time between. Seconds.
-LOOK_APART_S = 1.0
+MAX_SAMPLE_GAP_S = 1.0
 
 
-class StoreIdle:
+class StoreIdleTracker:
     """The weight store of one service, as one process sees it."""
 
     def __init__(self) -> None:
@@ -38,13 +38,13 @@
         if loads_under_way or not awaited:
             self._since = self._told_at = None
             return None
-        if self._since is None or now - self._seen_at > LOOK_APART_S:
+        if self._since is None or now - self._seen_at > MAX_SAMPLE_GAP_S:
             self._since = self._seen_at = now
             self._told_at = None
         self.total_s += now - self._seen_at
         self._seen_at = now
         told_at = self._told_at
-        due_at = self._since + SPELL_S if told_at is None else told_at + AGAIN_S
+        due_at = self._since + MIN_IDLE_S if told_at is None else told_at + REPEAT_S
         if now < due_at:
             return None
         self._told_at = now
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_asks.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_load_requests.py
@@ -6,7 +6,7 @@
 
 Example::
 
-    asks = StoreAsks()
+    asks = StoreLoadRequests()
     for load in asks.choose(now, planned, is_told): ...
 """
 
@@ -17,17 +17,17 @@
 from dataclasses import dataclass
 
 from bambootiller_core.gateway.residency import PlannedLoad
-from bambootiller_core.gateway.store_queue import TurnKind
-from bambootiller_core.gateway.store_speed import TRY_AGAIN_S
+from bambootiller_core.gateway.store_concurrency import PROBE_RETRY_S
+from bambootiller_core.gateway.store_queue import StartReason
 
 #: An agent tells of a load that it begins, or makes room for, well within this time. If
 #: it doesn't, it can't, and another load is asked for. Seconds.
-TOLD_WITHIN_S = 0.5
+REPORT_TIMEOUT_S = 0.5
 #: An engine whose agent didn't begin a load isn't asked for the same one again for so
 #: long, and twice as long for each further engine, so many times at most. The plan
 #: would choose the model again and again, and nothing else would be loaded. Seconds.
-BARRED_S = 2.0
-DOUBLED_MOST = 2
+RETRY_COOLDOWN_S = 2.0
+MAX_DOUBLINGS = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,13 +36,13 @@
     first_at: float
 
 
-class StoreAsks:
+class StoreLoadRequests:
     """The loads of one service that an entry has asked for and not been told of."""
 
     def __init__(self) -> None:
         self._asks: list[_Ask] = []
         #: Until when a load of a model isn't asked for at an engine.
-        self._barred: dict[tuple[str, str], float] = {}
+        self._cooling_down: dict[tuple[str, str], float] = {}
         #: How often in a row the load of a model hasn't begun.
         self._failures: Counter[str] = Counter()
         #: Those of the last choice that were asked for the first time.
@@ -68,7 +68,7 @@
         planned = [load for load in planned if self._may_ask(now, load)]
         told = [ask for ask in self._asks if is_told(ask.load)]
         untold = [ask for ask in self._asks if ask not in told]
-        self._asks = [ask for ask in untold if now - ask.first_at <= TOLD_WITHIN_S]
+        self._asks = [ask for ask in untold if now - ask.first_at <= REPORT_TIMEOUT_S]
         self.given_up = [ask.load for ask in untold if ask not in self._asks]
         for ask in told:
             self._failures.pop(ask.load.model, None)
@@ -76,20 +76,22 @@
             self._bar(now, load)
         # The plan was made before that.
         planned = [
-            load for load in planned if (load.model, load.instance) not in self._barred
+            load
+            for load in planned
+            if (load.model, load.instance) not in self._cooling_down
         ]
         asked = {ask.load.model for ask in self._asks}
-        turns = max(0, len(planned) - len(self._asks))
+        permits = max(0, len(planned) - len(self._asks))
         others = [load for load in planned if load.model not in asked]
-        self.begun = others[:turns]
+        self.begun = others[:permits]
         self._asks += [_Ask(load, now) for load in self.begun]
         for load in self.given_up:
             self._trials.pop(load, None)
-        tried = [load for load in self.begun if load.turn is TurnKind.ONE_MORE]
+        tried = [load for load in self.begun if load.turn is StartReason.PROBE]
         self._trials.update(dict.fromkeys(tried, False))
         return [ask.load for ask in self._asks]
 
-    def may_try(self, now: float) -> bool:
+    def may_probe(self, now: float) -> bool:
         """Whether one load more than the store is known to serve may be asked for.
 
         A trial whose engine leaves the registry is neither seen to end nor to fail, but
@@ -98,7 +100,7 @@
         return now >= self._tries_from
 
     def _may_ask(self, now: float, load: PlannedLoad) -> bool:
-        return load.turn is not TurnKind.ONE_MORE or self.may_try(now)
+        return load.turn is not StartReason.PROBE or self.may_probe(now)
 
     def _review_trials(
         self,
@@ -108,7 +110,7 @@
     ) -> None:
         for load, was_told in list(self._trials.items()):
             if not is_listed(load):
-                self._tries_from = now + TRY_AGAIN_S
+                self._tries_from = now + PROBE_RETRY_S
                 self._asks = [ask for ask in self._asks if ask.load != load]
                 del self._trials[load]
             elif is_told(load):
@@ -118,14 +120,14 @@
                 del self._trials[load]
 
     def _bar(self, now: float, load: PlannedLoad) -> None:
-        doubled = min(DOUBLED_MOST, self._failures[load.model])
-        seconds = BARRED_S * 2**doubled
-        self._barred[(load.model, load.instance)] = now + seconds
+        doubled = min(MAX_DOUBLINGS, self._failures[load.model])
+        seconds = RETRY_COOLDOWN_S * 2**doubled
+        self._cooling_down[(load.model, load.instance)] = now + seconds
         self._failures[load.model] += 1
 
-    def barred(self, now: float) -> frozenset[tuple[str, str]]:
+    def cooling_down(self, now: float) -> frozenset[tuple[str, str]]:
         """The models and engines that an agent hasn't begun a load for."""
-        for pair, until in list(self._barred.items()):
+        for pair, until in list(self._cooling_down.items()):
             if until <= now:
-                del self._barred[pair]
-        return frozenset(self._barred)
+                del self._cooling_down[pair]
+        return frozenset(self._cooling_down)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/turn_gate.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_gate.py
@@ -2,7 +2,7 @@
 
 The store serves few loads at a time, for all engines together. An agent orders such a
 load only while it holds one of the store's turns; what it would order next without one
-is :attr:`TurnGate.wanted`.
+is :attr:`StorePermitGate.blocked_load`.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 from bambootiller_core.gateway.config import ModelSpec
 
 #: How many turns there are taken to be where the entry that asks doesn't say.
-UNTOLD_TURNS = 1
+DEFAULT_PERMITS = 1
 
 
 @dataclass(frozen=True, slots=True)
-class TurnWanted:
-    """A load that waits for a turn, of ``turns`` that the store is taken to have."""
+class StorePermitRequest:
+    """A load that waits for a turn, of ``permits`` that the store is taken to have."""
 
     model: str
     load_s: float
-    turns: int
+    permits: int
 
 
-class TurnGate:
+class StorePermitGate:
     """Kept by an order book; opened and shut by who holds the turn.
 
     Example::
 
-        gate = TurnGate()
+        gate = StorePermitGate()
         book = OrderBook(engine, gate)
         if book.next_order(now) is None and gate.wanted is not None:
             gate.is_open = await take_turn(gate.wanted)
@@ -39,14 +39,16 @@
         #: Whether this agent holds a turn, or may do without.
         self.is_open = False
         #: The load that the last decision would have begun.
-        self.wanted: TurnWanted | None = None
+        self.blocked_load: StorePermitRequest | None = None
         #: The load for which a turn is being taken.
-        self.sought: TurnWanted | None = None
+        self.acquiring: StorePermitRequest | None = None
 
-    def permits(self, spec: ModelSpec, turns: int) -> bool:
+    def allows(self, spec: ModelSpec, permits: int) -> bool:
         """Whether a load of the model may begin now; if not, it is noted as wanted."""
         if self.is_open:
             return True
-        if self.wanted is None:
-            self.wanted = TurnWanted(spec.name, spec.load_s, turns or UNTOLD_TURNS)
+        if self.blocked_load is None:
+            self.blocked_load = StorePermitRequest(
+                spec.name, spec.load_s, permits or DEFAULT_PERMITS
+            )
         return False
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/turn_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_record.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TurnRecord:
+class StorePermitRecord:
     """An agent and the model for which it took the turn."""
 
     holder: str
@@ -26,13 +26,13 @@
     def encode(self) -> bytes:
         """The value of the key.
 
-        >>> TurnRecord.decode(TurnRecord("a1", "tutor").encode())
-        TurnRecord(holder='a1', model='tutor')
+        >>> StorePermitRecord.decode(StorePermitRecord("a1", "tutor").encode())
+        StorePermitRecord(holder='a1', model='tutor')
         """
         return json.dumps({"holder": self.holder, "model": self.model}).encode()
 
     @classmethod
-    def decode(cls, value: bytes) -> TurnRecord | None:
+    def decode(cls, value: bytes) -> StorePermitRecord | None:
         """The same, read; None if it can't be. Its key is taken all the same."""
         try:
             form = json.loads(value)
@@ -55,14 +55,14 @@
     return f"{prefix_of(service)}{number}"
 
 
-def free_key(service: str, held: Iterable[Record], turns: int) -> str | None:
+def free_key(service: str, held: Iterable[Record], permits: int) -> str | None:
     """The first free one of so many turns, None if as many are held.
 
     >>> free_key("tutor", [Record("bambootiller/store-turns/tutor/0", b"", 7)], 2)
     'bambootiller/store-turns/tutor/1'
     """
     taken = {record.key for record in held}
-    if len(taken) >= turns:
+    if len(taken) >= permits:
         return None
-    keys = [key_of(service, number) for number in range(turns)]
+    keys = [key_of(service, number) for number in range(permits)]
     return next(key for key in keys if key not in taken)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
@@ -12,41 +12,41 @@
 
 #: A load that isn't sooner by this much if it begins now waits: it would keep its
 #: engine from other orders all the while. Seconds.
-WORTH_NOW_S = 1.0
+MIN_GAIN_S = 1.0
 #: Nor does one begin now that would take longer than so many times its own time. What
 #: the store slows as it begins stays slow, so that crowding it would look like a gain
 #: to each load after that, until most engines wait for the store.
-MOST_STRETCH = 1.5
+MAX_SLOWDOWN = 1.5
 #: One more than the store is known to serve is tried only where its turn is further
 #: away than this part of its time. If the store serves no more, it takes twice its time
 #: from its begin, so what the load before had done by then is lost for both.
-TRIED_SHARE = 0.8
+MIN_PROBE_WAIT = 0.8
 
 
-class Pressing(enum.IntEnum):
+class Oversubscription(enum.IntEnum):
     """How much a load is worth beginning beyond what the store serves at full speed.
 
-    ``LITTLE``: it waits for its turn. ``MUCH``: it may be the one that is tried, as it
-    would have one of the next turns whatever else is asked for until then. ``MOST``: it
+    ``MUST_QUEUE``: it waits for its turn. ``MAY_PROBE``: it may be the one that is tried, as it
+    would have one of the next turns whatever else is asked for until then. ``MAY_OVERSUBSCRIBE``: it
     may also begin where the store is known to be full, if that is sooner.
     """
 
-    LITTLE = 0
-    MUCH = 1
-    MOST = 2
+    MUST_QUEUE = 0
+    MAY_PROBE = 1
+    MAY_OVERSUBSCRIBE = 2
 
 
-class TurnKind(enum.Enum):
+class StartReason(enum.Enum):
     """Why a load begins when it does.
 
-    ``FREE``: the store serves it at full speed. ``ONE_MORE``: it is begun to see
-    whether the store serves one more. ``CROWDED``: it is over sooner beside the others.
+    ``FREE``: the store serves it at full speed. ``PROBE``: it is begun to see
+    whether the store serves one more. ``OVERSUBSCRIBED``: it is over sooner beside the others.
     ``QUEUED``: it waits for its turn.
     """
 
     FREE = "free"
-    ONE_MORE = "one more"
-    CROWDED = "crowded"
+    PROBE = "one more"
+    OVERSUBSCRIBED = "crowded"
     QUEUED = "queued"
 
 
@@ -61,7 +61,7 @@
 class StoreQueue:
     """The loads of a plan, from those under way on.
 
-    ``full`` is how many the store is known to serve at full speed, ``one_more`` whether
+    ``full`` is how many the store is known to serve at full speed, ``allow_probe`` whether
     another may be begun beside these, to see whether it serves that as well.
 
     Example::
@@ -71,58 +71,72 @@
     """
 
     def __init__(
-        self, full: int, ends_in_s: Iterable[float], one_more: bool = False
+        self, full: int, ends_in_s: Iterable[float], allow_probe: bool = False
     ) -> None:
         self._full = full
-        self._one_more = one_more
+        self._allow_probe = allow_probe
         self._loads = [_Load(0.0, end) for end in ends_in_s]
 
     def add(
-        self, load_s: float, pressing: Pressing = Pressing.LITTLE
+        self,
+        load_s: float,
+        oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
     ) -> tuple[float, float]:
         """Plan one more load; returns when it begins and when it is over."""
-        begins, ready = self.when(load_s, pressing)
+        begins, ready = self.preview(load_s, oversubscription)
         self._loads.append(_Load(begins, ready))
         # What is tried may be served first, and the one that has the turn slowed by it.
-        self._one_more = False
+        self._allow_probe = False
         return begins, ready
 
-    def can_begin(self, load_s: float, pressing: Pressing = Pressing.LITTLE) -> bool:
+    def can_start(
+        self,
+        load_s: float,
+        oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
+    ) -> bool:
         """Whether :meth:`add` would have the load begin now."""
-        return self.when(load_s, pressing)[0] <= 0
+        return self.preview(load_s, oversubscription)[0] <= 0
 
     def room(self) -> int:
         """How many more loads could begin now."""
         return max(0, self._full - self._under_way(0.0))
 
-    def when(
-        self, load_s: float, pressing: Pressing = Pressing.LITTLE
+    def preview(
+        self,
+        load_s: float,
+        oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
     ) -> tuple[float, float]:
         """What :meth:`add` would return."""
-        begins, ends, _ = self._turn(load_s, pressing)
+        begins, ends, _ = self._schedule(load_s, oversubscription)
         return begins, ends
 
-    def kind(self, load_s: float, pressing: Pressing = Pressing.LITTLE) -> TurnKind:
+    def start_reason(
+        self,
+        load_s: float,
+        oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
+    ) -> StartReason:
         """Why :meth:`add` would have the load begin when it does."""
-        _, _, kind = self._turn(load_s, pressing)
-        return kind
+        _, _, start_reason = self._schedule(load_s, oversubscription)
+        return start_reason
 
-    def _turn(self, load_s: float, pressing: Pressing) -> tuple[float, float, TurnKind]:
+    def _schedule(
+        self, load_s: float, oversubscription: Oversubscription
+    ) -> tuple[float, float, StartReason]:
         begins = self._next_free()
         if begins <= 0:
-            return begins, begins + load_s, TurnKind.FREE
+            return begins, begins + load_s, StartReason.FREE
         under_way = self._under_way(0.0)
         slowed_s = load_s * max(1.0, (under_way + 1) / self._full)
-        tries = self._one_more and pressing >= Pressing.MUCH
+        tries = self._allow_probe and oversubscription >= Oversubscription.MAY_PROBE
         if tries and under_way == len(self._loads) <= self._full:
             # None waits before it.
-            if begins > TRIED_SHARE * load_s:
-                return 0.0, slowed_s, TurnKind.ONE_MORE
-        is_sooner = slowed_s + WORTH_NOW_S <= begins + load_s
-        crowds = pressing is Pressing.MOST
-        if crowds and is_sooner and slowed_s <= MOST_STRETCH * load_s:
-            return 0.0, slowed_s, TurnKind.CROWDED
-        return begins, begins + load_s, TurnKind.QUEUED
+            if begins > MIN_PROBE_WAIT * load_s:
+                return 0.0, slowed_s, StartReason.PROBE
+        is_sooner = slowed_s + MIN_GAIN_S <= begins + load_s
+        crowds = oversubscription is Oversubscription.MAY_OVERSUBSCRIBE
+        if crowds and is_sooner and slowed_s <= MAX_SLOWDOWN * load_s:
+            return 0.0, slowed_s, StartReason.OVERSUBSCRIBED
+        return begins, begins + load_s, StartReason.QUEUED
 
     def _next_free(self) -> float:
         ends = sorted([load.ends for load in self._loads])
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/wakes.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/wakeups.py
@@ -11,7 +11,7 @@
 from bambootiller_core.gateway.fleet import Backend
 
 
-def wakes_calls(backend: Backend, state: EngineState) -> bool:
+def wakes_waiting_calls(backend: Backend, state: EngineState) -> bool:
     """Whether what the agent says now could end a call's wait, or decide it.
 
     ``backend`` is as it was before.
--- a/packages/bambootiller-standins/src/bambootiller_standins/quotaforms/_forms.py
+++ b/packages/bambootiller-standins/src/bambootiller_standins/quotaforms/_forms.py
@@ -10,9 +10,9 @@
 from bambootiller_core.gateway.customers import Quota
 from bambootiller_core.gateway.quota_account import QuotaAccount
 from bambootiller_core.gateway.quota_allocator import QuotaAllocator
+from bambootiller_core.gateway.quota_limits import Limit, QuotaTerms
 from bambootiller_core.gateway.quota_messages import QuotaAsk
 from bambootiller_core.gateway.quota_record import Member
-from bambootiller_core.gateway.quota_terms import Limit, QuotaTerms
 from bambootiller_standins.quotaforms._world import World
 
 Decided = Callable[[bool], None]
--- a/packages/bambootiller-standins/src/bambootiller_standins/quotaforms/_scenarios.py
+++ b/packages/bambootiller-standins/src/bambootiller_standins/quotaforms/_scenarios.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from bambootiller_core.gateway.customers import Quota, QuotaUnit
-from bambootiller_core.gateway.quota_terms import QuotaTerms
+from bambootiller_core.gateway.quota_limits import QuotaTerms
 from bambootiller_standins.quotaforms._forms import Fleet, Form
 from bambootiller_standins.quotaforms._world import Network, World
 
--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -39,7 +39,7 @@
 )
 from bambootiller_core.gateway.orders import OrderBook
 from bambootiller_core.gateway.report_naming import listed_at, named
-from bambootiller_core.gateway.turn_gate import TurnGate
+from bambootiller_core.gateway.store_permit_gate import StorePermitGate
 from bambootiller_core.gateway.want import Want
 from bambootiller_core.ports import Committed, Compare, Found, Put
 
@@ -113,7 +113,7 @@
             self._server_limits,
         )
         self._book: OrderBook | None = None
-        self._gate = TurnGate()
+        self._gate = StorePermitGate()
         self._turn = TurnHolder(
             app, platform.kv, service, self._gate, events, self._wished, ran
         )
--- a/packages/bambootiller/src/bambootiller/gateway/allowances.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allowances.py
@@ -19,13 +19,13 @@
 from bambootiller.gateway.boot_clock import boot_now
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller_core.gateway.quota_account import QuotaAccount, Spent
+from bambootiller_core.gateway.quota_limits import Limit
 from bambootiller_core.gateway.quota_messages import (
     SHARE_S,
     CustomerGrant,
     QuotaAnswer,
     QuotaAsk,
 )
-from bambootiller_core.gateway.quota_terms import Limit
 from bambootiller_core.timers import TimerService
 
 #: How often it is looked whether shares fit the demand, and whether an allocator is
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -18,8 +18,8 @@
 from bambootiller_core.gateway.copies import copies_seen
 from bambootiller_core.gateway.demand import Demand
 from bambootiller_core.gateway.due_adapters import DueAdapters
-from bambootiller_core.gateway.first_look import FirstLook
 from bambootiller_core.gateway.fleet import Backend
+from bambootiller_core.gateway.initial_discovery import InitialDiscovery
 from bambootiller_core.gateway.log_lines import (
     CopySeen,
     LogLine,
@@ -29,9 +29,12 @@
 from bambootiller_core.gateway.order_messages import Wish
 from bambootiller_core.gateway.places import copies_at
 from bambootiller_core.gateway.residency import PlannedLoad, Planner
-from bambootiller_core.gateway.store_idle import StoreIdle
-from bambootiller_core.gateway.store_speed import StoreSpeed
-from bambootiller_core.gateway.store_speeds import StoreSpeeds, left_by
+from bambootiller_core.gateway.store_concurrency import StoreConcurrency
+from bambootiller_core.gateway.store_concurrency_by_service import (
+    StoreConcurrencyByService,
+    remaining_time,
+)
+from bambootiller_core.gateway.store_idle import StoreIdleTracker
 from bambootiller_core.gateway.want import NO_WANT, Want
 
 #: A plan no older than this is of this moment, in pauses between two plans: a call that
@@ -74,11 +77,11 @@
         self._plans: dict[str, dict[str, PlannedLoad]] = {}
         self._planned_for: dict[str, dict[str, Want]] = {}
         self._planners: dict[str, Planner] = {}
-        self._store_idle: dict[str, StoreIdle] = {}
+        self._store_idle: dict[str, StoreIdleTracker] = {}
         self._planned_at = float("-inf")
-        self._speeds = StoreSpeeds()
+        self._speeds = StoreConcurrencyByService()
         self._due_adapters: dict[str, DueAdapters] = {}
-        self._first_looks: dict[str, FirstLook] = {}
+        self._first_looks: dict[str, InitialDiscovery] = {}
         self._clock = PlanClock(
             self._due,
             self._awaited,
@@ -176,7 +179,7 @@
 
     def store_loads(self) -> float:
         """How many loads the weight store is taken to serve at full speed."""
-        return self._speeds.least_loads
+        return self._speeds.min_loads
 
     def plan_for(self, service: str, model: str) -> PlannedLoad | None:
         """The load of the model for a call that waits now: the plan is made anew unless
@@ -212,10 +215,10 @@
             planner = Planner(
                 service.engine,
                 speed.loads,
-                left_by(speed, now),
+                remaining_time(speed, now),
                 speed.ends_elsewhere(now, known),
-                speed.tries_one_more and self._asks.may_try(now, service.name),
-                self._asks.barred(now, service.name),
+                speed.allows_probe and self._asks.may_probe(now, service.name),
+                self._asks.cooling_down(now, service.name),
             )
             plan = planner.plan(now, backends, self._admitted(wants_of_all))
             self._plans[service.name] = plan
@@ -247,7 +250,7 @@
     def _note_idle_store(
         self, now: float, service: str, planner: Planner, wants: Mapping[str, Want]
     ) -> None:
-        idle = self._store_idle.setdefault(service, StoreIdle())
+        idle = self._store_idle.setdefault(service, StoreIdleTracker())
         under_way = self.store_loads_under_way(service)
         awaited = [] if under_way else planner.awaited_from_store(wants)
         seconds = idle.observe(now, under_way, awaited)
@@ -354,7 +357,7 @@
         for service in self._engine_services():
             self._observe(now, service)
 
-    def _observe(self, now: float, service: ServiceSpec) -> StoreSpeed:
+    def _observe(self, now: float, service: ServiceSpec) -> StoreConcurrency:
         """Take a look at the loads under way, at engines that leave too."""
         backends = self._knowledge.fleet.all_of_service(service.name)
         return self._speeds.observe(now, service, backends)
@@ -369,6 +372,6 @@
     ) -> bool:
         """Whether copies of models can be at no engine that this entry hasn't heard of
         since it started."""
-        look = self._first_looks.setdefault(service, FirstLook())
+        look = self._first_looks.setdefault(service, InitialDiscovery())
         quiet_s = self._knowledge.gather_s + LISTED_WITHIN_S
-        return look.is_over(now, backends, quiet_s)
+        return look.is_complete(now, backends, quiet_s)
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -22,7 +22,7 @@
 from bambootiller_core.gateway.log_lines import BackendRemoved, LogLine
 from bambootiller_core.gateway.order_messages import Wish
 from bambootiller_core.gateway.relaying import entry_turn
-from bambootiller_core.gateway.wakes import wakes_calls
+from bambootiller_core.gateway.wakeups import wakes_waiting_calls
 
 #: How often streams to agents are opened for new engines, and closed for gone ones.
 #: Seconds.
@@ -287,7 +287,7 @@
             # A beat says nothing anew of a start that has ended.
             return
         is_news = backend.engine is not words.state
-        wakes = wakes_calls(backend, words.state)
+        wakes = wakes_waiting_calls(backend, words.state)
         if fleet.engine_told(now, words.state) and is_news:
             if backend.ended:
                 self._knowledge.note_restart(backend, source)
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -32,9 +32,9 @@
 from bambootiller.rpc import bambootiller_pb2_grpc as api
 from bambootiller.settings import Address
 from bambootiller_core.gateway import log_lines as lines
-from bambootiller_core.gateway.budget import AttemptBudget
 from bambootiller_core.gateway.config import CallLimits
 from bambootiller_core.gateway.overload import Overload
+from bambootiller_core.gateway.retry_budget import AttemptBudget
 
 #: A leaving entry takes new calls for this long: the balancer has to miss its readiness
 #: twice, a second apart, before it sends no new connections. Seconds.
--- a/packages/bambootiller/src/bambootiller/gateway/load_asks.py
+++ b/packages/bambootiller/src/bambootiller/gateway/load_asks.py
@@ -18,8 +18,8 @@
 )
 from bambootiller_core.gateway.order_messages import WAITED_FOR, Wish
 from bambootiller_core.gateway.residency import PlannedLoad, Planner
-from bambootiller_core.gateway.store_asks import StoreAsks
-from bambootiller_core.gateway.store_queue import MOST_STRETCH, TurnKind
+from bambootiller_core.gateway.store_load_requests import StoreLoadRequests
+from bambootiller_core.gateway.store_queue import MAX_SLOWDOWN, StartReason
 from bambootiller_core.gateway.want import NO_WANT, Want
 
 #: The urgency of what is asked for ahead of demand.
@@ -50,7 +50,7 @@
         self._entries = entries
         self._wish = wish
         self._emit = emit
-        self._store_asks: dict[str, StoreAsks] = {}
+        self._store_asks: dict[str, StoreLoadRequests] = {}
 
     def sees_to(self, model: str) -> bool:
         """Whether this entry is the one to ask for a load that no call of its own waits
@@ -75,17 +75,17 @@
             and (wants.get(load.model, NO_WANT).waiting or self.sees_to(load.model))
         ]
 
-    def barred(self, now: float, service: str) -> frozenset[tuple[str, str]]:
+    def cooling_down(self, now: float, service: str) -> frozenset[tuple[str, str]]:
         """The models and engines of a service that this entry has asked for a load from
         the store in vain, a moment ago."""
         asks = self._store_asks.get(service)
-        return asks.barred(now) if asks is not None else frozenset()
+        return asks.cooling_down(now) if asks is not None else frozenset()
 
-    def may_try(self, now: float, service: str) -> bool:
+    def may_probe(self, now: float, service: str) -> bool:
         """Whether this entry may ask for one load more than the store is known to
         serve."""
         asks = self._store_asks.get(service)
-        return asks is None or asks.may_try(now)
+        return asks is None or asks.may_probe(now)
 
     def from_store(
         self,
@@ -100,7 +100,7 @@
         if not self.sees_to_store(service):
             return []
         planned = [load for load in plan.values() if load.ask_now and load.from_store]
-        asks = self._store_asks.setdefault(service, StoreAsks())
+        asks = self._store_asks.setdefault(service, StoreLoadRequests())
         chosen = asks.choose(now, planned, self._is_told, self._is_listed)
         for load in asks.given_up:
             self._emit(StoreLoadNotBegun(service, load.model, load.instance))
@@ -143,12 +143,12 @@
     """How many loads may draw on the weight store with this one, which is taken to
     serve ``store_loads`` at full speed.
 
-    >>> turns_for(PlannedLoad("tutor", "b1", 9.0, True, True, TurnKind.ONE_MORE), 1)
+    >>> turns_for(PlannedLoad("tutor", "b1", 9.0, True, True, StartReason.PROBE), 1)
     2
     """
-    if load.turn is TurnKind.CROWDED:
-        return int(MOST_STRETCH * store_loads)
-    return store_loads + (load.turn is TurnKind.ONE_MORE)
+    if load.turn is StartReason.OVERSUBSCRIBED:
+        return int(MAX_SLOWDOWN * store_loads)
+    return store_loads + (load.turn is StartReason.PROBE)
 
 
 def _asked(
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -15,7 +15,7 @@
     EngineReport,
     OrderAnswer,
 )
-from bambootiller_core.gateway.quota_terms import QuotaTerms
+from bambootiller_core.gateway.quota_limits import QuotaTerms
 from bambootiller_core.ports import KeyValue, Record
 
 #: Name and value as they stand on the wire, the name in lower case.
--- a/packages/bambootiller/src/bambootiller/gateway/quota_allocation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quota_allocation.py
@@ -23,11 +23,11 @@
 from bambootiller_core.gateway import quota_record
 from bambootiller_core.gateway.config import GatewayConfig
 from bambootiller_core.gateway.log_lines import DocumentUnreadable, QuotaAllocator
-from bambootiller_core.gateway.named_limits import shared_limits
 from bambootiller_core.gateway.quota_allocator import QuotaAllocator as Allocator
+from bambootiller_core.gateway.quota_limits import Limit, QuotaTerms, limits_of
 from bambootiller_core.gateway.quota_messages import QuotaAnswer
 from bambootiller_core.gateway.quota_record import HOLDER_KEY, MEMBERS_KEY, Member
-from bambootiller_core.gateway.quota_terms import Limit, QuotaTerms, limits_of
+from bambootiller_core.gateway.reported_limits import shared_limits
 from bambootiller_core.ports import (
     Committed,
     Compare,
--- a/packages/bambootiller/src/bambootiller/gateway/quotas.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quotas.py
@@ -13,7 +13,7 @@
 from bambootiller_core.gateway.config import GatewayConfig
 from bambootiller_core.gateway.log_lines import QuotaSeen
 from bambootiller_core.gateway.quota_account import Spent
-from bambootiller_core.gateway.quota_terms import QuotaTerms, limits_of
+from bambootiller_core.gateway.quota_limits import QuotaTerms, limits_of
 from bambootiller_core.timers import TimerService
 
 #: How often it is looked whether the settings have changed. Seconds.
--- a/packages/bambootiller/src/bambootiller/gateway/relays.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relays.py
@@ -17,12 +17,12 @@
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller.gateway.silence import Ran
 from bambootiller_core.gateway.attempts import COME_BACK_S, Reason, Refusal
-from bambootiller_core.gateway.budget import ASSUMED_ENTRIES, AttemptBudget
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.health import Health
 from bambootiller_core.gateway.incarnation import Incarnation
 from bambootiller_core.gateway.log_lines import BackendJudged
+from bambootiller_core.gateway.retry_budget import ASSUMED_ENTRIES, AttemptBudget
 from bambootiller_core.gateway.returning import Returning
 from bambootiller_core.gateway.service_levels import ServiceLevels
 
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -14,8 +14,8 @@
 from bambootiller.gateway.allowances import Allowances, Shortage
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.named_limits import limit_name, shared_limits
 from bambootiller_core.gateway.quota_account import Spent
+from bambootiller_core.gateway.reported_limits import limit_name, shared_limits
 
 KIND = "backend servers"
 #: What a call costs of a limit.
--- a/packages/bambootiller/src/bambootiller/gateway/server_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_limits.py
@@ -13,7 +13,7 @@
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller_core.gateway.fleet import Backend, Fleet
 from bambootiller_core.gateway.log_lines import BackendLimit, BackendLimitUnreadable
-from bambootiller_core.gateway.named_limits import NamedLimit, NamedLimits
+from bambootiller_core.gateway.reported_limits import NamedLimit, NamedLimits
 from bambootiller_core.timers import TimerService
 
 FORGET_S = 20.0
--- a/packages/bambootiller/src/bambootiller/gateway/turn_holder.py
+++ b/packages/bambootiller/src/bambootiller/gateway/turn_holder.py
@@ -19,8 +19,15 @@
 from bambootiller.app import Application
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller_core.gateway.log_lines import StoreTurn
-from bambootiller_core.gateway.turn_gate import TurnGate, TurnWanted
-from bambootiller_core.gateway.turn_record import TurnRecord, free_key, prefix_of
+from bambootiller_core.gateway.store_permit_gate import (
+    StorePermitGate,
+    StorePermitRequest,
+)
+from bambootiller_core.gateway.store_permit_record import (
+    StorePermitRecord,
+    free_key,
+    prefix_of,
+)
 from bambootiller_core.ports import (
     Committed,
     Compare,
@@ -91,7 +98,7 @@
         app: Application,
         kv: KeyValue,
         service: str,
-        gate: TurnGate,
+        gate: StorePermitGate,
         events: EventLog,
         wake: Callable[[], None],
         ran: Callable[[], float],
@@ -122,7 +129,7 @@
             await asyncio.sleep(RETRY_S)
         own = self._own(found.records)
         if own is not None and not self._gate.is_open:
-            model = TurnRecord.decode(own.value).model
+            model = StorePermitRecord.decode(own.value).model
             held = await self._write(own.key, own.mod_revision, model)
             if isinstance(held, _Held) and not self._gate.is_open:
                 self._open(held)
@@ -132,27 +139,27 @@
     def seek(self, now: float) -> None:
         """Take a turn for what the gate wants, unless that is being done; to be called
         several times a second."""
-        wanted, gate = self._gate.wanted, self._gate
+        blocked_load, gate = self._gate.blocked_load, self._gate
         if gate.is_open:
             return
         if self._sought_at is not None:
             # By now nobody may wish for the load any more: it is told as one to come.
-            self._go_without(gate.sought, self._sought_at)
-        elif wanted is None or now < self._again_at:
+            self._go_without(gate.acquiring, self._sought_at)
+        elif blocked_load is None or now < self._again_at:
             return
         elif self._unsettled_since is not None:
-            self._go_without(wanted, self._unsettled_since)
+            self._go_without(blocked_load, self._unsettled_since)
         else:
-            self._sought_at, gate.sought = self._ran(), wanted
-            seeking = self._seek(wanted, self._sought_at)
-            self._app.spawn(f"store turn for {wanted.model}", seeking)
+            self._sought_at, gate.acquiring = self._ran(), blocked_load
+            seeking = self._seek(blocked_load, self._sought_at)
+            self._app.spawn(f"store turn for {blocked_load.model}", seeking)
 
-    def _go_without(self, wanted: TurnWanted, since: float) -> None:
+    def _go_without(self, blocked_load: StorePermitRequest, since: float) -> None:
         """Have the load begin without a turn if the service hasn't answered for so
         long."""
         if self._ran() - since > TAKE_S:
             self._open(None)
-            self._say(wanted, _Outcome("without"))
+            self._say(blocked_load, _Outcome("without"))
 
     def review(self, now: float, load_goes_on: bool) -> None:
         """Give the turn back if its load is over, or doesn't begin."""
@@ -169,7 +176,7 @@
     def _open(self, held: _Held | None) -> None:
         self._hold(held)
         self._gate.is_open = True
-        self._sought_at = self._gate.sought = None
+        self._sought_at = self._gate.acquiring = None
         self._opened_at = self._app.now()
         self._wake()
 
@@ -214,21 +221,21 @@
     async def _read(self) -> ReadOutcome:
         return await self._kv.get_prefix(prefix_of(self._service))
 
-    async def _seek(self, wanted: TurnWanted, began: float) -> None:
-        outcome = await self._take(wanted, began)
+    async def _seek(self, blocked_load: StorePermitRequest, began: float) -> None:
+        outcome = await self._take(blocked_load, began)
         while outcome is None and self._sought_at == began:
             await asyncio.sleep(RETRY_S)
-            outcome = await self._take(wanted, began)
+            outcome = await self._take(blocked_load, began)
         if self._sought_at != began:
             await self._took_too_long(outcome)
             return
-        self._sought_at = self._gate.sought = None
+        self._sought_at = self._gate.acquiring = None
         if outcome.held is None:
             self._again_at = self._app.now() + AGAIN_S
             self._wake()
         else:
             self._open(outcome.held)
-        self._say(wanted, outcome)
+        self._say(blocked_load, outcome)
 
     async def _took_too_long(self, outcome: _Outcome | None) -> None:
         """The load has begun without a turn, and may be over."""
@@ -243,7 +250,9 @@
         else:
             await self._remove(held.key, held.revision)
 
-    async def _take(self, wanted: TurnWanted, began: float) -> _Outcome | None:
+    async def _take(
+        self, blocked_load: StorePermitRequest, began: float
+    ) -> _Outcome | None:
         """Try once; None if the service didn't answer, or too late."""
         records: tuple[Record, ...] = ()
         for _ in range(TRIES):
@@ -255,10 +264,13 @@
             if own is not None:
                 key, revision = own.key, own.mod_revision
             else:
-                key, revision = free_key(self._service, records, wanted.turns), 0
+                key, revision = (
+                    free_key(self._service, records, blocked_load.permits),
+                    0,
+                )
             if key is None:
                 return _Outcome("held", holders=records)
-            written = await self._write(key, revision, wanted.model)
+            written = await self._write(key, revision, blocked_load.model)
             if isinstance(written, _Held):
                 return _Outcome("taken", written, records)
             if not isinstance(written, Conflict):
@@ -272,7 +284,7 @@
         granted = await self._kv.grant_lease(LEASE_S)
         if not isinstance(granted, Granted):
             return granted
-        value = TurnRecord(self._app.instance, model).encode()
+        value = StorePermitRecord(self._app.instance, model).encode()
         put = Put(key, value, granted.lease)
         written = await self._kv.transact([Compare(key, revision)], [put])
         if isinstance(written, Committed):
@@ -281,31 +293,33 @@
 
     def _own(self, records: tuple[Record, ...]) -> Record | None:
         for record in records:
-            decoded = TurnRecord.decode(record.value)
+            decoded = StorePermitRecord.decode(record.value)
             if decoded is not None and decoded.holder == self._app.instance:
                 return record
         return None
 
-    def _say(self, wanted: TurnWanted, outcome: _Outcome) -> None:
+    def _say(self, blocked_load: StorePermitRequest, outcome: _Outcome) -> None:
         """Write a line, once for each model and outcome."""
-        if outcome.name == "held" and self._told == (wanted.model, outcome.name):
+        if outcome.name == "held" and self._told == (blocked_load.model, outcome.name):
             return
-        self._told = (wanted.model, outcome.name)
+        self._told = (blocked_load.model, outcome.name)
         key = outcome.held.key if outcome.held is not None else ""
-        self._emit(outcome.name, wanted.model, wanted.turns, outcome.holders, key)
+        self._emit(
+            outcome.name, blocked_load.model, blocked_load.permits, outcome.holders, key
+        )
 
     def _emit(
         self,
         outcome: str,
         model: str,
-        turns: int,
+        permits: int,
         holders: tuple[Record, ...],
         key: str,
     ) -> None:
         names = []
         for record in holders:
-            decoded = TurnRecord.decode(record.value)
+            decoded = StorePermitRecord.decode(record.value)
             names.append(decoded.holder if decoded is not None else "unreadable")
         number = key.removeprefix(prefix_of(self._service)) if key else None
-        line = StoreTurn(outcome, model, turns, number, tuple(names))
+        line = StoreTurn(outcome, model, permits, number, tuple(names))
         self._events.emit(line)
--- a/packages/bambootiller/src/bambootiller/gateway/wire.py
+++ b/packages/bambootiller/src/bambootiller/gateway/wire.py
@@ -8,7 +8,6 @@
 from bambootiller_core.gateway.crash_ledger import LostRun
 from bambootiller_core.gateway.engine_state import EngineState, Loading
 from bambootiller_core.gateway.incarnation import Incarnation
-from bambootiller_core.gateway.named_limits import NamedLimit
 from bambootiller_core.gateway.order_messages import Wish
 from bambootiller_core.gateway.quota_messages import (
     CustomerAsk,
@@ -16,6 +15,7 @@
     QuotaAnswer,
     QuotaAsk,
 )
+from bambootiller_core.gateway.reported_limits import NamedLimit
 from bambootiller_core.gateway.want import Want
 
 #: Room that is further away than this, or is never there, is told as so far. Seconds.
--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -16,10 +16,10 @@
 from bambootiller.gateway.relays import Relays
 from bambootiller.gateway.server_admission import ServerAdmission
 from bambootiller.gateway.server_limits import ServerLimits
-from bambootiller_core.gateway.budget import AttemptBudget
 from bambootiller_core.gateway.demand import Demand
 from bambootiller_core.gateway.due_adapters import DueAdapters
-from bambootiller_core.gateway.quota_terms import QuotaTerms
+from bambootiller_core.gateway.quota_limits import QuotaTerms
+from bambootiller_core.gateway.retry_budget import AttemptBudget
 from bambootiller_core.gateway.running import TICK_S, RunningTime
 from bambootiller_core.gateway.want import NO_WANT
 from bambootiller_core.ports import Changed, Record
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_standstills.py
@@ -20,7 +20,7 @@
 
 from bambootiller.gateway.knowledge import Knowledge, StoreWatcher
 from bambootiller.gateway.ports import Bounds
-from bambootiller_core.gateway.budget import AttemptBudget
+from bambootiller_core.gateway.retry_budget import AttemptBudget
 from bambootiller_core.gateway.running import TICK_S, RunningTime
 from bambootiller_platform import store as store_module
 from bambootiller_platform.documents import PlatformDirectory
--- a/tests/gateway/cover/test_first_look.py
+++ b/tests/gateway/cover/test_first_look.py
@@ -4,8 +4,12 @@
 
 from bambootiller.gateway.engine_plans import EnginePlans
 from bambootiller.gateway.knowledge import Changes
-from bambootiller_core.gateway.first_look import LONGEST_S, MOST_S, FirstLook
 from bambootiller_core.gateway.fleet import Fleet
+from bambootiller_core.gateway.initial_discovery import (
+    MAX_DISCOVERY_S,
+    MAX_STALL_S,
+    InitialDiscovery,
+)
 from bambootiller_core.timers import TimerService
 from tests.gateway.common import samples
 
@@ -20,10 +24,10 @@
 
 class TestFirstLook(unittest.TestCase):
     def setUp(self):
-        self.look = FirstLook()
+        self.look = InitialDiscovery()
 
     def over(self, now, *backends):
-        return self.look.is_over(now, backends, QUIET_S)
+        return self.look.is_complete(now, backends, QUIET_S)
 
     def test_it_lasts_while_engines_come(self):
         self.assertFalse(self.over(0.0, heard("b1")))
@@ -41,16 +45,16 @@
     def test_it_lasts_until_each_was_heard_but_not_for_ever(self):
         silent = samples.backend("b2")
         self.assertFalse(self.over(0.0, heard("b1"), silent))
-        self.assertFalse(self.over(MOST_S - 0.1, heard("b1"), silent))
-        self.assertTrue(self.over(MOST_S, heard("b1"), silent))
+        self.assertFalse(self.over(MAX_STALL_S - 0.1, heard("b1"), silent))
+        self.assertTrue(self.over(MAX_STALL_S, heard("b1"), silent))
 
     def test_engines_that_come_and_go_do_not_make_it_last_for_ever(self):
         """The weight store was asked for nothing while engines went down and up."""
         now, both = 0.0, (heard("b1"), heard("b2"))
-        while now < LONGEST_S - 0.1:
+        while now < MAX_DISCOVERY_S - 0.1:
             self.assertFalse(self.over(now, *both[: 1 + round(now * 2) % 2]))
             now += 0.5
-        self.assertTrue(self.over(LONGEST_S, *both))
+        self.assertTrue(self.over(MAX_DISCOVERY_S, *both))
 
     def test_before_any_engine_is_listed_nothing_is_known(self):
         self.assertFalse(self.over(0.0))
--- a/tests/gateway/cover/test_named_limits.py
+++ b/tests/gateway/cover/test_named_limits.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bambootiller_core.gateway.named_limits import KEPT_S, NamedLimit, NamedLimits
+from bambootiller_core.gateway.reported_limits import KEPT_S, NamedLimit, NamedLimits
 from bambootiller_core.gateway.telling import Untold
 
 
--- a/tests/gateway/cover/test_quotas.py
+++ b/tests/gateway/cover/test_quotas.py
@@ -5,9 +5,9 @@
 from bambootiller_core.gateway.customers import Quota, QuotaUnit
 from bambootiller_core.gateway.quota_account import QuotaAccount
 from bambootiller_core.gateway.quota_allocator import SHARED_MOST, QuotaAllocator
+from bambootiller_core.gateway.quota_limits import Limit, QuotaTerms
 from bambootiller_core.gateway.quota_messages import SHARE_S, CustomerAsk, QuotaAsk
 from bambootiller_core.gateway.quota_record import Member
-from bambootiller_core.gateway.quota_terms import Limit, QuotaTerms
 
 LIMIT = Limit(rate_per_s=100.0, depth=140.0, share_depth=140.0, span_s=8.3)
 LIMITS = {"c1": LIMIT}
--- a/tests/gateway/cover/test_store_idle.py
+++ b/tests/gateway/cover/test_store_idle.py
@@ -2,20 +2,20 @@
 
 import unittest
 
-from bambootiller_core.gateway.store_idle import AGAIN_S, StoreIdle
+from bambootiller_core.gateway.store_idle import REPEAT_S, StoreIdleTracker
 
 
 class TestStoreIdle(unittest.TestCase):
     def setUp(self):
-        self.idle = StoreIdle()
+        self.idle = StoreIdleTracker()
 
     def look(self, *times, loads=0, awaited=("tutor",)):
         return [self.idle.observe(now, loads, awaited) for now in times]
 
     def test_a_spell_is_told_once_and_again_while_it_goes_on(self):
-        times = [1.0 + 0.5 * step for step in range(round(2 * AGAIN_S) + 4)]
+        times = [1.0 + 0.5 * step for step in range(round(2 * REPEAT_S) + 4)]
         told = [at for at in times if self.look(at) != [None]]
-        self.assertEqual(told, [2.0, 2.0 + AGAIN_S])
+        self.assertEqual(told, [2.0, 2.0 + REPEAT_S])
         self.assertAlmostEqual(self.idle.total_s, times[-1] - 1.0)
 
     def test_a_time_in_which_nobody_looked_does_not_count(self):
--- a/tests/gateway/cover/test_store_queue.py
+++ b/tests/gateway/cover/test_store_queue.py
@@ -2,7 +2,11 @@
 
 import unittest
 
-from bambootiller_core.gateway.store_queue import Pressing, StoreQueue, TurnKind
+from bambootiller_core.gateway.store_queue import (
+    Oversubscription,
+    StartReason,
+    StoreQueue,
+)
 
 LOAD_S = 6.0
 
@@ -20,7 +24,9 @@
 
     def test_a_crowding_load_begins_beyond_that_if_it_is_sooner(self):
         queue = StoreQueue(4, [6.0, 6.0, 6.0, 6.0])
-        self.assertEqual(queue.add(LOAD_S, Pressing.MOST), (0.0, 7.5))
+        self.assertEqual(
+            queue.add(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE), (0.0, 7.5)
+        )
 
     def test_a_crowding_load_waits_where_beginning_now_brings_nothing(self):
         """Symptom: a much-awaited model takes five times its load time.
@@ -30,16 +36,20 @@
         those under way as it begins.
         """
         queue = StoreQueue(1, [13.0])
-        self.assertEqual(queue.add(13.0, Pressing.MOST), (13.0, 26.0))
+        self.assertEqual(
+            queue.add(13.0, Oversubscription.MAY_OVERSUBSCRIBE), (13.0, 26.0)
+        )
 
     def test_loads_that_wait_slow_no_crowding_load(self):
         queue = StoreQueue(4, [6.0, 6.0, 6.0, 6.0])
         queue.add(LOAD_S)
-        self.assertEqual(queue.add(LOAD_S, Pressing.MOST), (0.0, 7.5))
+        self.assertEqual(
+            queue.add(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE), (0.0, 7.5)
+        )
 
     def test_a_crowding_load_waits_where_it_would_be_slowed_much(self):
         queue = StoreQueue(4, [20.0] * 6)
-        begins, _ = queue.add(LOAD_S, Pressing.MOST)
+        begins, _ = queue.add(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE)
         self.assertEqual(begins, 20.0)
 
     def test_waiting_loads_take_their_turns(self):
@@ -51,12 +61,18 @@
 class TestWhyALoadBeginsWhenItDoes(unittest.TestCase):
     def test_it_is_told(self):
         crowded = StoreQueue(4, [6.0] * 4)
-        one_more = StoreQueue(1, [6.0], one_more=True)
-        self.assertIs(StoreQueue(1, []).kind(LOAD_S), TurnKind.FREE)
-        self.assertIs(StoreQueue(1, [6.0]).kind(LOAD_S), TurnKind.QUEUED)
-        self.assertIs(crowded.kind(LOAD_S, Pressing.MOST), TurnKind.CROWDED)
-        self.assertIs(one_more.kind(LOAD_S), TurnKind.QUEUED)
-        self.assertIs(one_more.kind(LOAD_S, Pressing.MUCH), TurnKind.ONE_MORE)
+        allow_probe = StoreQueue(1, [6.0], allow_probe=True)
+        self.assertIs(StoreQueue(1, []).start_reason(LOAD_S), StartReason.FREE)
+        self.assertIs(StoreQueue(1, [6.0]).start_reason(LOAD_S), StartReason.QUEUED)
+        self.assertIs(
+            crowded.start_reason(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE),
+            StartReason.OVERSUBSCRIBED,
+        )
+        self.assertIs(allow_probe.start_reason(LOAD_S), StartReason.QUEUED)
+        self.assertIs(
+            allow_probe.start_reason(LOAD_S, Oversubscription.MAY_PROBE),
+            StartReason.PROBE,
+        )
 
 
 class TestOneMoreThanTheStoreIsKnownToServe(unittest.TestCase):
@@ -68,17 +84,25 @@
     """
 
     def test_it_is_tried_beside_loads_that_have_begun(self):
-        queue = StoreQueue(1, [], one_more=True)
+        queue = StoreQueue(1, [], allow_probe=True)
         queue.add(13.0)
-        self.assertIs(queue.kind(13.0, Pressing.MUCH), TurnKind.QUEUED)
-        queue = StoreQueue(1, [13.0], one_more=True)
-        self.assertIs(queue.kind(13.0, Pressing.MUCH), TurnKind.ONE_MORE)
+        self.assertIs(
+            queue.start_reason(13.0, Oversubscription.MAY_PROBE), StartReason.QUEUED
+        )
+        queue = StoreQueue(1, [13.0], allow_probe=True)
+        self.assertIs(
+            queue.start_reason(13.0, Oversubscription.MAY_PROBE), StartReason.PROBE
+        )
 
     def test_it_is_tried_for_what_would_have_the_next_turn(self):
-        queue = StoreQueue(1, [13.0], one_more=True)
-        self.assertIs(queue.kind(13.0, Pressing.LITTLE), TurnKind.QUEUED)
+        queue = StoreQueue(1, [13.0], allow_probe=True)
+        self.assertIs(
+            queue.start_reason(13.0, Oversubscription.MUST_QUEUE), StartReason.QUEUED
+        )
 
     def test_it_is_tried_beside_one_that_has_just_begun(self):
         """Begun 6 s later, it took the store's time of both to 37 s instead of 30."""
-        queue = StoreQueue(1, [9.0], one_more=True)
-        self.assertIs(queue.kind(15.0, Pressing.MUCH), TurnKind.QUEUED)
+        queue = StoreQueue(1, [9.0], allow_probe=True)
+        self.assertIs(
+            queue.start_reason(15.0, Oversubscription.MAY_PROBE), StartReason.QUEUED
+        )
--- a/tests/gateway/cover/test_store_speed.py
+++ b/tests/gateway/cover/test_store_speed.py
@@ -5,12 +5,12 @@
 from bambootiller_core.gateway.engine_state import Loading
 from bambootiller_core.gateway.incarnation import Incarnation
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.store_speed import (
+from bambootiller_core.gateway.store_concurrency import (
     ASSUMED_LOADS,
     OVERRUN_SHARE,
-    TRY_AGAIN_S,
-    StoreSpeed,
-    assumed_loads,
+    PROBE_RETRY_S,
+    StoreConcurrency,
+    initial_loads,
 )
 from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
@@ -25,7 +25,7 @@
     def __init__(self, full):
         self.full = full
         self.now = 0.0
-        self.speed = StoreSpeed()
+        self.speed = StoreConcurrency()
         self.left = {}
         self.spec = samples.engine(samples.model("tutor"))
 
@@ -58,7 +58,7 @@
         self.full = full
         self.load_s = load_s
         self.now = 0.0
-        self.speed = StoreSpeed(loads)
+        self.speed = StoreConcurrency(loads)
         self.ends = {}
         self.names = []
         self.silent = {}
@@ -98,7 +98,7 @@
             store.begin(f"b{number}")
         store.run(1.4 * LOAD_S)
         self.assertEqual(store.speed.loads, 1)
-        self.assertFalse(store.speed.tries_one_more)
+        self.assertFalse(store.speed.allows_probe)
 
     def test_all_of_four_at_full_speed_show_that_four_are_served(self):
         store = OrderlyStore(full=4, loads=1)
@@ -109,11 +109,11 @@
 
     def test_one_more_is_tried_until_the_store_is_seen_to_serve_no_more(self):
         store = OrderlyStore(full=1, loads=1)
-        self.assertTrue(store.speed.tries_one_more)
+        self.assertTrue(store.speed.allows_probe)
         store.begin("b0")
         store.begin("b1")
         store.run(1.3 * LOAD_S)
-        self.assertEqual((store.speed.loads, store.speed.tries_one_more), (1, False))
+        self.assertEqual((store.speed.loads, store.speed.allows_probe), (1, False))
 
     def test_while_one_is_late_no_further_one_is_tried(self):
         """Symptom: the store serves one load, and three of them are under way.
@@ -126,7 +126,7 @@
         store.begin("b1")
         store.run(1.02 * LOAD_S)
         self.assertEqual(len(store.ends), 1)
-        self.assertFalse(store.speed.tries_one_more)
+        self.assertFalse(store.speed.allows_probe)
 
     def test_one_that_was_lost_with_its_engine_is_not_tried_again_at_once(self):
         """Symptom: each turn of the store was given to one load more than it serves.
@@ -140,9 +140,9 @@
         store.names.remove("b1")
         del store.ends["b1"]
         store.run(0.3 * LOAD_S)
-        self.assertFalse(store.speed.tries_one_more)
-        store.run(TRY_AGAIN_S)
-        self.assertTrue(store.speed.tries_one_more)
+        self.assertFalse(store.speed.allows_probe)
+        store.run(PROBE_RETRY_S)
+        self.assertTrue(store.speed.allows_probe)
 
     def test_until_the_one_that_is_tried_shows_something_no_other_is_tried(self):
         """The load before it had ended, it wasn't late yet, and another was tried."""
@@ -151,10 +151,10 @@
         store.run(0.1 * LOAD_S)
         store.begin("b1")
         store.run(0.1 * LOAD_S)
-        self.assertFalse(store.speed.tries_one_more)
+        self.assertFalse(store.speed.allows_probe)
         store.run(0.82 * LOAD_S)
         self.assertEqual(list(store.ends), ["b1"])
-        self.assertFalse(store.speed.tries_one_more)
+        self.assertFalse(store.speed.allows_probe)
 
     def test_the_end_of_a_load_is_foreseen(self):
         store = OrderlyStore(full=1, loads=1)
@@ -170,8 +170,8 @@
     def test_long_loads_are_begun_with_care(self):
         short = samples.engine(samples.model("tutor", load_s=6.0))
         long = samples.engine(samples.model("tutor", load_s=13.2))
-        self.assertEqual(assumed_loads(short), ASSUMED_LOADS)
-        self.assertEqual(assumed_loads(long), 1)
+        self.assertEqual(initial_loads(short), ASSUMED_LOADS)
+        self.assertEqual(initial_loads(long), 1)
 
 
 class TestLoadsOutOfSight(unittest.TestCase):
@@ -196,7 +196,7 @@
     def test_it_is_not_taken_for_one_at_full_speed(self):
         self.unheard("b1", 0.9 * LOAD_S, 1.2 * LOAD_S)
         self.assertEqual(self.store.speed.loads, 1)
-        self.assertFalse(self.store.speed.tries_one_more)
+        self.assertFalse(self.store.speed.allows_probe)
 
     def test_it_is_not_taken_for_one_that_begins_when_it_is_heard_again(self):
         self.unheard("b1", 1.3 * LOAD_S, 1.5 * LOAD_S)
@@ -223,13 +223,13 @@
         self.assertEqual(self.store.speed.ends_elsewhere(self.store.now, ["b0"]), [])
 
     def test_one_that_is_late_when_it_is_first_seen_has_not_just_begun(self):
-        late = StoreSpeed(1)
+        late = StoreConcurrency(1)
         loading = Loading("tutor", OVERRUN_SHARE * LOAD_S, True)
         state = samples.engine_state("b1", loading=loading)
         for now in (50.0, 50.1):
             backend = samples.backend("b1", now, state, service="llm")
             late.observe(now, [backend], self.store.spec)
-        self.assertFalse(late.tries_one_more)
+        self.assertFalse(late.allows_probe)
 
     def test_a_plan_waits_for_it(self):
         spec = samples.engine(samples.model("tutor"), samples.model("poet"))
--- a/tests/gateway/cover/test_store_turns.py
+++ b/tests/gateway/cover/test_store_turns.py
@@ -63,7 +63,7 @@
         backends += [engine_backend(f"b{n}") for n in range(6)]
         if wants is None:
             wants = {"clerk": Want(0.5, 9), "critic": Want(0.1, 1)}
-        planner = Planner(self.spec, 1, tries_one_more=tries)
+        planner = Planner(self.spec, 1, allows_probe=tries)
         plan = planner.plan(NOW, backends, wants)
         return [load.model for load in plan.values() if load.ask_now]
 
--- a/tests/gateway/cover/test_turn_holder.py
+++ b/tests/gateway/cover/test_turn_holder.py
@@ -13,8 +13,8 @@
     Wish,
 )
 from bambootiller_core.gateway.orders import OrderBook
-from bambootiller_core.gateway.turn_gate import TurnGate
-from bambootiller_core.gateway.turn_record import prefix_of
+from bambootiller_core.gateway.store_permit_gate import StorePermitGate
+from bambootiller_core.gateway.store_permit_record import prefix_of
 from tests.common.fakekv import FakeKeyValue, Fault
 from tests.gateway.common import samples
 
@@ -62,7 +62,7 @@
 
     def __init__(self, kv, instance):
         self.app, self.events = App(instance), Events()
-        self.gate = TurnGate()
+        self.gate = StorePermitGate()
         self.book = OrderBook(ENGINE, self.gate)
         self.turn = TurnHolder(
             self.app, kv, SERVICE, self.gate, self.events, lambda: None, self.app.now
--- a/tests/gateway/cover/test_wakes.py
+++ b/tests/gateway/cover/test_wakes.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from bambootiller_core.gateway.engine_state import Loading
-from bambootiller_core.gateway.wakes import wakes_calls
+from bambootiller_core.gateway.wakeups import wakes_waiting_calls
 from tests.gateway.common import samples
 
 STATE = samples.engine_state("b1", ["tutor"], running=2, orderable=True)
@@ -13,7 +13,7 @@
 class TestWakes(unittest.TestCase):
     def wakes(self, before=STATE, **news):
         backend = samples.backend("b1", 0.0, before)
-        return wakes_calls(backend, replace(STATE, **news))
+        return wakes_waiting_calls(backend, replace(STATE, **news))
 
     def test_calls_that_begin_and_end_wake_nobody(self):
         """Symptom: while calls wait, an entry takes several times the processor.
@@ -50,4 +50,4 @@
     def test_a_word_after_a_denial_wakes_calls(self):
         backend = samples.backend("b1", 0.0, STATE)
         backend.denies(0.0, "tutor", "")
-        self.assertTrue(wakes_calls(backend, STATE))
+        self.assertTrue(wakes_waiting_calls(backend, STATE))
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -8,7 +8,7 @@
 from bambootiller_core.gateway.incarnation import SILENT_S, Incarnation
 from bambootiller_core.gateway.order_messages import EngineReport
 from bambootiller_core.gateway.report_naming import listed_at, named
-from bambootiller_core.gateway.store_speed import StoreSpeed
+from bambootiller_core.gateway.store_concurrency import StoreConcurrency
 from tests.gateway.common import samples
 
 FIRST_MS, SECOND_MS = 1_700_000_000_000, 1_700_000_009_000
@@ -198,7 +198,7 @@
 
     def test_a_load_that_its_engine_did_not_survive_has_not_ended(self):
         spec = samples.engine(samples.model("tutor", load_s=6.0))
-        speed = StoreSpeed(1)
+        speed = StoreConcurrency(1)
         self.fleet.registry_changed(0.0, samples.registered("b2", service="llm"))
         loading = Loading("tutor", 5.0, True)
         for step in range(140):
--- a/tests/gateway/failures/test_store_loads.py
+++ b/tests/gateway/failures/test_store_loads.py
@@ -14,7 +14,7 @@
 LENGTH_S = 30.0
 #: A load that takes longer than this many times its own time is over so late that its
 #: engine had better served others.
-MOST_STRETCH = 1.5
+MAX_SLOWDOWN = 1.5
 
 
 @dataclass
@@ -96,4 +96,4 @@
                 store.run()
                 self.assertTrue(store.begun)
                 slowest = max(load.stretch for load in store.begun)
-                self.assertLessEqual(slowest, MOST_STRETCH)
+                self.assertLessEqual(slowest, MAX_SLOWDOWN)
--- a/tests/gateway/failures/test_store_turns_taken.py
+++ b/tests/gateway/failures/test_store_turns_taken.py
@@ -5,13 +5,16 @@
 from bambootiller.gateway.engine_plans import EnginePlans
 from bambootiller.gateway.plan_clock import PLAN_S
 from bambootiller_core.gateway.collecting import planners
-from bambootiller_core.gateway.first_look import MOST_S
 from bambootiller_core.gateway.fleet import Fleet
+from bambootiller_core.gateway.initial_discovery import MAX_STALL_S
 from bambootiller_core.gateway.log_lines import StoreLoadAsked
 from bambootiller_core.gateway.residency import PlannedLoad
-from bambootiller_core.gateway.store_asks import TOLD_WITHIN_S, StoreAsks
-from bambootiller_core.gateway.store_queue import TurnKind
-from bambootiller_core.gateway.store_speed import TRY_AGAIN_S
+from bambootiller_core.gateway.store_concurrency import PROBE_RETRY_S
+from bambootiller_core.gateway.store_load_requests import (
+    REPORT_TIMEOUT_S,
+    StoreLoadRequests,
+)
+from bambootiller_core.gateway.store_queue import StartReason
 from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 from tests.gateway.cover.test_engine_plans import ENTRIES, SERVICE, App, Known
@@ -52,7 +55,7 @@
         plans = EnginePlans(app, known, wish, self.lines.append)
         plans.entries = ENTRIES
         plans.make(app.at)
-        app.at += MOST_S + 0.1
+        app.at += MAX_STALL_S + 0.1
         for number in range(6):
             known.fleet.engine_told(app.at, samples.engine_state(f"b{number}"))
         plans.make(app.at)
@@ -107,7 +110,7 @@
         )
         plans.entries = (app.instance,)
         wants = {"m1": Want(0.9, 3), "m2": Want(0.5, 2)}
-        for _ in range(round((MOST_S + 12.0) / PLAN_S)):
+        for _ in range(round((MAX_STALL_S + 12.0) / PLAN_S)):
             app.at += PLAN_S
             for number in range(6):
                 known.fleet.engine_told(app.at, samples.engine_state(f"b{number}"))
@@ -125,7 +128,7 @@
 
 class TestAsks(unittest.TestCase):
     def setUp(self):
-        self.asks = StoreAsks()
+        self.asks = StoreLoadRequests()
 
     def choose(self, now, *models, told=()):
         planned = [PlannedLoad(model, "b1", 6.0, True, True) for model in models]
@@ -143,7 +146,7 @@
 
     def test_one_that_its_agent_does_not_begin_is_given_up(self):
         self.choose(1.0, "m1")
-        self.assertEqual(self.choose(1.1 + TOLD_WITHIN_S, "m2"), ["m2"])
+        self.assertEqual(self.choose(1.1 + REPORT_TIMEOUT_S, "m2"), ["m2"])
 
 
 class TestTrialAtAnEngineThatIsDropped(unittest.TestCase):
@@ -151,11 +154,11 @@
     of the first trial before its load was seen; a second one began beside it."""
 
     def setUp(self):
-        self.asks = StoreAsks()
+        self.asks = StoreLoadRequests()
         self.listed = {"b1", "b2"}
 
     def choose(self, now, model, instance, told=()):
-        load = PlannedLoad(model, instance, 6.0, True, True, TurnKind.ONE_MORE)
+        load = PlannedLoad(model, instance, 6.0, True, True, StartReason.PROBE)
         chosen = self.asks.choose(
             now,
             [load],
@@ -168,8 +171,8 @@
         self.assertEqual(self.choose(1.0, "m1", "b1"), ["m1"])
         self.listed.remove("b1")
         self.assertEqual(self.choose(1.1, "m2", "b2"), [])
-        self.assertFalse(self.asks.may_try(1.1))
-        self.assertTrue(self.asks.may_try(1.1 + TRY_AGAIN_S))
+        self.assertFalse(self.asks.may_probe(1.1))
+        self.assertTrue(self.asks.may_probe(1.1 + PROBE_RETRY_S))
 
     def test_nor_if_its_agent_had_told_of_it(self):
         self.choose(1.0, "m1", "b1")
@@ -183,4 +186,4 @@
         self.choose(7.0, "m2", "b2")
         self.listed.remove("b1")
         self.choose(8.0, "m2", "b2")
-        self.assertTrue(self.asks.may_try(8.0))
+        self.assertTrue(self.asks.may_probe(8.0))
--- a/tests/gateway/randomised/test_budget.py
+++ b/tests/gateway/randomised/test_budget.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from bambootiller_core.gateway.budget import AttemptBudget
+from bambootiller_core.gateway.retry_budget import AttemptBudget
 from tests.common import counting, profiles
 
 RATIO, SLACK, WINDOW_S = 0.2, 54.0, 10.0
--- a/tests/gateway/randomised/test_named_limits.py
+++ b/tests/gateway/randomised/test_named_limits.py
@@ -4,8 +4,8 @@
 import unittest
 from unittest import mock
 
-from bambootiller_core.gateway.named_limits import WINDOW_S, shared_limits
-from bambootiller_core.gateway.quota_terms import QuotaTerms
+from bambootiller_core.gateway.quota_limits import QuotaTerms
+from bambootiller_core.gateway.reported_limits import WINDOW_S, shared_limits
 from tests.gateway.randomised import test_quotas
 from tests.gateway.randomised.test_quotas import END_S, QuotaFleet
 
--- a/tests/gateway/randomised/test_quotas.py
+++ b/tests/gateway/randomised/test_quotas.py
@@ -12,8 +12,8 @@
 from bambootiller_core.gateway.customers import Quota, QuotaUnit
 from bambootiller_core.gateway.quota_account import QuotaAccount
 from bambootiller_core.gateway.quota_allocator import QuotaAllocator
+from bambootiller_core.gateway.quota_limits import USED_SHARE, Limit, QuotaTerms
 from bambootiller_core.gateway.quota_messages import QuotaAsk
-from bambootiller_core.gateway.quota_terms import USED_SHARE, Limit, QuotaTerms
 from bambootiller_standins.quotaforms._world import Network, World
 
 QUOTA = Quota(1000.0, 1000.0, QuotaUnit.TOKEN)
