--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
@@ -41,5 +41,5 @@
 
 def _answers_since(lost_at: float, backend: Backend) -> bool:
     """Whether the agent has spoken long enough after a run was lost."""
-    heard_s = backend.heard_at - backend.ran(lost_at)
+    heard_s = backend.heard_at - backend.running_time(lost_at)
     return backend.engine is not None and heard_s > ANSWERS_S
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -75,7 +75,7 @@
     agent has told of this start, ``ended`` True once another has taken its place.
     ``told_at`` is when the registry or the agent told of it last.
 
-    ``ran`` turns a time into running time; see
+    ``running_time`` turns a time into running time; see
     :mod:`bambootiller_core.gateway.running`. The silence of the agent is measured in
     it: after a standstill of this process all agents would count as silent, and every
     call that came meanwhile would be refused for want of an engine that takes orders.
@@ -99,7 +99,7 @@
     listed: bool = True
     ended: bool = False
     told_at: float = float("-inf")
-    ran: Callable[[float], float] = _as_it_is
+    running_time: Callable[[float], float] = _as_it_is
 
     @property
     def readable(self) -> bool:
@@ -152,7 +152,7 @@
 
     def unheard_s(self, now: float) -> float:
         """For how long this process has heard nothing of the agent. Seconds."""
-        return self.ran(now) - self.heard_at
+        return self.running_time(now) - self.heard_at
 
     def unreached(self, now: float) -> None:
         """No connection was made to it, or a call there met silence."""
@@ -232,8 +232,8 @@
         for backend in fleet.of_service("tutor"): ...
     """
 
-    def __init__(self, ran: Callable[[float], float] = _as_it_is) -> None:
-        self._ran = ran
+    def __init__(self, running_time: Callable[[float], float] = _as_it_is) -> None:
+        self._running_time = running_time
         self._backends: dict[str, Backend] = {}
         #: The instance that was registered last at each address.
         self._at: dict[str, str] = {}
@@ -303,7 +303,7 @@
             before.ended = True
             self._drop(record.instance)
         backend = self._backends[record.instance] = Backend(
-            record, listed=listed, told_at=now, ran=self._ran
+            record, listed=listed, told_at=now, running_time=self._running_time
         )
         self._note_address(record)
         return backend
@@ -410,7 +410,7 @@
             known = replace(backend.registered, started_ms=state.started_ms)
             backend.registered = known
         backend.engine = state
-        backend.heard_at = self._ran(now)
+        backend.heard_at = self._running_time(now)
         backend.told_at = now
         backend.denied.clear()
         return True
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/running.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/running.py
@@ -43,7 +43,7 @@
         self._ticked = now
         return late_s
 
-    def ran(self, now: float) -> float:
+    def running_time(self, now: float) -> float:
         """A reading of the clock, in seconds. Only differences mean something."""
         return now - self._stood_still - self._late_s(now)
 
--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -18,11 +18,11 @@
 )
 from bambootiller.gateway.knowledge import Knowledge, StoreWatcher
 from bambootiller.gateway.meters import Meters
-from bambootiller.gateway.ports import Engine, EngineSilent, Platform
+from bambootiller.gateway.ports import Engine, Platform, ReportFailed
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller.gateway.quota_allocation import QuotaAllocation
 from bambootiller.gateway.server_limits import ServerLimits
-from bambootiller.gateway.standstills import Standstills
+from bambootiller.gateway.stall_monitor import StallMonitor
 from bambootiller.gateway.turn_holder import TurnHolder
 from bambootiller.rpc import bambootiller_pb2_grpc as api
 from bambootiller_core.gateway import log_lines as lines
@@ -90,11 +90,11 @@
         self._service = service
         self._events = events
         self._wake = asyncio.Event()
-        self._standstills = Standstills(app, events)
+        self._stall_monitor = StallMonitor(app, events)
         self._knowledge = Knowledge(platform.directory, events, app.now)
-        ran = self._standstills.ran
+        running_time = self._stall_monitor.running_time
         self._exchanger = Exchanger(
-            app.instance, self._knowledge, events, app.channels, ran
+            app.instance, self._knowledge, events, app.channels, running_time
         )
         self._quarantine = Quarantine(
             self._knowledge, events, app.now, self._exchanger.poke
@@ -115,7 +115,7 @@
         self._book: OrderBook | None = None
         self._gate = StorePermitGate()
         self._turn = TurnHolder(
-            app, platform.kv, service, self._gate, events, self._wished, ran
+            app, platform.kv, service, self._gate, events, self._wished, running_time
         )
         self._token: int | None = None
         self._silent_since: float | None = None
@@ -131,14 +131,14 @@
     async def start(self) -> None:
         """Follow the store, get a fencing token, and look after the engine."""
         app = self._app
-        self._standstills.start()
+        self._stall_monitor.start()
         self._knowledge.on_config(self._configured)
         watcher = StoreWatcher(
             self._platform.kv,
             self._knowledge,
             self._events,
             app.now,
-            self._standstills.ran_at,
+            self._stall_monitor.running_time_at,
             lambda: self._platform.bounds,
         )
         for prefix in self._platform.directory.prefixes:
@@ -264,10 +264,10 @@
         """Read the report, send one order if there is one; returns the pause."""
         if self._book is None:
             return QUIET_S
-        began = self._standstills.own_time.now()
+        began = self._stall_monitor.stall_check.now()
         report = await self._engine.report()
-        if isinstance(report, EngineSilent):
-            if self._standstills.own_time.is_doubtful(began):
+        if isinstance(report, ReportFailed):
+            if self._stall_monitor.stall_check.was_stalled(began):
                 # Told to entries, one own standstill and one pause of a stream would
                 # have them take the engine for lost.
                 return BUSY_S
@@ -397,7 +397,7 @@
 
     async def _settle_conflict(self, order: EngineOrder) -> None:
         report = await self._engine.report()
-        report = None if isinstance(report, EngineSilent) else self._named(report)
+        report = None if isinstance(report, ReportFailed) else self._named(report)
         if report is None:
             return
         self._take(report)
--- a/packages/bambootiller/src/bambootiller/gateway/sending.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from bambootiller.gateway.connections import BackendConnection, ConnectionLost
-from bambootiller.gateway.ports import AnswerHead, Incoming, Unreadable, Verdict
-from bambootiller.gateway.relays import Relays
+from bambootiller.gateway.backend_connection import BackendConnection, ConnectionLost
+from bambootiller.gateway.ports import AnswerHead, AnswerKind, Incoming, Unreadable
+from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.reporting import CallReport
 from bambootiller_core.gateway.calls import Call, Progress
 from bambootiller_core.gateway.fleet import Backend
@@ -18,21 +18,21 @@
 
     def __init__(
         self,
-        relays: Relays,
+        context: RelayContext,
         call: Call,
         progress: Progress,
         backend: Backend,
         conn: BackendConnection,
     ) -> None:
-        self._relays = relays
+        self._context = context
         self._progress = progress
         self._ask = call.ask
         self._unread = call.ask is not None
         self.backend = backend
         self.conn = conn
         #: The running time at which it went out, and the time by the clock.
-        self.sent_at = relays.ran()
-        self.sent_at_clock = relays.clock()
+        self.sent_at = context.running_time()
+        self.sent_at_clock = context.clock()
         self._ran_before = progress.may_have_run
         self._last_event = progress.last_event
         backend.call_sent(*self._names())
@@ -61,9 +61,9 @@
         """Nothing more is read; unless it was ``answered`` the connection is closed."""
         self.prompt_read()
         self.backend.call_ended(*self._names())
-        pool = self._relays.pool(self.backend)
+        pool = self._context.pool(self.backend)
         if answered:
-            pool.release(self.conn, self._relays.clock())
+            pool.release(self.conn, self._context.clock())
         else:
             pool.discard(self.conn)
 
@@ -73,7 +73,7 @@
         return self._ask.model, self._ask.adapter
 
 
-class Sender:
+class AttemptSender:
     """The attempts of one call.
 
     Example::
@@ -85,32 +85,32 @@
 
     def __init__(
         self,
-        relays: Relays,
+        context: RelayContext,
         incoming: Incoming,
         call: Call,
         body: bytes,
         progress: Progress,
         report: CallReport,
     ) -> None:
-        self._relays = relays
+        self._context = context
         self._incoming = incoming
         self._call = call
         self._body = body
         self._progress = progress
         self._report = report
-        self._service = relays.service(call.service)
+        self._service = context.service(call.service)
 
     def send(self, backend: Backend, conn: BackendConnection) -> Attempt:
         """Send the call, from behind the last event that was passed on."""
-        relays, call = self._relays, self._call
+        context, call = self._context, self._call
         if self._progress.may_have_run:
-            relays.quotas.ran_again(call)
-        headers = relays.dialect.outgoing(
+            context.quotas.ran_again(call)
+        headers = context.dialect.outgoing(
             self._incoming, call, backend.instance, self.resume_after()
         )
-        headers.append(relays.dialect.time_left(call.deadline - relays.clock()))
+        headers.append(context.dialect.time_left(call.deadline - context.clock()))
         head = self._incoming.head(headers, self._body)
-        attempt = Attempt(relays, call, self._progress, backend, conn)
+        attempt = Attempt(context, call, self._progress, backend, conn)
         conn.send(head, self._body)
         return attempt
 
@@ -122,19 +122,19 @@
 
     def is_stray(self, head: AnswerHead) -> bool:
         """Whether an answer belongs to another call."""
-        return self._relays.dialect.judge(self._call, head) is Verdict.STRAY
+        return self._context.dialect.classify(self._call, head) is AnswerKind.STRAY
 
     def is_refusal(self, attempt: Attempt, head: AnswerHead) -> bool:
         """Whether the backend server promises that it hasn't run the call; notes it.
 
         Raises :class:`ConnectionLost` if the answer is of no use.
         """
-        relays, call, backend = self._relays, self._call, attempt.backend
-        verdict = relays.dialect.judge(call, head)
+        context, call, backend = self._context, self._call, attempt.backend
+        verdict = context.dialect.classify(call, head)
         self._note_limit(attempt, head, verdict)
-        if verdict is Verdict.USELESS:
+        if verdict is AnswerKind.USELESS:
             raise ConnectionLost(f"useless answer of status {head.status}", False, True)
-        if verdict not in (Verdict.NOT_RUN, Verdict.MISDIRECTED):
+        if verdict not in (AnswerKind.NOT_RUN, AnswerKind.MISDIRECTED):
             if self._progress.passed_on and not 200 <= head.status < 300:
                 # The caller has the head of another answer already.
                 raise ConnectionLost(
@@ -142,39 +142,41 @@
                 )
             return False
         attempt.not_run()
-        if verdict is Verdict.MISDIRECTED and call.ask is not None:
-            backend.denies(relays.clock(), call.ask.model, call.ask.adapter)
+        if verdict is AnswerKind.MISDIRECTED and call.ask is not None:
+            backend.denies(context.clock(), call.ask.model, call.ask.adapter)
         self.failed(backend)
         return True
 
-    def _note_limit(self, attempt: Attempt, head: AnswerHead, verdict: Verdict) -> None:
+    def _note_limit(
+        self, attempt: Attempt, head: AnswerHead, verdict: AnswerKind
+    ) -> None:
         """Note what limit an answer names. That it names none counts only where the
         call was served: what else answers may not know."""
-        backend, limits = attempt.backend, self._relays.server_limits
-        limit = self._relays.dialect.limit(head)
+        backend, limits = attempt.backend, self._context.server_limits
+        limit = self._context.dialect.limit(head)
         if isinstance(limit, Unreadable):
             limits.unreadable(backend, limit.detail)
-        elif verdict is Verdict.MISDIRECTED:
+        elif verdict is AnswerKind.MISDIRECTED:
             # It may come from another backend server.
             return
         elif limit is not None:
             limits.named(backend, limit)
-        elif verdict is Verdict.ANSWER and 200 <= head.status < 300:
+        elif verdict is AnswerKind.ANSWER and 200 <= head.status < 300:
             limits.named_none(backend, attempt.sent_at_clock)
 
     def lost(self, attempt: Attempt, exc: ConnectionLost) -> None:
         """The run of an attempt is lost, as far as this entry can tell."""
-        relays, backend, conn = self._relays, attempt.backend, attempt.conn
+        context, backend, conn = self._context, attempt.backend, attempt.conn
         if conn.reused:
             # What took this connection may have taken the other idle ones too.
-            relays.pool(backend).close()
+            context.pool(backend).close()
         self.failed(backend)
         progressed = attempt.progressed
         self._report.answer_lost(backend, str(exc), conn.reused, progressed)
-        relays.quarantine.run_lost(self._call, backend, progressed)
+        context.quarantine.run_lost(self._call, backend, progressed)
 
     def failed(self, backend: Backend) -> None:
         """The backend server is judged by an attempt that failed."""
-        relays = self._relays
-        self._service.health.failed(relays.clock(), backend.incarnation)
-        relays.review_health(self._call.service, backend.incarnation)
+        context = self._context
+        self._service.health.failed(context.clock(), backend.incarnation)
+        context.review_health(self._call.service, backend.incarnation)
--- a/packages/bambootiller/src/bambootiller/gateway/connections.py
+++ b/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
@@ -26,7 +26,7 @@
 import httptools
 
 from bambootiller.gateway.ports import AnswerHead
-from bambootiller.gateway.silence import Ran, Silent
+from bambootiller.gateway.silence import RunningClock, SilenceTimeout
 
 #: A kept connection is used again only within this part of the time for which the
 #: backend server says it keeps it. Closer to the end, a call could cross its close, and
@@ -83,8 +83,8 @@
 class BackendConnection(asyncio.Protocol):
     """One connection, which carries one call at a time."""
 
-    def __init__(self, ran: Ran) -> None:
-        self._ran = ran
+    def __init__(self, running_time: RunningClock) -> None:
+        self._running_time = running_time
         #: The running time at which bytes came last, and how often some have come.
         self.heard_at = 0.0
         self.arrivals = 0
@@ -138,7 +138,7 @@
         """Something of an answer has come. Bytes alone don't show that the backend
         server does anything: a head can go on for ever, a byte at a time."""
         self._fruitless = 0
-        self.heard_at = self._ran()
+        self.heard_at = self._running_time()
         self.arrivals += 1
         self._silence_s = None
 
@@ -232,7 +232,7 @@
         return self._lost
 
     def note_silence(self, seconds: float) -> None:
-        """Have the relay, which waits, get :class:`Silent`."""
+        """Have the relay, which waits, get :class:`SilenceTimeout`."""
         self._silence_s = seconds
         self._notify()
 
@@ -318,7 +318,7 @@
             raise self._lost
         if self._silence_s is not None:
             seconds, self._silence_s = self._silence_s, None
-            raise Silent(seconds)
+            raise SilenceTimeout(seconds)
         self._wake = asyncio.get_running_loop().create_future()
         try:
             await self._wake
--- a/packages/bambootiller/src/bambootiller/gateway/pools.py
+++ b/packages/bambootiller/src/bambootiller/gateway/connection_pool.py
@@ -13,8 +13,8 @@
 import asyncio
 from collections import deque
 
-from bambootiller.gateway.connections import BackendConnection
-from bambootiller.gateway.silence import Ran, patiently
+from bambootiller.gateway.backend_connection import BackendConnection
+from bambootiller.gateway.silence import RunningClock, wait_running_time
 
 #: A connection is made or given up within this time. Seconds.
 CONNECT_S = 0.8
@@ -36,8 +36,8 @@
     server resets those beyond what it takes from all callers together.
     """
 
-    def __init__(self, address: str, most: int, ran: Ran) -> None:
-        self._ran = ran
+    def __init__(self, address: str, most: int, running_time: RunningClock) -> None:
+        self._running_time = running_time
         host, _, port = address.rpartition(":")
         self._host = host
         self._port = int(port)
@@ -102,10 +102,12 @@
 
     async def _connect(self, timeout_s: float) -> BackendConnection:
         loop = asyncio.get_running_loop()
-        conn = BackendConnection(self._ran)
+        conn = BackendConnection(self._running_time)
         connecting = loop.create_connection(lambda: conn, self._host, self._port)
         try:
-            await patiently(self._ran, max(0.01, timeout_s), connecting)
+            await wait_running_time(
+                self._running_time, max(0.01, timeout_s), connecting
+            )
         except (OSError, TimeoutError) as exc:
             raise CannotConnect(f"{self._host}:{self._port}: {exc!r}") from exc
         except BaseException:
--- a/packages/bambootiller/src/bambootiller/gateway/keeping_apart.py
+++ b/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from bambootiller.gateway.relays import Relays
+from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.reporting import CallReport
 from bambootiller_core.gateway import attempts
 from bambootiller_core.gateway.attempts import Reason, Refusal
@@ -17,18 +17,18 @@
 HOLD_SHARE = 0.5
 
 
-class KeepingApart:
+class CrashIsolation:
     """The wait of one call before each of its attempts.
 
     Example::
 
-        refusal = await KeepingApart(relays, call, progress, report).wait()
+        refusal = await CrashIsolation(relays, call, progress, report).wait()
     """
 
     def __init__(
-        self, relays: Relays, call: Call, progress: Progress, report: CallReport
+        self, context: RelayContext, call: Call, progress: Progress, report: CallReport
     ) -> None:
-        self._relays = relays
+        self._context = context
         self._call = call
         self._progress = progress
         self._report = report
@@ -39,21 +39,21 @@
         admission = self._admission()
         if admission.standing is Standing.ADMITTED:
             return None
-        began = self._relays.clock()
+        began = self._context.clock()
         give_up_at = began + self._longest_hold_s(began)
         while admission.standing is not Standing.ADMITTED:
-            now = self._relays.clock()
+            now = self._context.clock()
             if admission.standing is Standing.QUARANTINED:
                 return _refusal(Reason.QUARANTINED, admission)
             if now + admission.again_s > give_up_at:
                 return _refusal(Reason.KEPT_APART, admission)
             await asyncio.sleep(admission.again_s)
             admission = self._admission()
-        self._report.kept_apart(admission.crashes, self._relays.clock() - began)
+        self._report.kept_apart(admission.crashes, self._context.clock() - began)
         return None
 
     def _admission(self) -> Admission:
-        return self._relays.quarantine.admission(self._call)
+        return self._context.quarantine.admission(self._call)
 
     def _longest_hold_s(self, now: float) -> float:
         due = min(self._call.deadline, self._call.next_event_due(self._progress))
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -10,7 +10,6 @@
 from bambootiller.app import Application
 from bambootiller.entry.httpserver import HttpServer
 from bambootiller.gateway.allowances import Allowances
-from bambootiller.gateway.bounded import HeadRefused, bounded_protocol
 from bambootiller.gateway.customer_audit import CustomerAudit
 from bambootiller.gateway.engines import Engines
 from bambootiller.gateway.eventlog import EventLog
@@ -20,15 +19,16 @@
     ResidencyServicer,
     Update,
 )
-from bambootiller.gateway.front import Front, pages
+from bambootiller.gateway.http_front import HttpFront, pages
+from bambootiller.gateway.http_limits import HeadRefusal, limited_protocol
 from bambootiller.gateway.knowledge import Knowledge, StoreWatcher
 from bambootiller.gateway.meters import Meters
 from bambootiller.gateway.ports import Platform
 from bambootiller.gateway.quarantine_records import QuarantineRecords
 from bambootiller.gateway.quotas import Quotas
-from bambootiller.gateway.relays import STARTING_S, Relays
+from bambootiller.gateway.relay_context import STARTING_S, RelayContext
 from bambootiller.gateway.server_admission import ServerAdmission
-from bambootiller.gateway.standstills import Standstills
+from bambootiller.gateway.stall_monitor import StallMonitor
 from bambootiller.rpc import bambootiller_pb2_grpc as api
 from bambootiller.settings import Address
 from bambootiller_core.gateway import log_lines as lines
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EntryPlaces:
+class EntryAddresses:
     """Addresses of one entry: for callers, for the balancer's question whether it is
     ready, and of some other entries to learn from at a start."""
 
@@ -76,7 +76,7 @@
         self,
         app: Application,
         platform: Platform,
-        places: EntryPlaces,
+        places: EntryAddresses,
         events: EventLog,
         meters: Meters,
     ) -> None:
@@ -84,12 +84,12 @@
         self._platform = platform
         self._places = places
         self._events = events
-        self._standstills = Standstills(app, events)
-        ran_at = self._standstills.ran_at
-        self.knowledge = Knowledge(platform.directory, events, app.now, ran_at)
-        ran = self._standstills.ran
+        self._stall_monitor = StallMonitor(app, events)
+        running_time_at = self._stall_monitor.running_time_at
+        self.knowledge = Knowledge(platform.directory, events, app.now, running_time_at)
+        running_time = self._stall_monitor.running_time
         self._exchanger = Exchanger(
-            app.instance, self.knowledge, events, app.channels, ran
+            app.instance, self.knowledge, events, app.channels, running_time
         )
         began = app.now()
         allowances = Allowances(
@@ -108,7 +108,7 @@
             allowances,
         )
         limits = self._engines.server_limits
-        self._relays = Relays(
+        self._context = RelayContext(
             self.knowledge,
             self._engines,
             platform.dialect,
@@ -117,7 +117,7 @@
             app.rng,
             app.now,
             self._new_budget,
-            self._standstills.ran,
+            self._stall_monitor.running_time,
             self._engines.quarantine,
             self._quotas,
             limits,
@@ -127,15 +127,15 @@
             app, platform.kv, self._engines.quarantine, events
         )
         own_pages = pages(platform.dialect.ready_path, self.is_ready)
-        self._front = Front(
-            self._relays, own_pages, self.is_ready, lambda: self._leaving
+        self._front = HttpFront(
+            self._context, own_pages, self.is_ready, lambda: self._leaving
         )
         self._overload = Overload()
-        self._standstills.on_tick(self._ticked)
-        protocol = bounded_protocol(
+        self._stall_monitor.on_tick(self._ticked)
+        protocol = limited_protocol(
             self._limits, self._head_refused, lambda: self._leaving
         )
-        for_callers = bounded_protocol(
+        for_callers = limited_protocol(
             self._limits,
             self._head_refused,
             lambda: self._leaving,
@@ -160,13 +160,13 @@
         """Bind the ports and serve; calls are refused until a configuration is
         known."""
         app = self._app
-        self._standstills.start()
+        self._stall_monitor.start()
         watcher = StoreWatcher(
             self._platform.kv,
             self.knowledge,
             self._events,
             app.now,
-            self._standstills.ran_at,
+            self._stall_monitor.running_time_at,
             lambda: self._platform.bounds,
         )
         for prefix in self._platform.directory.prefixes:
@@ -179,7 +179,7 @@
         self._quotas.start(app.timers, app.now())
         self.knowledge.on_config(self._customers.configured)
         self._records.start()
-        app.timers.every("gateway sweep", SWEEP_S, app.now(), self._relays.sweep)
+        app.timers.every("gateway sweep", SWEEP_S, app.now(), self._context.sweep)
         app.timers.every("quota shares", SHARES_S, app.now(), self._show_shares)
         for peer in self._places.peers:
             stream = self._exchanger.keep_open(
@@ -195,7 +195,7 @@
         config = self.knowledge.config
         return config.limits if config is not None else CallLimits()
 
-    def _head_refused(self, why: HeadRefused) -> None:
+    def _head_refused(self, why: HeadRefusal) -> None:
         config = self.knowledge.config
         line = lines.Refused(
             request=None,
@@ -231,7 +231,7 @@
         if not any(True for _ in self.knowledge.fleet):
             return False
         # It would send on what the other entries have found to end engines.
-        return not self._relays.is_starting() or self._knows_quarantines()
+        return not self._context.is_starting() or self._knows_quarantines()
 
     def _knows_quarantines(self) -> bool:
         return self._records.known and self._engines.has_heard_collectors()
@@ -241,7 +241,7 @@
         app = self._app
         end = app.now() + seconds
         self._leaving = True
-        self._relays.stop_by = end - TELL_S
+        self._context.stop_deadline = end - TELL_S
         self._events.emit(lines.Stopping("entry", self._front.under_way))
         await asyncio.sleep(min(LAG_S, seconds / 2))
         await self._callers.close_listener()
@@ -278,15 +278,15 @@
         return (self._callers, self._balancer)
 
     def _add_levels(self, meters: Meters) -> None:
-        front, relays, engines = self._front, self._relays, self._engines
+        front, context, engines = self._front, self._context, self._engines
         meters.level("calls_under_way", "Calls taken in", lambda: front.under_way)
         meters.level(
             "second_attempts_left",
             "Second attempts that the tightest budget of a service allows now",
-            relays.least_budget,
+            context.least_budget,
         )
         meters.level(
-            "backend_connections", "Connections to backend servers", relays.open_count
+            "backend_connections", "Connections to backend servers", context.open_count
         )
         meters.level(
             "entries_known", "Entries heard", lambda: len(engines.plans.entries)
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -16,7 +16,7 @@
 
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller.gateway.knowledge import Knowledge
-from bambootiller.gateway.silence import Ran, SilenceWatch
+from bambootiller.gateway.silence import RunningClock, SilenceDetector
 from bambootiller.rpc import bambootiller_pb2 as pb, bambootiller_pb2_grpc as api
 from bambootiller.rpc.channels import Channels
 from bambootiller_core.gateway.log_lines import PeerHeard, PeerSilent
@@ -213,9 +213,11 @@
 
     awaited = True
 
-    def __init__(self, call: grpc.aio.StreamStreamCall, ran: Ran) -> None:
+    def __init__(
+        self, call: grpc.aio.StreamStreamCall, running_time: RunningClock
+    ) -> None:
         self._call = call
-        self.heard_at = ran()
+        self.heard_at = running_time()
         self.silent = False
 
     def note_silence(self, seconds: float) -> None:
@@ -233,10 +235,10 @@
         knowledge: Knowledge,
         events: EventLog,
         channels: Channels,
-        ran: Ran,
+        running_time: RunningClock,
     ) -> None:
         self._name = name
-        self._ran = ran
+        self._running_time = running_time
         self._knowledge = knowledge
         self._events = events
         self._channels = channels
@@ -336,15 +338,15 @@
         self._outgoing.add(outgoing)
         self._kept[address] = outgoing
         call = self._channels.residency(address).Exchange(outgoing.updates())
-        peer = _Peer(call, self._ran)
-        watch = SilenceWatch(peer, SILENT_S, self._ran)
+        peer = _Peer(call, self._running_time)
+        watch = SilenceDetector(peer, SILENT_S, self._running_time)
         heard = False
         try:
             while True:
                 update = await call.read()
                 if update is grpc.aio.EOF:
                     return heard
-                peer.heard_at = self._ran()
+                peer.heard_at = self._running_time()
                 if not heard:
                     heard = True
                     self._events.emit(PeerHeard(address))
--- a/packages/bambootiller/src/bambootiller/gateway/elsewhere.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -6,13 +6,13 @@
 import enum
 from dataclasses import dataclass
 
-from bambootiller.gateway.connections import BackendConnection, ConnectionLost
-from bambootiller.gateway.placing import Placing
-from bambootiller.gateway.pools import CannotConnect
+from bambootiller.gateway.attempt_sender import Attempt, AttemptSender
+from bambootiller.gateway.backend_connection import BackendConnection, ConnectionLost
+from bambootiller.gateway.connection_pool import CannotConnect
+from bambootiller.gateway.placement import Placement
 from bambootiller.gateway.ports import AnswerHead
-from bambootiller.gateway.relays import Relays
+from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.reporting import CallReport
-from bambootiller.gateway.sending import Attempt, Sender
 from bambootiller.gateway.silence import LEAST_WAIT_S
 from bambootiller_core.gateway import attempts
 from bambootiller_core.gateway.attempts import Ended, SendAgain
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Prepared:
+class FailoverTarget:
     """A backend server that takes the call over, and a connection to it. The second
     attempt is paid for; ``attempt`` is set if it has gone out already."""
 
@@ -40,7 +40,7 @@
     attempt: Attempt | None = None
 
 
-class Stays(enum.Enum):
+class StayReason(enum.Enum):
     """Why a call stays with its silent backend server; see
     :class:`bambootiller_core.gateway.log_lines.SilenceBorne`."""
 
@@ -54,7 +54,7 @@
     FAILED = "failed"
 
 
-class Elsewhere:
+class Failover:
     """Prepares the move of one call.
 
     Silence proves nothing. So the attempt that runs is given up only once everything
@@ -67,58 +67,60 @@
 
     Example::
 
-        elsewhere = Elsewhere(relays, call, progress, placing, sender, report)
+        elsewhere = Failover(relays, call, progress, placing, sender, report)
         found = await elsewhere.prepare(attempt, "silent for 0.70 s")
-        if isinstance(found, Stays): ...
+        if isinstance(found, StayReason): ...
     """
 
     def __init__(
         self,
-        relays: Relays,
+        context: RelayContext,
         call: Call,
         progress: Progress,
-        placing: Placing,
-        sender: Sender,
+        placement: Placement,
+        sender: AttemptSender,
         report: CallReport,
     ) -> None:
-        self._relays = relays
+        self._context = context
         self._call = call
         self._progress = progress
-        self._placing = placing
+        self._placement = placement
         self._sender = sender
         self._report = report
 
-    async def prepare(self, silent: Attempt, detail: str) -> Prepared | Stays:
+    async def prepare(
+        self, silent: Attempt, detail: str
+    ) -> FailoverTarget | StayReason:
         """Where the call goes next, or why it stays with the ``silent`` attempt."""
         heard = silent.conn.arrivals
         while True:
             prepared = await self._connected(silent.conn, heard)
-            if isinstance(prepared, Stays):
+            if isinstance(prepared, StayReason):
                 return prepared
             hindrance = self._hindrance(silent.conn, heard)
             if hindrance is not None:
                 self.give_back(prepared)
                 return hindrance
-            if self._relays.quarantine.suspects(self._call):
+            if self._context.quarantine.suspects(self._call):
                 return prepared
             found = await self._sent(prepared, silent.conn, heard)
-            if found not in (Stays.REFUSED, Stays.FAILED):
+            if found not in (StayReason.REFUSED, StayReason.FAILED):
                 return found
             told = f"{detail}; then sent to {prepared.backend.instance}"
             self._report.silence_borne(silent.backend, told, found.value)
 
-    def _hindrance(self, silent: BackendConnection, heard: int) -> Stays | None:
+    def _hindrance(self, silent: BackendConnection, heard: int) -> StayReason | None:
         """Why the call isn't sent, though a connection is up; pays for it if it is."""
         if silent.has_news(heard):
-            return Stays.SPOKE
-        if not self._relays.quarantine.admits(self._call):
-            return Stays.KEPT_APART
-        budget = self._relays.service(self._call.service).budget
-        return None if budget.take(self._relays.clock()) else Stays.BUDGET
+            return StayReason.SPOKE
+        if not self._context.quarantine.admits(self._call):
+            return StayReason.KEPT_APART
+        budget = self._context.service(self._call.service).budget
+        return None if budget.take(self._context.clock()) else StayReason.BUDGET
 
     async def _sent(
-        self, prepared: Prepared, silent: BackendConnection, heard: int
-    ) -> Prepared | Stays:
+        self, prepared: FailoverTarget, silent: BackendConnection, heard: int
+    ) -> FailoverTarget | StayReason:
         """Send the call, and see whether it is refused there; the silent one goes on
         meanwhile."""
         attempt = self._sender.send(prepared.backend, prepared.conn)
@@ -130,30 +132,30 @@
                 goes_on = not spoke
             elif self._sender.is_refusal(attempt, found):
                 answered = True
-                return Stays.REFUSED
+                return StayReason.REFUSED
             else:
                 goes_on = True
         except ConnectionLost as exc:
             self._sender.lost(attempt, exc)
-            return Stays.FAILED
+            return StayReason.FAILED
         finally:
             if not goes_on:
                 attempt.end(answered)
         if not goes_on:
-            return Stays.SPOKE
-        return Prepared(prepared.backend, prepared.conn, attempt)
+            return StayReason.SPOKE
+        return FailoverTarget(prepared.backend, prepared.conn, attempt)
 
     async def _head_or_news(
         self, attempt: Attempt, silent: BackendConnection, heard: int
     ) -> AnswerHead | None:
         """The head of the answer, unless the time for it ends or the silent one speaks
         first. The head stays with the connection."""
-        ran, clock = self._relays.ran, self._relays.clock
+        running_time, clock = self._context.running_time, self._context.clock
         end, latest = attempt.sent_at + REFUSES_S, clock() + LEFT_BY_S
         reading = asyncio.ensure_future(attempt.conn.head(self._sender.is_stray))
         try:
             while not reading.done() and not silent.has_news(heard):
-                left_s = min(end - ran(), latest - clock())
+                left_s = min(end - running_time(), latest - clock())
                 if left_s <= 0:
                     break
                 wait_s = max(LEAST_WAIT_S, min(NEWS_S, left_s))
@@ -166,18 +168,18 @@
 
     async def _connected(
         self, silent: BackendConnection, heard: int
-    ) -> Prepared | Stays:
+    ) -> FailoverTarget | StayReason:
         """A connection to the first of the others that takes one."""
         failed = False
         while True:
             backend = self._backend()
-            if isinstance(backend, Stays):
-                return Stays.NO_CONNECTION if failed else backend
+            if isinstance(backend, StayReason):
+                return StayReason.NO_CONNECTION if failed else backend
             conn = await self._connect_unless_news(backend, silent, heard)
             if conn is not None:
-                return Prepared(backend, conn)
+                return FailoverTarget(backend, conn)
             if silent.has_news(heard):
-                return Stays.SPOKE
+                return StayReason.SPOKE
             failed = True
 
     async def _connect_unless_news(
@@ -206,38 +208,38 @@
         if connecting.cancelled() or connecting.exception() is not None:
             return
         if connecting.result() is not None:
-            self.give_back(Prepared(backend, connecting.result()))
+            self.give_back(FailoverTarget(backend, connecting.result()))
 
-    def give_back(self, prepared: Prepared) -> None:
+    def give_back(self, prepared: FailoverTarget) -> None:
         """The call doesn't go there."""
         if prepared.attempt is not None:
             prepared.attempt.end(answered=False)
             return
-        pool = self._relays.pool(prepared.backend)
-        pool.unused(prepared.conn, self._relays.clock())
+        pool = self._context.pool(prepared.backend)
+        pool.unused(prepared.conn, self._context.clock())
 
-    def _backend(self) -> Backend | Stays:
-        now = self._relays.clock()
+    def _backend(self) -> Backend | StayReason:
+        now = self._context.clock()
         ended = Ended.BROKEN if self._progress.passed_on else Ended.UNKNOWN
         decision = attempts.after(self._call, self._progress, ended, now)
         if not isinstance(decision, SendAgain):
-            return Stays.ATTEMPTS
-        if not self._relays.quarantine.admits(self._call):
-            return Stays.KEPT_APART
-        service = self._relays.service(self._call.service)
+            return StayReason.ATTEMPTS
+        if not self._context.quarantine.admits(self._call):
+            return StayReason.KEPT_APART
+        service = self._context.service(self._call.service)
         if service.budget.left(now) < 1.0:
-            return Stays.BUDGET
-        backend = self._placing.another()
+            return StayReason.BUDGET
+        backend = self._placement.another()
         if backend is None or service.health.avoided(now, backend.incarnation):
-            return Stays.NO_PLACE
+            return StayReason.NO_PLACE
         return backend
 
     async def _connect(self, backend: Backend) -> BackendConnection | None:
-        now = self._relays.clock()
+        now = self._context.clock()
         try:
-            pool = self._relays.pool(backend)
+            pool = self._context.pool(backend)
             return await pool.acquire(now, self._call.deadline - now)
         except CannotConnect as exc:
-            self._relays.unreached(self._call.service, backend)
+            self._context.unreached(self._call.service, backend)
             self._report.cannot_connect(backend, str(exc))
             return None
--- a/packages/bambootiller/src/bambootiller/gateway/front.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_front.py
@@ -15,8 +15,8 @@
 import falcon.asgi
 
 from bambootiller.gateway.ports import Incoming, Unreadable
-from bambootiller.gateway.relay import AnswerCut, Relay
-from bambootiller.gateway.relays import Relays
+from bambootiller.gateway.relay import AnswerTruncated, Relay
+from bambootiller.gateway.relay_context import RelayContext
 from bambootiller_core.gateway.attempts import COME_BACK_S, Reason, Refusal
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.config import GatewayConfig, Route
@@ -44,7 +44,7 @@
     """The body is larger than the configuration allows."""
 
 
-class Front:
+class HttpFront:
     """Takes calls in, one coroutine each.
 
     ``is_leaving`` has answers ask the caller to close its connection, so that none of
@@ -53,12 +53,12 @@
 
     def __init__(
         self,
-        relays: Relays,
+        context: RelayContext,
         pages: falcon.asgi.App,
         is_ready: Callable[[], bool],
         is_leaving: Callable[[], bool],
     ) -> None:
-        self._relays = relays
+        self._context = context
         self._pages = pages
         self._is_ready = is_ready
         self._is_leaving = is_leaving
@@ -74,7 +74,7 @@
         """Serve one request."""
         if scope["type"] != "http":
             return
-        if scope["path"] == self._relays.dialect.ready_path:
+        if scope["path"] == self._context.dialect.ready_path:
             await self._pages(scope, receive, send)
             return
         self.under_way += 1
@@ -84,7 +84,7 @@
             await self._serve(scope, receive, send)
         except CallerGone:
             return
-        except AnswerCut:
+        except AnswerTruncated:
             # Without the closing event the server cuts the connection, the one way in
             # HTTP/1.1 to tell a caller that a body isn't whole.
             return
@@ -94,10 +94,10 @@
                 self.idle.set()
 
     async def _serve(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        relays = self._relays
-        arrived = relays.clock()
-        incoming = relays.dialect.read(scope)
-        config = relays.knowledge.config
+        context = self._context
+        arrived = context.clock()
+        incoming = context.dialect.read(scope)
+        config = context.knowledge.config
         if config is None:
             refusal = Refusal(Reason.NO_CONFIGURATION, COME_BACK_S)
             await self._refuse(send, incoming, refusal, arrived)
@@ -113,7 +113,7 @@
             await self._refuse(send, incoming, refusal, arrived)
             return
         # Read anew: a configuration may have come into force while the body came.
-        config = relays.knowledge.config
+        config = context.knowledge.config
         call = self._call(config, incoming, arrived, body)
         if isinstance(call, Refusal):
             await self._refuse(send, incoming, call, arrived)
@@ -123,7 +123,7 @@
             await self._refuse(send, incoming, refusal, arrived, call)
             return
         closing = self._closing(send)
-        relay = Relay(relays, incoming, call, body, closing)
+        relay = Relay(context, incoming, call, body, closing)
         refusal = await self._run(relay, call, receive)
         if refusal is not None:
             await self._refuse(send, incoming, refusal, arrived, call)
@@ -156,8 +156,11 @@
         Callers reuse kept connections for seconds after the balancer has stopped
         sending new ones; a stream taken then would be cut at the end of the stop.
         """
-        stop_by = self._relays.stop_by
-        return stop_by is not None and self._relays.clock() > stop_by - LAST_CALLS_S
+        stop_deadline = self._context.stop_deadline
+        return (
+            stop_deadline is not None
+            and self._context.clock() > stop_deadline - LAST_CALLS_S
+        )
 
     def _call(
         self, config: GatewayConfig, incoming: Incoming, arrived: float, body: bytes
@@ -169,7 +172,7 @@
         customer = customers.holder(incoming.key) if customers is not None else None
         if customers is not None and customer is None and not route.public:
             return Refusal(Reason.UNKNOWN_KEY)
-        service = route.pick_service(self._relays.rng.random())
+        service = route.pick_service(self._context.rng.random())
         if service is None:
             return Refusal(Reason.NO_BACKEND, COME_BACK_S)
         spec = config.services.get(service)
@@ -208,9 +211,9 @@
         arrived: float,
         call: Call | None = None,
     ) -> None:
-        relays = self._relays
+        context = self._context
         known = incoming if isinstance(incoming, Incoming) else None
-        config = relays.knowledge.config
+        config = context.knowledge.config
         line = Refused(
             request=known.request_id if known else None,
             route=call.route.name if call else None,
@@ -220,7 +223,7 @@
             reason=refusal.reason.value,
             status=refusal.status,
             come_back_s=refusal.come_back_s,
-            held_ms=round((relays.clock() - arrived) * 1000),
+            held_ms=round((context.clock() - arrived) * 1000),
             detail=refusal.detail,
             config_version=config.version if config else None,
             plan=refusal.plan,
@@ -230,9 +233,9 @@
             cost=call.cost or None if call else None,
             quota=refusal.quota,
         )
-        relays.events.emit(line)
+        context.events.emit(line)
         body = refusal.reason.value.encode()
-        headers = relays.dialect.refused(known, refusal.come_back_s)
+        headers = context.dialect.refused(known, refusal.come_back_s)
         if refusal.reason is Reason.UNKNOWN_KEY:
             headers.append((b"www-authenticate", b"Bearer"))
         headers.append((b"content-length", b"%d" % len(body)))
--- a/packages/bambootiller/src/bambootiller/gateway/bounded.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_limits.py
@@ -6,7 +6,7 @@
 
 Example::
 
-    protocol = bounded_protocol(lambda: config.limits, log_refusal, lambda: leaving)
+    protocol = limited_protocol(lambda: config.limits, log_refusal, lambda: leaving)
     server = HttpServer(app, address, protocol)
 """
 
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeadRefused:
+class HeadRefusal:
     """Why a head wasn't read to its end, and what its sender was answered."""
 
     reason: str
@@ -37,13 +37,13 @@
     phrase: str
 
 
-TOO_LARGE = HeadRefused("head_too_large", 431, "Request Header Fields Too Large")
-TOO_SLOW = HeadRefused("head_too_slow", 408, "Request Timeout")
+TOO_LARGE = HeadRefusal("head_too_large", 431, "Request Header Fields Too Large")
+TOO_SLOW = HeadRefusal("head_too_slow", 408, "Request Timeout")
 
-Refused = Callable[[HeadRefused], None]
+Refused = Callable[[HeadRefusal], None]
 
 
-def bounded_protocol(
+def limited_protocol(
     limits: Callable[[], CallLimits],
     refused: Refused,
     leaving: Callable[[], bool],
@@ -54,16 +54,16 @@
     connection is closed with the answer on it; one for which ``turns_away`` holds when
     it comes is closed unread."""
 
-    class BoundedProtocol(_BoundedProtocol):
+    class LimitedProtocol(_LimitedProtocol):
         get_limits = staticmethod(limits)
         on_refused = staticmethod(refused)
         is_leaving = staticmethod(leaving)
         closes_unread = staticmethod(turns_away)
 
-    return BoundedProtocol
+    return LimitedProtocol
 
 
-class _BoundedProtocol(HttpToolsProtocol):
+class _LimitedProtocol(HttpToolsProtocol):
     """One connection of a caller."""
 
     get_limits: Callable[[], CallLimits]
@@ -159,7 +159,7 @@
         else:
             self.transport.close()
 
-    def _refuse(self, why: HeadRefused) -> None:
+    def _refuse(self, why: HeadRefusal) -> None:
         """Answer with a status that promises that nothing has run, and close."""
         if self._refused:
             return
--- a/packages/bambootiller/src/bambootiller/gateway/knowledge.py
+++ b/packages/bambootiller/src/bambootiller/gateway/knowledge.py
@@ -14,7 +14,7 @@
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller.gateway.ports import Bounds, Directory, Unreadable
 from bambootiller.gateway.registry_faults import MOST_DETAIL, RegistryFaults
-from bambootiller.gateway.standstills import OwnTime
+from bambootiller.gateway.stall_monitor import StallCheck
 from bambootiller_core.gateway import log_lines as lines
 from bambootiller_core.gateway.config import GatewayConfig, newer
 from bambootiller_core.gateway.fleet import (
@@ -53,10 +53,10 @@
         directory: Directory,
         events: EventLog,
         clock: Callable[[], float],
-        ran: Callable[[float], float] | None = None,
+        running_time: Callable[[float], float] | None = None,
     ) -> None:
         self.config: GatewayConfig | None = None
-        self.fleet = Fleet(ran) if ran is not None else Fleet()
+        self.fleet = Fleet(running_time) if running_time is not None else Fleet()
         self.changed = Changes()
         #: The pause between two reads of the registry, here as elsewhere. Seconds.
         self.gather_s = GATHER_SHARE * Bounds().leaving_s
@@ -321,7 +321,7 @@
         knowledge: Knowledge,
         events: EventLog,
         clock: Callable[[], float],
-        ran: Callable[[float], float] = lambda now: now,
+        running_time: Callable[[float], float] = lambda now: now,
         bounds: Callable[[], Bounds] = Bounds,
     ) -> None:
         self._bounds = bounds
@@ -329,7 +329,7 @@
         self._knowledge = knowledge
         self._events = events
         self._clock = clock
-        self._own = OwnTime(clock, ran)
+        self._own = StallCheck(clock, running_time)
         self._away: dict[str, float] = {}
         self._returned_at = float("-inf")
 
@@ -346,7 +346,7 @@
             began = self._own.now()
             found = await self._kv.get_prefix(prefix)
             if isinstance(found, Unavailable):
-                if self._own.is_doubtful(began):
+                if self._own.was_stalled(began):
                     continue
                 self._lost(prefix, found.detail)
                 await asyncio.sleep(pause)
@@ -367,7 +367,7 @@
                 # After an absence, entries that vanish count as lapsed for a while. A
                 # standstill of this process isn't one: backend servers that left
                 # would be given calls all that time.
-                if not self._own.is_doubtful(began):
+                if not self._own.was_stalled(began):
                     self._lost(prefix, batch.detail)
                 return
             for change in batch:
--- a/packages/bambootiller/src/bambootiller/gateway/placing.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from bambootiller.gateway.relays import Relays
+from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.server_admission import Permit, Room
 from bambootiller_core.gateway import attempts, selection
 from bambootiller_core.gateway.attempts import Reason, Refusal
@@ -29,20 +29,20 @@
 ADAPTER_S = 0.4
 
 
-class Placing:
+class Placement:
     """The choice of backend servers for one call.
 
     Example::
 
-        backend = await Placing(relays, call, progress).place()
+        backend = await Placement(relays, call, progress).place()
         if isinstance(backend, Refusal): ...
     """
 
-    def __init__(self, relays: Relays, call: Call, progress: Progress) -> None:
-        self._relays = relays
+    def __init__(self, context: RelayContext, call: Call, progress: Progress) -> None:
+        self._context = context
         self._call = call
         self._progress = progress
-        self._health = relays.service(call.service).health
+        self._health = context.service(call.service).health
         #: How many backend servers the last choice was made from.
         self.candidates = 0
         self._weight = 1.0
@@ -55,11 +55,11 @@
 
     def ask(self) -> None:
         """Count the call in the demand for its model."""
-        now, service = self._relays.clock(), self._call.service
-        state = self._relays.service(service)
+        now, service = self._context.clock(), self._call.service
+        state = self._context.service(service)
         self._weight = state.levels.weigh(now, level_of(self._call))
         state.returning.asked(self._call)
-        demand = self._relays.engines.plans.demand(service)
+        demand = self._context.engines.plans.demand(service)
         demand.asked(now, self._call.ask.model, self._weight)
 
     async def place(self) -> Backend | Refusal:
@@ -91,7 +91,7 @@
         return await self._engine_place()
 
     async def _permitted(self, backend: Backend) -> bool:
-        admission = self._relays.server_admission
+        admission = self._context.server_admission
         if not admission.is_limited(backend):
             return True
         if backend.instance not in self._asked_at:
@@ -106,12 +106,12 @@
         None that names a limit: the call would wait for a permit while its own is
         silent.
         """
-        ask, now = self._call.ask, self._relays.clock()
+        ask, now = self._call.ask, self._context.clock()
         able = [
             backend
             for backend in self.untried()
             if (ask is None or backend.serves(now, ask.model, ask.adapter))
-            and not self._relays.server_admission.is_limited(backend)
+            and not self._context.server_admission.is_limited(backend)
         ]
         return self._choose(able)
 
@@ -124,25 +124,25 @@
         ]
 
     def _in_service(self) -> list[Backend]:
-        fleet, now = self._relays.knowledge.fleet, self._relays.clock()
+        fleet, now = self._context.knowledge.fleet, self._context.clock()
         backends = fleet.of_service(self._call.service)
         return [backend for backend in backends if not backend.lost(now)]
 
     def _choose(self, candidates: list[Backend]) -> Backend | None:
-        relays = self._relays
+        context = self._context
         open_ones = [
             backend
             for backend in candidates
-            if not relays.server_admission.is_closed(backend)
+            if not context.server_admission.is_closed(backend)
         ]
         self.candidates = len(open_ones)
         return selection.choose(
-            relays.clock(),
+            context.clock(),
             self._call,
             open_ones,
             self._health,
-            relays.zone,
-            relays.rng,
+            context.zone,
+            context.rng,
         )
 
     async def _plain_place(self) -> Backend | Refusal:
@@ -158,18 +158,18 @@
     def _none_free(self, candidates: list[Backend]) -> Refusal | None:
         """Why none of the backend servers takes the call, or None to wait for room
         under the limit that one of them names."""
-        now = self._relays.clock()
+        now = self._context.clock()
         free = [
             backend for backend in candidates if not selection.is_full(backend, now)
         ]
-        room = self._relays.server_admission.room(free)
+        room = self._context.server_admission.room(free)
         if room is None:
             return Refusal(Reason.OVERLOADED, attempts.COME_BACK_S)
         due = min(self._call.next_event_due(self._progress), self._call.deadline)
         begins = self._awaited is None and now + room.in_s < due - FIRST_EVENT_S
         if begins and room.known:
             self._awaited = room
-            self._relays.server_admission.begin_waiting(room)
+            self._context.server_admission.begin_waiting(room)
         if self._awaited is not None and room.known and now < due - FIRST_EVENT_S:
             return None
         detail = f"{room.instance} has room in {room.in_s:.2f} s"
@@ -178,14 +178,14 @@
     def _wait_no_more(self) -> None:
         room, self._awaited = self._awaited, None
         if room is not None:
-            self._relays.server_admission.end_waiting(room)
+            self._context.server_admission.end_waiting(room)
 
     async def _engine_place(self) -> Backend | Refusal:
         """An engine that holds the model and the adapter, waiting for one if need
         be."""
-        relays, ask = self._relays, self._call.ask
-        demand = relays.engines.plans.demand(self._call.service)
-        began = relays.clock()
+        context, ask = self._context, self._call.ask
+        demand = context.engines.plans.demand(self._call.service)
+        began = context.clock()
         due = self._call.arrived + self._call.route.target_s - FIRST_EVENT_S
         demand.begin_waiting(began, ask.model, self._weight, due)
         found = None
@@ -193,7 +193,7 @@
             while found is None:
                 found = self._engine_now(began)
                 if found is None:
-                    await relays.knowledge.changed.wait(LOOK_AGAIN_S)
+                    await context.knowledge.changed.wait(LOOK_AGAIN_S)
             return found
         finally:
             demand.end_waiting(began, ask.model, self._weight, due)
@@ -202,7 +202,7 @@
 
     def _engine_now(self, began: float) -> Backend | Refusal | None:
         """An engine, a refusal, or None to wait."""
-        ask, now = self._call.ask, self._relays.clock()
+        ask, now = self._call.ask, self._context.clock()
         untried = self.untried()
         holders = [backend for backend in untried if backend.serves(now, ask.model)]
         if not holders and self._progress.may_have_run:
@@ -244,13 +244,13 @@
         able = [backend for backend in able if _free_in(backend) <= soonest + ADAPTER_S]
         able.sort(key=lambda backend: -selection.home_weight(ask, backend.instance))
         turn = int((now - began) / ADAPTER_S) % len(able)
-        self._relays.engines.wish(able[turn], Wish(ask.model, ask.adapter))
+        self._context.engines.wish(able[turn], Wish(ask.model, ask.adapter))
         return None
 
     def _refuse_cold(self, now: float, come_back_s: float) -> Refusal:
         """The adapter is to be there when the caller is back: the engine may begin the
         next long load as soon as this one ends."""
-        due = self._relays.engines.plans.due_adapters(self._call.service)
+        due = self._context.engines.plans.due_adapters(self._call.service)
         due.refused(now, self._call.ask, come_back_s)
         return Refusal(Reason.COLD, come_back_s)
 
@@ -258,13 +258,13 @@
         if self._missed_adapter:
             return
         self._missed_adapter = True
-        demand = self._relays.engines.plans.demand(self._call.service)
+        demand = self._context.engines.plans.demand(self._call.service)
         demand.adapter_missed(now, self._call.ask.model, self._weight)
 
     def _await_model(self, now: float, untried: list[Backend]) -> Refusal | None:
         call, ask = self._call, self._call.ask
-        engines = self._relays.engines
-        admission = self._relays.quarantine.load_admission(ask.model)
+        engines = self._context.engines
+        admission = self._context.quarantine.load_admission(ask.model)
         if admission.standing is Standing.QUARANTINED:
             return Refusal(Reason.COLD, admission.again_s, "its load ends engines")
         planned = engines.plans.plan_for(call.service, ask.model)
@@ -272,17 +272,17 @@
             min(self._call.next_event_due(self._progress), call.deadline)
             - FIRST_EVENT_S
         )
-        if self._relays.stop_by is not None:
-            due = min(due, self._relays.stop_by - STREAM_S)
+        if self._context.stop_deadline is not None:
+            due = min(due, self._context.stop_deadline - STREAM_S)
         ready_in = planned.ready_in_s if planned is not None else None
         if ready_in is not None and now + ready_in < due:
             return None
-        if ready_in is None and self._relays.is_starting() and now < due:
+        if ready_in is None and self._context.is_starting() and now < due:
             return None
         come_back = UNPLANNED_S if ready_in is None else ready_in
         detail = "no engine can load it" if ready_in is None else ""
         come_back = max(come_back, attempts.COME_BACK_S)
-        returning = self._relays.service(call.service).returning
+        returning = self._context.service(call.service).returning
         back_in_s = returning.expected_in_s(call, now, come_back)
         demand = engines.plans.demand(call.service)
         demand.refused(now, ask.model, come_back, self._weight, back_in_s)
@@ -292,7 +292,7 @@
 
     def _plan_seen(self, now: float, planned: PlannedLoad | None) -> PlanSeen:
         call = self._call
-        plans = self._relays.engines.plans
+        plans = self._context.engines.plans
         want = plans.wanted(call.service, call.ask.model)
         copies = plans.copies_seen(call.service, call.ask.model)
         store_loads = plans.store_loads_under_way(call.service)
@@ -306,7 +306,7 @@
                 unserved=round(want.unserved, 1),
                 unserved_s=round(want.unserved_s, 1),
             )
-        backend = self._relays.knowledge.fleet.get(planned.instance)
+        backend = self._context.knowledge.fleet.get(planned.instance)
         age_s = None if backend is None else backend.unheard_s(now)
         return PlanSeen(
             ready_in_s=round(planned.ready_in_s, 2),
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -68,7 +68,7 @@
     headers: tuple[Header, ...]
 
 
-class Verdict(enum.Enum):
+class AnswerKind(enum.Enum):
     """What an answer is worth.
 
     ``ANSWER``: the backend server's own answer to this call. ``NOT_RUN``: a promise
@@ -101,14 +101,14 @@
     def time_left(self, seconds: float) -> Header:
         """The header that tells a backend server how long it has."""
 
-    def judge(self, call: Call, head: AnswerHead) -> Verdict:
+    def classify(self, call: Call, head: AnswerHead) -> AnswerKind:
         """What an answer with this head is worth."""
 
     def limit(self, head: AnswerHead) -> float | Unreadable | None:
         """The calls a second that the backend server takes from all instances together,
         None if it names no limit."""
 
-    def returned(self, head: AnswerHead) -> list[Header]:
+    def response_headers(self, head: AnswerHead) -> list[Header]:
         """The headers of an answer that go to the caller."""
 
     def refused(self, incoming: Incoming | None, come_back_s: float | None):
@@ -132,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineSilent:
+class ReportFailed:
     """The engine's report couldn't be read, and why; ``gone`` if nothing listens at its
     port, so that no load goes on there."""
 
@@ -143,7 +143,7 @@
 class Engine(Protocol):
     """The engine beside an agent."""
 
-    async def report(self) -> EngineReport | EngineSilent:
+    async def report(self) -> EngineReport | ReportFailed:
         """What it holds and how busy it is."""
 
     async def order(self, order: EngineOrder, instance: str, token: int) -> OrderAnswer:
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -7,17 +7,17 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from bambootiller.gateway.connections import BackendConnection, ConnectionLost
-from bambootiller.gateway.elsewhere import Elsewhere, Prepared, Stays
-from bambootiller.gateway.keeping_apart import KeepingApart
-from bambootiller.gateway.placing import LOOK_AGAIN_S, Placing
-from bambootiller.gateway.pools import CannotConnect, PoolExhausted
+from bambootiller.gateway.attempt_sender import Attempt, AttemptSender
+from bambootiller.gateway.backend_connection import BackendConnection, ConnectionLost
+from bambootiller.gateway.connection_pool import CannotConnect, PoolExhausted
+from bambootiller.gateway.crash_isolation import CrashIsolation
+from bambootiller.gateway.failover import Failover, FailoverTarget, StayReason
+from bambootiller.gateway.placement import LOOK_AGAIN_S, Placement
 from bambootiller.gateway.ports import AnswerHead, Incoming
 from bambootiller.gateway.quotas import Admission
-from bambootiller.gateway.relays import Relays
+from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.reporting import CallReport
-from bambootiller.gateway.sending import Attempt, Sender
-from bambootiller.gateway.silence import SilenceWatch, Silent
+from bambootiller.gateway.silence import SilenceDetector, SilenceTimeout
 from bambootiller_core.gateway import attempts
 from bambootiller_core.gateway.attempts import (
     CutOff,
@@ -51,7 +51,7 @@
 REFUSAL_S = 0.2
 
 
-class AnswerCut(Exception):
+class AnswerTruncated(Exception):
     """An answer that has begun can't be finished; the connection is to be cut."""
 
 
@@ -64,30 +64,39 @@
     """
 
     def __init__(
-        self, relays: Relays, incoming: Incoming, call: Call, body: bytes, send: Send
+        self,
+        context: RelayContext,
+        incoming: Incoming,
+        call: Call,
+        body: bytes,
+        send: Send,
     ) -> None:
-        self._relays = relays
+        self._context = context
         self._call = call
         self._send = send
         self._progress = Progress()
-        self._service = relays.service(call.service)
-        self._placing = Placing(relays, call, self._progress)
-        self.report = CallReport(relays, call, self._progress)
-        self._sender = Sender(relays, incoming, call, body, self._progress, self.report)
-        self._elsewhere = Elsewhere(
-            relays, call, self._progress, self._placing, self._sender, self.report
+        self._service = context.service(call.service)
+        self._placement = Placement(context, call, self._progress)
+        self.report = CallReport(context, call, self._progress)
+        self._sender = AttemptSender(
+            context, incoming, call, body, self._progress, self.report
+        )
+        self._failover = Failover(
+            context, call, self._progress, self._placement, self._sender, self.report
+        )
+        self._crash_isolation = CrashIsolation(
+            context, call, self._progress, self.report
         )
-        self._keeping_apart = KeepingApart(relays, call, self._progress, self.report)
         #: Where the call goes on, found while its attempt before was still running.
-        self._prepared: Prepared | None = None
-        self._watch: SilenceWatch | None = None
+        self._prepared: FailoverTarget | None = None
+        self._watch: SilenceDetector | None = None
         self._admission: Admission | None = None
-        self._stayed: Stays | None = None
+        self._stayed: StayReason | None = None
 
     async def run(self) -> Refusal | None:
         """Serve the call; returns the gateway's own final answer if there is to be one.
 
-        Raises :class:`AnswerCut` if an answer that has begun can't be finished.
+        Raises :class:`AnswerTruncated` if an answer that has begun can't be finished.
         """
         call = self._call
         try:
@@ -97,37 +106,37 @@
             decision = attempts.give_up(self._progress, timed_out=True)
             return self._finish(decision, "timed out")
         finally:
-            self._placing.release()
+            self._placement.release()
             if self._prepared is not None:
-                self._elsewhere.give_back(self._prepared)
+                self._failover.give_back(self._prepared)
             if self._admission is not None:
                 self._admission.close(self._progress.may_have_run)
 
     async def _run(self) -> Refusal | None:
-        admission = await self._relays.quotas.admit(self._call)
+        admission = await self._context.quotas.admit(self._call)
         if isinstance(admission, Refusal):
             return admission
         self._admission = admission
-        self._service.budget.called(self._relays.clock())
+        self._service.budget.called(self._context.clock())
         if self._call.ask is not None:
-            self._placing.ask()
+            self._placement.ask()
         while True:
             sent = self._sent
-            kept_out = None if sent else await self._keeping_apart.wait()
+            kept_out = None if sent else await self._crash_isolation.wait()
             if kept_out is not None:
                 return self._unplaced(kept_out)
             prepared, self._prepared = self._prepared, None
-            found = prepared.backend if prepared else await self._placing.place()
+            found = prepared.backend if prepared else await self._placement.place()
             if not isinstance(found, Refusal) and not sent:
-                found = self._relays.key_refusal(self._call) or found
+                found = self._context.key_refusal(self._call) or found
             if isinstance(found, Refusal):
                 self._prepared = prepared
                 return self._unplaced(found)
-            if not sent and not self._relays.quarantine.admits(self._call):
+            if not sent and not self._context.quarantine.admits(self._call):
                 # Its request ended a backend server while the call was being placed.
                 self._prepared = prepared
                 continue
-            self.report.chosen(found, self._placing.candidates)
+            self.report.chosen(found, self._placement.candidates)
             ended = await self._attempt(found, prepared)
             if ended is None:
                 return None
@@ -152,7 +161,7 @@
         progress = self._progress
         if self._sent:
             return SendAgain(progress.passed_on, costs_budget=True)
-        decision = attempts.after(self._call, progress, ended, self._relays.clock())
+        decision = attempts.after(self._call, progress, ended, self._context.clock())
         if isinstance(decision, SendAgain) and not self._may_spend(decision):
             return attempts.give_up(progress)
         return decision
@@ -160,16 +169,16 @@
     def _may_spend(self, decision: SendAgain) -> bool:
         if not decision.costs_budget or self._prepared is not None:
             return True
-        return self._service.budget.take(self._relays.clock())
+        return self._service.budget.take(self._context.clock())
 
     def _finish(self, decision: Refusal | CutOff, why: str) -> Refusal:
         if isinstance(decision, CutOff):
             self.report.cut(why)
-            raise AnswerCut
+            raise AnswerTruncated
         return decision
 
     async def _attempt(
-        self, backend: Backend, prepared: Prepared | None
+        self, backend: Backend, prepared: FailoverTarget | None
     ) -> Ended | None:
         """Send the call to one backend server, unless it has gone out already; None if
         the answer was passed on whole."""
@@ -179,7 +188,7 @@
             if conn is None:
                 return Ended.NOT_SENT
             attempt = self._sender.send(backend, conn)
-            self._placing.sent()
+            self._placement.sent()
         answered = False
         try:
             ended = await self._exchange(attempt)
@@ -192,33 +201,33 @@
             # Its time is over, or its caller left, while an engine was gone silently.
             if backend.engine is not None and backend.engine.silent:
                 progressed = attempt.progressed
-                self._relays.quarantine.run_lost(self._call, backend, progressed)
+                self._context.quarantine.run_lost(self._call, backend, progressed)
             raise
         finally:
             attempt.end(answered)
 
     async def _connect(self, backend: Backend) -> BackendConnection | None:
-        relays, progress = self._relays, self._progress
-        now = relays.clock()
+        context, progress = self._context, self._progress
+        now = context.clock()
         try:
             # What took the answer of the attempt before took the kept connections too.
             again = backend.incarnation in progress.tried
-            pool = relays.pool(backend)
+            pool = context.pool(backend)
             return await pool.acquire(now, self._call.deadline - now, fresh=again)
         except CannotConnect as exc:
             if not isinstance(exc, PoolExhausted):
-                relays.unreached(self._call.service, backend)
+                context.unreached(self._call.service, backend)
             self.report.cannot_connect(backend, str(exc))
             progress.tried.append(backend.incarnation)
             return None
 
     async def _exchange(self, attempt: Attempt) -> Ended | None:
-        relays = self._relays
-        silence_s = self._silence_s(relays.clock())
+        context = self._context
+        silence_s = self._silence_s(context.clock())
         if silence_s is None:
             return await self._answer(attempt)
-        self._watch = SilenceWatch(attempt.conn, silence_s, relays.ran)
-        self._watch.look_again(silence_s - (relays.ran() - attempt.sent_at))
+        self._watch = SilenceDetector(attempt.conn, silence_s, context.running_time)
+        self._watch.look_again(silence_s - (context.running_time() - attempt.sent_at))
         try:
             return await self._answer(attempt)
         finally:
@@ -235,7 +244,7 @@
             return Ended.REFUSED
         await self._pass_on(attempt, head)
         if 200 <= head.status < 300:
-            self._relays.quarantine.completed(self._call)
+            self._context.quarantine.completed(self._call)
         self.report.answered(attempt.backend, head.status)
         return None
 
@@ -245,7 +254,7 @@
         while True:
             try:
                 return await read()
-            except Silent as exc:
+            except SilenceTimeout as exc:
                 if not await self._stays(attempt, str(exc)):
                     lost = attempt.conn.loss or ConnectionLost(str(exc), False, False)
                     raise lost from exc
@@ -253,17 +262,17 @@
     async def _stays(self, attempt: Attempt, detail: str) -> bool:
         """Whether the call stays with its silent backend server for now."""
         backend = attempt.backend
-        backend.unreached(self._relays.clock())
-        found = await self._elsewhere.prepare(attempt, detail)
-        if isinstance(found, Prepared):
+        backend.unreached(self._context.clock())
+        found = await self._failover.prepare(attempt, detail)
+        if isinstance(found, FailoverTarget):
             self._prepared = found
             return False
-        if found is not Stays.SPOKE and self._is_given_up(backend):
+        if found is not StayReason.SPOKE and self._is_given_up(backend):
             return False
         if found is not self._stayed:
             self._stayed = found
             self.report.silence_borne(backend, detail, found.value)
-        if found in (Stays.SPOKE, Stays.ATTEMPTS):
+        if found in (StayReason.SPOKE, StayReason.ATTEMPTS):
             self._watch.again()
         else:
             # A place, a connection or the budget may be there in a moment.
@@ -273,7 +282,7 @@
     def _is_given_up(self, backend: Backend) -> bool:
         """Whether nothing will come of waiting. An answer that has begun isn't given
         up for a belief: an agent that has ended says nothing of its engine."""
-        return not self._progress.passed_on and backend.lost(self._relays.clock())
+        return not self._progress.passed_on and backend.lost(self._context.clock())
 
     def _silence_s(self, now: float) -> float | None:
         """How long the backend server may be silent before the call goes elsewhere."""
@@ -301,7 +310,7 @@
                 await self._pass_large(attempt, head, b"".join(parts))
                 return
         self._judge(attempt, head)
-        self.report.part_passed_on(self._relays.clock())
+        self.report.part_passed_on(self._context.clock())
         await self._start(head)
         await self._send({"type": "http.response.body", "body": b"".join(parts)})
 
@@ -309,7 +318,7 @@
         self, attempt: Attempt, head: AnswerHead, data: bytes | None
     ) -> None:
         """Pass on an answer that is too large to be collected."""
-        self.report.part_passed_on(self._relays.clock())
+        self.report.part_passed_on(self._context.clock())
         await self._start(head)
         self._progress.passed_on = True
         try:
@@ -319,7 +328,7 @@
                 )
                 data = await self._next(attempt, attempt.conn.chunk)
         except asyncio.CancelledError:
-            if self._relays.clock() >= self._call.deadline:
+            if self._context.clock() >= self._call.deadline:
                 # Its body has no end.
                 self._sender.failed(attempt.backend)
             raise
@@ -327,13 +336,13 @@
         await self._send({"type": "http.response.body", "body": b""})
 
     def _judge(self, attempt: Attempt, head: AnswerHead) -> None:
-        backend, now = attempt.backend, self._relays.clock()
-        latency_s = self._relays.ran() - attempt.sent_at
+        backend, now = attempt.backend, self._context.clock()
+        latency_s = self._context.running_time() - attempt.sent_at
         if head.status >= 500:
             self._service.health.failed(now, backend.incarnation)
         else:
             self._service.health.succeeded(now, backend.incarnation, latency_s)
-        self._relays.review_health(self._call.service, backend.incarnation)
+        self._context.review_health(self._call.service, backend.incarnation)
 
     async def _pass_events(self, attempt: Attempt, head: AnswerHead) -> None:
         progress = self._progress
@@ -375,7 +384,7 @@
         # Noted only now: where one of them is out of order none is passed on, and the
         # caller still needs those before it.
         progress.last_event = newest
-        progress.passed_at = now = self._relays.clock()
+        progress.passed_at = now = self._context.clock()
         self.report.part_passed_on(now)
         if not progress.passed_on:
             await self._start(head)
@@ -390,7 +399,7 @@
             {
                 "type": "http.response.start",
                 "status": head.status,
-                "headers": self._relays.dialect.returned(head),
+                "headers": self._context.dialect.response_headers(head),
             }
         )
 
--- a/packages/bambootiller/src/bambootiller/gateway/relays.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -6,16 +6,16 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from bambootiller.gateway.connection_pool import ConnectionPool
 from bambootiller.gateway.engines import Engines
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller.gateway.knowledge import Knowledge
-from bambootiller.gateway.pools import ConnectionPool
 from bambootiller.gateway.ports import Dialect
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller.gateway.quotas import Quotas
 from bambootiller.gateway.server_admission import ServerAdmission
 from bambootiller.gateway.server_limits import ServerLimits
-from bambootiller.gateway.silence import Ran
+from bambootiller.gateway.silence import RunningClock
 from bambootiller_core.gateway.attempts import COME_BACK_S, Reason, Refusal
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.fleet import Backend
@@ -50,7 +50,7 @@
     returning: Returning = field(default_factory=Returning)
 
 
-class Relays:
+class RelayContext:
     """Shared by all calls of an entry: pools, budgets and judgements of health."""
 
     def __init__(
@@ -63,7 +63,7 @@
         rng: random.Random,
         clock: Callable[[], float],
         new_budget: Callable[[], AttemptBudget],
-        ran: Ran,
+        running_time: RunningClock,
         quarantine: Quarantine,
         quotas: Quotas,
         server_limits: ServerLimits,
@@ -80,11 +80,11 @@
         self.zone = zone
         self.rng = rng
         self.clock = clock
-        self.ran = ran
+        self.running_time = running_time
         self._new_budget = new_budget
         self.began = clock()
         #: When a planned stop cuts what still runs; None while none has begun.
-        self.stop_by: float | None = None
+        self.stop_deadline: float | None = None
         self._services: dict[str, ServiceState] = {}
         self._pools: dict[Incarnation, ConnectionPool] = {}
 
@@ -145,7 +145,7 @@
         found = self._pools.get(backend.incarnation)
         if found is None:
             most = self._most_connections(backend)
-            found = ConnectionPool(backend.registered.address, most, self.ran)
+            found = ConnectionPool(backend.registered.address, most, self.running_time)
             self._pools[backend.incarnation] = found
         return found
 
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bambootiller.gateway.relays import Relays
+from bambootiller.gateway.relay_context import RelayContext
 from bambootiller_core.gateway import log_lines as lines
 from bambootiller_core.gateway.attempts import Decision, Ended
 from bambootiller_core.gateway.calls import Call, Progress
@@ -20,8 +20,8 @@
         report.answered(backend, 200)
     """
 
-    def __init__(self, relays: Relays, call: Call, progress: Progress) -> None:
-        self._relays = relays
+    def __init__(self, context: RelayContext, call: Call, progress: Progress) -> None:
+        self._context = context
         self._call = call
         self._progress = progress
         self._chosen_on: lines.ChosenOn | None = None
@@ -32,8 +32,8 @@
 
     def chosen(self, backend: Backend, candidates: int) -> None:
         """A backend server was chosen; notes on what."""
-        now = self._relays.clock()
-        health = self._relays.service(self._call.service).health
+        now = self._context.clock()
+        health = self._context.service(self._call.service).health
         heard = backend.engine is not None
         self._chosen_at = now
         self._chosen_on = lines.ChosenOn(
@@ -56,7 +56,7 @@
 
     def answered(self, backend: Backend, status: int) -> None:
         """The answer was passed on whole."""
-        call, now = self._call, self._relays.clock()
+        call, now = self._call, self._context.clock()
         first_at = self._first_at if self._first_at is not None else now
         self._emit(
             lines.Answered(
@@ -85,8 +85,8 @@
     ) -> None:
         """An attempt ended without a whole answer, and ``then`` is done; ``sent`` if
         the next one has gone out already."""
-        call, progress, now = self._call, self._progress, self._relays.clock()
-        budget = self._relays.service(call.service).budget
+        call, progress, now = self._call, self._progress, self._context.clock()
+        budget = self._context.service(call.service).budget
         self._emit(
             lines.AttemptFailed(
                 request=call.request_id,
@@ -151,7 +151,7 @@
                 kind=call.route.kind.value,
                 model=_model(call),
                 last_event=self._progress.last_event,
-                held_ms=_ms(self._relays.clock() - call.arrived),
+                held_ms=_ms(self._context.clock() - call.arrived),
                 reason=reason,
                 adapter=_adapter(call),
                 customer=_customer(call),
@@ -170,7 +170,7 @@
                 kind=call.route.kind.value,
                 model=_model(call),
                 backend=progress.tried[-1].instance if progress.tried else None,
-                held_ms=_ms(self._relays.clock() - call.arrived),
+                held_ms=_ms(self._context.clock() - call.arrived),
                 attempts=progress.sends,
                 last_event=progress.last_event,
                 adapter=_adapter(call),
@@ -180,10 +180,10 @@
         )
 
     def _emit(self, line: lines.LogLine) -> None:
-        self._relays.events.emit(line)
+        self._context.events.emit(line)
 
     def _config_version(self) -> int:
-        config = self._relays.knowledge.config
+        config = self._context.knowledge.config
         return config.version if config is not None else 0
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/silence.py
+++ b/packages/bambootiller/src/bambootiller/gateway/silence.py
@@ -9,13 +9,13 @@
 T = TypeVar("T")
 #: Reads the running time of the process, in seconds; see
 #: :mod:`bambootiller_core.gateway.running`.
-Ran = Callable[[], float]
+RunningClock = Callable[[], float]
 #: A timer is set no closer than this, so that a wait that is all but over doesn't turn
 #: the loop over and over. Seconds.
 LEAST_WAIT_S = 0.005
 
 
-class Silent(Exception):
+class SilenceTimeout(Exception):
     """Nothing has come from a backend server for ``seconds`` of running time."""
 
     def __init__(self, seconds: float) -> None:
@@ -23,7 +23,7 @@
         self.seconds = seconds
 
 
-class Watched(Protocol):
+class WatchedConnection(Protocol):
     """A connection whose silence is watched."""
 
     #: The running time at which something came last.
@@ -34,10 +34,10 @@
         """Whether somebody waits for something to come."""
 
     def note_silence(self, seconds: float) -> None:
-        """Have whoever waits get :class:`Silent`."""
+        """Have whoever waits get :class:`SilenceTimeout`."""
 
 
-class SilenceWatch:
+class SilenceDetector:
     """Looks at one connection as long as a call is on it.
 
     One timer serves all events of a stream. It asks when something came last instead of
@@ -46,27 +46,29 @@
 
     Example::
 
-        watch = SilenceWatch(conn, 0.7, ran)
+        watch = SilenceDetector(conn, 0.7, ran)
         try: ...
         finally: watch.stop()
     """
 
-    def __init__(self, conn: Watched, seconds: float, ran: Ran) -> None:
+    def __init__(
+        self, conn: WatchedConnection, seconds: float, running_time: RunningClock
+    ) -> None:
         self._conn = conn
         self._seconds = seconds
-        self._ran = ran
+        self._running_time = running_time
         self._timer: asyncio.TimerHandle | None = None
         self._since = 0.0
         self.again()
 
     def again(self) -> None:
         """Begin anew: what was silent so far has been told."""
-        self._since = self._ran()
+        self._since = self._running_time()
         self._arm(self._seconds)
 
     def look_again(self, seconds: float) -> None:
         """Tell the silence once more, if it lasts, in ``seconds``."""
-        self._since = self._ran() - max(0.0, self._seconds - seconds)
+        self._since = self._running_time() - max(0.0, self._seconds - seconds)
         self._arm(seconds)
 
     def stop(self) -> None:
@@ -87,24 +89,26 @@
             # The caller takes its time; what comes isn't asked for meanwhile.
             self.again()
             return
-        silent_s = self._ran() - max(self._since, conn.heard_at)
+        silent_s = self._running_time() - max(self._since, conn.heard_at)
         if silent_s < self._seconds:
             self._arm(self._seconds - silent_s)
             return
         conn.note_silence(self._seconds)
 
 
-async def patiently(ran: Ran, seconds: float, work: Coroutine[Any, Any, T]) -> T:
+async def wait_running_time(
+    running_time: RunningClock, seconds: float, work: Coroutine[Any, Any, T]
+) -> T:
     """Await ``work`` for ``seconds`` of running time at most, else TimeoutError.
 
     Making a connection takes several turns of the loop. In a process that is starved of
     its processor those alone last longer than a timeout meant for the other side.
     """
     task = asyncio.ensure_future(work)
-    end = ran() + seconds
+    end = running_time() + seconds
     try:
         while not task.done():
-            left_s = end - ran()
+            left_s = end - running_time()
             if left_s <= 0:
                 raise TimeoutError
             await asyncio.wait((task,), timeout=max(left_s, LEAST_WAIT_S))
--- a/packages/bambootiller/src/bambootiller/gateway/standstills.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
@@ -10,7 +10,7 @@
 from bambootiller_core.gateway.log_lines import StoodStill
 from bambootiller_core.gateway.running import TICK_S, RunningTime
 
-#: Standstills shorter than this aren't told: they delay an event of a stream by no more
+#: StallMonitor shorter than this aren't told: they delay an event of a stream by no more
 #: than the pause that most routes allow between two. Seconds.
 TOLD_S = 0.1
 
@@ -21,47 +21,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class TimeReading:
     """A time, and how long the process had run by then."""
 
     at: float
-    ran: float
+    running_time: float
 
 
-class OwnTime:
+class StallCheck:
     """Tells whether a silence may be the process's own.
 
     Example::
 
         began = own.now()
-        if await ask() is None and not own.is_doubtful(began):
+        if await ask() is None and not own.was_stalled(began):
             lost()
     """
 
     def __init__(
-        self, clock: Callable[[], float], ran_at: Callable[[float], float]
+        self, clock: Callable[[], float], running_time_at: Callable[[float], float]
     ) -> None:
         self._clock = clock
-        self._ran_at = ran_at
+        self._running_time_at = running_time_at
 
-    def now(self) -> Moment:
+    def now(self) -> TimeReading:
         """The present moment."""
         at = self._clock()
-        return Moment(at, self._ran_at(at))
+        return TimeReading(at, self._running_time_at(at))
 
-    def is_doubtful(self, since: Moment) -> bool:
+    def was_stalled(self, since: TimeReading) -> bool:
         """Whether the process stood still for a good part of the time ``since``."""
         now = self.now()
-        stood_still_s = (now.at - since.at) - (now.ran - since.ran)
+        stood_still_s = (now.at - since.at) - (now.running_time - since.running_time)
         return stood_still_s >= DOUBT_S
 
 
-class Standstills:
+class StallMonitor:
     """Ticks the running time of the process.
 
     Example::
 
-        standstills = Standstills(app, events)
+        standstills = StallMonitor(app, events)
         standstills.start()
         began = standstills.ran()
     """
@@ -71,7 +71,7 @@
         self._events = events
         self._running = RunningTime(app.now())
         self._listeners: list[Callable[[float], None]] = []
-        self.own_time = OwnTime(app.now, self._running.ran)
+        self.stall_check = StallCheck(app.now, self._running.running_time)
 
     def start(self) -> None:
         """Begin to tick."""
@@ -83,13 +83,13 @@
         """Call ``listener`` with how late each tick is, in seconds."""
         self._listeners.append(listener)
 
-    def ran(self) -> float:
+    def running_time(self) -> float:
         """How long the process has run. Seconds; only differences mean something."""
-        return self._running.ran(self._app.now())
+        return self._running.running_time(self._app.now())
 
-    def ran_at(self, now: float) -> float:
+    def running_time_at(self, now: float) -> float:
         """The same at a given time, not before the last tick."""
-        return self._running.ran(now)
+        return self._running.running_time(now)
 
     def _tick(self, now: float) -> None:
         stood_still_s = self._running.tick(now)
--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -9,11 +9,11 @@
 import random
 
 from bambootiller.gateway.allowances import Allowances
-from bambootiller.gateway.front import Front
+from bambootiller.gateway.http_front import HttpFront
 from bambootiller.gateway.knowledge import Knowledge
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller.gateway.quotas import Quotas
-from bambootiller.gateway.relays import Relays
+from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.server_admission import ServerAdmission
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller_core.gateway.demand import Demand
@@ -118,7 +118,7 @@
         allowances = Allowances("e1", lambda peer: True, lambda: False)
         limits = ServerLimits(self.events, loop.time, lambda: None)
         self.quotas = Quotas(self.knowledge, QuotaTerms, allowances)
-        self.relays = Relays(
+        self.context = RelayContext(
             self.knowledge,
             self.engines,
             PlatformDialect(),
@@ -127,28 +127,28 @@
             random.Random(7),
             loop.time,
             lambda: AttemptBudget(0.2, 54, 10.0),
-            self.ran,
+            self.running_time,
             Quarantine(self.knowledge, self.events, loop.time, lambda: None),
             self.quotas,
             limits,
             ServerAdmission(limits, allowances, loop.time),
         )
         # It has been running for a while: what it doesn't know, it won't learn soon.
-        self.relays.began -= 60
+        self.context.began -= 60
         self.leaving = False
-        self.front = Front(self.relays, None, lambda: True, lambda: self.leaving)
+        self.front = HttpFront(self.context, None, lambda: True, lambda: self.leaving)
         self.replicas = []
         self.revision = 0
 
-    def ran(self):
+    def running_time(self):
         """The running time of the process."""
-        return self._running.ran(asyncio.get_running_loop().time())
+        return self._running.running_time(asyncio.get_running_loop().time())
 
     async def _tick(self):
         loop = asyncio.get_running_loop()
         while True:
             self._running.tick(loop.time())
-            self.relays.quarantine.settle(loop.time())
+            self.context.quarantine.settle(loop.time())
             await asyncio.sleep(TICK_S)
 
     def configure(self, **route_fields):
--- a/tests/adapter/cover/test_dialect.py
+++ b/tests/adapter/cover/test_dialect.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bambootiller.gateway.ports import AnswerHead, Unreadable, Verdict
+from bambootiller.gateway.ports import AnswerHead, AnswerKind, Unreadable
 from bambootiller_core.gateway.config import CallKind
 from bambootiller_core.gateway.customers import Customer
 from bambootiller_platform.dialect import PlatformDialect
@@ -87,34 +87,34 @@
 
 
 class TestJudging(unittest.TestCase):
-    def judge(self, status, *headers):
+    def classify(self, status, *headers):
         call = samples.call()
-        return PlatformDialect().judge(call, AnswerHead(status, headers))
+        return PlatformDialect().classify(call, AnswerHead(status, headers))
 
     def test_a_signed_answer_is_the_backend_servers_own(self):
         seal = (b"x-response-seal", b"s")
         for status in (200, 500, 404):
-            self.assertIs(self.judge(status, seal), Verdict.ANSWER)
+            self.assertIs(self.classify(status, seal), AnswerKind.ANSWER)
 
     def test_an_answer_to_another_call_is_a_stray(self):
-        found = self.judge(
+        found = self.classify(
             200, (b"x-response-seal", b"s"), (b"x-request-attempt", b"r-0")
         )
-        self.assertIs(found, Verdict.STRAY)
+        self.assertIs(found, AnswerKind.STRAY)
 
     def test_promises_not_to_have_run(self):
-        self.assertIs(self.judge(503, (b"x-not-executed", b"1")), Verdict.NOT_RUN)
-        self.assertIs(self.judge(421), Verdict.MISDIRECTED)
+        self.assertIs(self.classify(503, (b"x-not-executed", b"1")), AnswerKind.NOT_RUN)
+        self.assertIs(self.classify(421), AnswerKind.MISDIRECTED)
 
     def test_a_bare_503_promises_nothing(self):
-        self.assertIs(self.judge(503), Verdict.USELESS)
+        self.assertIs(self.classify(503), AnswerKind.USELESS)
 
     def test_a_success_without_signature_or_encoded_is_no_answer(self):
-        self.assertIs(self.judge(200), Verdict.USELESS)
-        found = self.judge(
+        self.assertIs(self.classify(200), AnswerKind.USELESS)
+        found = self.classify(
             200, (b"x-response-seal", b"s"), (b"content-encoding", b"gzip")
         )
-        self.assertIs(found, Verdict.USELESS)
+        self.assertIs(found, AnswerKind.USELESS)
 
 
 class TestCustomers(unittest.TestCase):
--- a/tests/adapter/cover/test_key_changes.py
+++ b/tests/adapter/cover/test_key_changes.py
@@ -21,7 +21,7 @@
         config = samples.config()
         found = Customers.build(keyed)
         self.bench.knowledge.config = replace(config, customers=found)
-        refusal = self.bench.relays.key_refusal(call or self.call)
+        refusal = self.bench.context.key_refusal(call or self.call)
         return refusal and refusal.reason
 
     async def test_a_key_that_is_still_there_changes_nothing(self):
--- a/tests/adapter/failures/test_calls.py
+++ b/tests/adapter/failures/test_calls.py
@@ -80,7 +80,7 @@
         The entry has its configuration, but no agent has said yet what it holds.
         """
         replica = await self.llm()
-        self.bench.relays.began = asyncio.get_running_loop().time()
+        self.bench.context.began = asyncio.get_running_loop().time()
         calling = asyncio.ensure_future(self.bench.call(path=b"/a/x", x_model="poet"))
         await asyncio.sleep(0.2)
         replica.held["poet"] = set()
@@ -235,7 +235,7 @@
         replica = await self.plain()
         self.bench.leaving = True
         loop = asyncio.get_running_loop()
-        self.bench.relays.stop_by = loop.time() + 1.0
+        self.bench.context.stop_deadline = loop.time() + 1.0
         answer = await self.bench.call()
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
--- a/tests/adapter/failures/test_endless_answers.py
+++ b/tests/adapter/failures/test_endless_answers.py
@@ -7,7 +7,7 @@
 import psutil
 from bambootiller_platform_standins.httpd import Reply, Server
 
-from bambootiller.gateway.ports import EngineSilent
+from bambootiller.gateway.ports import ReportFailed
 from bambootiller_core.ports import Unavailable
 from bambootiller_platform.engine import PlatformEngine
 from bambootiller_platform.store import PlatformKeyValue
@@ -172,7 +172,7 @@
                 found = await asyncio.gather(
                     engine.report(), *[kv.get("k") for _ in range(3)]
                 )
-                self.assertIsInstance(found[0], EngineSilent)
+                self.assertIsInstance(found[0], ReportFailed)
                 for outcome in found[1:]:
                     self.assertIsInstance(outcome, Unavailable)
                 self.assertLess(process.memory_info().rss - resting, MOST_MORE)
@@ -189,5 +189,5 @@
         self.addAsyncCleanup(server.stop)
         engine = PlatformEngine(server.address, "a1")
         report = await engine.report()
-        self.assertNotIsInstance(report, EngineSilent)
+        self.assertNotIsInstance(report, ReportFailed)
         await engine.close()
--- a/tests/adapter/failures/test_overload.py
+++ b/tests/adapter/failures/test_overload.py
@@ -5,7 +5,7 @@
 import unittest
 
 from bambootiller.entry.httpserver import HttpServer
-from bambootiller.gateway.bounded import bounded_protocol
+from bambootiller.gateway.http_limits import limited_protocol
 from bambootiller.settings import Address
 from bambootiller_core.gateway.config import CallLimits
 
@@ -18,7 +18,7 @@
 
     async def asyncSetUp(self):
         self.calls, self.turns_away = 0, False
-        protocol = bounded_protocol(
+        protocol = limited_protocol(
             CallLimits, lambda why: None, lambda: False, lambda: self.turns_away
         )
 
--- a/tests/adapter/failures/test_restarts.py
+++ b/tests/adapter/failures/test_restarts.py
@@ -47,17 +47,17 @@
 
     async def test_no_call_goes_out_on_a_connection_to_the_start_before(self):
         self.assertEqual((await self.bench.call()).status, 200)
-        before = self.bench.relays.pool(self.backend())
+        before = self.bench.context.pool(self.backend())
         self.bench.learn("servers/i-1", self.replica.entry())
-        self.assertIs(self.bench.relays.pool(self.backend()), before)
+        self.assertIs(self.bench.context.pool(self.backend()), before)
         self.restart()
-        self.assertIsNot(self.bench.relays.pool(self.backend()), before)
-        self.bench.relays.sweep(asyncio.get_running_loop().time())
+        self.assertIsNot(self.bench.context.pool(self.backend()), before)
+        self.bench.context.sweep(asyncio.get_running_loop().time())
         self.assertEqual(before.open, 0)
 
     async def test_failures_of_the_start_before_do_not_count(self):
         loop = asyncio.get_running_loop()
-        health = self.bench.relays.service("plain").health
+        health = self.bench.context.service("plain").health
         health.unreachable(loop.time(), self.backend().incarnation)
         self.restart()
         self.assertFalse(health.avoided(loop.time(), self.backend().incarnation))
--- a/tests/adapter/failures/test_silent_streams.py
+++ b/tests/adapter/failures/test_silent_streams.py
@@ -55,7 +55,7 @@
         """No call and no connection counts as under way."""
         fleet = self.bench.knowledge.fleet
         for backend in map(fleet.get, [replica.instance for replica in self.replicas]):
-            pool = self.bench.relays.pool(backend)
+            pool = self.bench.context.pool(backend)
             self.assertEqual((backend.in_flight, backend.unread), (0, 0))
             self.assertEqual(pool.open, len(pool._idle))
 
@@ -232,7 +232,7 @@
 
     def suspect(self):
         """A run of whatever request comes next was lost at another backend server."""
-        quarantine, clock = self.bench.relays.quarantine, self.bench.relays.clock
+        quarantine, clock = self.bench.context.quarantine, self.bench.context.clock
         backend = self.bench.knowledge.fleet.get(self.others[0].instance)
         admission = quarantine.admission
 
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_standstills.py
@@ -46,7 +46,7 @@
         return [self.add(name, "llm", (MODEL_NAME,)) for name in ("i-1", "i-2")]
 
     def spend_budget(self):
-        self.bench.relays.service("llm").budget = AttemptBudget(0.0, 0.0, 10.0)
+        self.bench.context.service("llm").budget = AttemptBudget(0.0, 0.0, 10.0)
 
     async def call(self):
         return await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
@@ -208,7 +208,7 @@
         (other,) = [replica for replica in replicas if not replica.runs]
         backend = self.bench.knowledge.fleet.get(other.instance)
         with swallowing_port() as port:
-            self.bench.relays.pool(backend)._port = port
+            self.bench.context.pool(backend)._port = port
             answer = await calling
         self.assertLess(answer.arrivals[1] - answer.arrivals[0], 1.1)
 
@@ -229,8 +229,10 @@
         self.addAsyncCleanup(kv.close)
         loop, events = asyncio.get_running_loop(), Events()
         running = RunningTime(loop.time())
-        knowledge = Knowledge(PlatformDirectory(), events, loop.time, running.ran)
-        watcher = StoreWatcher(kv, knowledge, events, loop.time, running.ran)
+        knowledge = Knowledge(
+            PlatformDirectory(), events, loop.time, running.running_time
+        )
+        watcher = StoreWatcher(kv, knowledge, events, loop.time, running.running_time)
         tasks = [
             asyncio.ensure_future(watcher.follow("servers/")),
             asyncio.ensure_future(tick(running)),
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -183,7 +183,7 @@
         last one that was read had grown by the standstill.
         """
         running = RunningTime(0.0)
-        fleet = Fleet(running.ran)
+        fleet = Fleet(running.running_time)
         fleet.registry_changed(0.0, samples.registered("e1", "tutor"))
         fleet.engine_told(0.0, samples.engine_state("e1", ("m1",)))
         backend = fleet.get("e1")
@@ -193,7 +193,7 @@
 
     def test_an_agent_that_falls_silent_while_this_process_runs_is_noticed(self):
         running = RunningTime(0.0)
-        fleet = Fleet(running.ran)
+        fleet = Fleet(running.running_time)
         fleet.registry_changed(0.0, samples.registered("e1", "tutor"))
         fleet.engine_told(0.0, samples.engine_state("e1", ("m1",)))
         for step in range(1, 20):
--- a/tests/gateway/cover/test_returning.py
+++ b/tests/gateway/cover/test_returning.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from bambootiller.gateway.placing import Placing
+from bambootiller.gateway.placement import Placement
 from bambootiller_core.gateway.calls import Progress
 from bambootiller_core.gateway.crash_ledger import Standing
 from bambootiller_core.gateway.demand import DUE_BACK_LATE_S, Demand
@@ -77,26 +77,26 @@
 
     async def callers(self, *given_s):
         """Those counted after one call each with so much time has been refused."""
-        demand, relays = Demand(), mock.Mock()
-        relays.clock.return_value = 5.0
-        relays.knowledge.fleet.of_service.return_value = []
-        relays.quarantine.load_admission.return_value.standing = Standing.ADMITTED
-        relays.is_starting.return_value = False
-        relays.stop_by = None
-        relays.engines.plans.plan_for.return_value = PlannedLoad(
+        demand, context = Demand(), mock.Mock()
+        context.clock.return_value = 5.0
+        context.knowledge.fleet.of_service.return_value = []
+        context.quarantine.load_admission.return_value.standing = Standing.ADMITTED
+        context.is_starting.return_value = False
+        context.stop_deadline = None
+        context.engines.plans.plan_for.return_value = PlannedLoad(
             "tutor", "", 90.0, False, True
         )
-        relays.engines.plans.demand.return_value = demand
-        state = relays.service.return_value
+        context.engines.plans.demand.return_value = demand
+        state = context.service.return_value
         state.levels, state.returning = ServiceLevels(), Returning()
         for seconds in given_s:
             call = samples.call(
                 now=5.0, deadline=seconds, ask=samples.ask("tutor"), service="llm"
             )
-            placing = Placing(relays, call, Progress())
-            placing.ask()
-            with mock.patch.object(Placing, "_plan_seen", return_value=None):
-                await placing.place()
+            placement = Placement(context, call, Progress())
+            placement.ask()
+            with mock.patch.object(Placement, "_plan_seen", return_value=None):
+                await placement.place()
         return demand.wants(6.0, {}, {})["tutor"].callers
 
     async def test_it_expects_the_caller_of_a_first_try(self):
--- a/tests/gateway/cover/test_running.py
+++ b/tests/gateway/cover/test_running.py
@@ -17,18 +17,24 @@
             self.running.tick(self.now)
 
     def test_it_goes_with_the_clock_while_the_process_runs(self):
-        began = self.running.ran(self.now)
+        began = self.running.running_time(self.now)
         self.run_for(5.0)
-        self.assertAlmostEqual(self.running.ran(self.now) - began, self.now - 100.0)
+        self.assertAlmostEqual(
+            self.running.running_time(self.now) - began, self.now - 100.0
+        )
 
     def test_a_standstill_does_not_count_whoever_asks_first(self):
         self.run_for(1.0)
-        began = self.running.ran(self.now)
+        began = self.running.running_time(self.now)
         self.now += 3.0
-        self.assertAlmostEqual(self.running.ran(self.now) - began, TICK_S + LATE_S)
+        self.assertAlmostEqual(
+            self.running.running_time(self.now) - began, TICK_S + LATE_S
+        )
         stood_still = self.running.tick(self.now)
         self.assertAlmostEqual(stood_still, 3.0 - TICK_S - LATE_S)
-        self.assertAlmostEqual(self.running.ran(self.now) - began, TICK_S + LATE_S)
+        self.assertAlmostEqual(
+            self.running.running_time(self.now) - began, TICK_S + LATE_S
+        )
 
     def test_a_look_that_is_a_little_late_is_no_standstill(self):
         self.now += TICK_S + LATE_S / 2
@@ -38,10 +44,10 @@
         readings = []
         for step in (0.01, 0.05, 0.08, 0.2, 0.01, 1.0, 0.001, 0.13, 0.14):
             self.now += step
-            readings.append(self.running.ran(self.now))
+            readings.append(self.running.running_time(self.now))
             if step > 0.05:
                 self.running.tick(self.now)
-            readings.append(self.running.ran(self.now))
+            readings.append(self.running.running_time(self.now))
         self.assertEqual(readings, sorted(readings))
 
 
--- a/tests/gateway/cover/test_silence.py
+++ b/tests/gateway/cover/test_silence.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from bambootiller.gateway.silence import SilenceWatch
+from bambootiller.gateway.silence import SilenceDetector
 
 
 class Connection:
@@ -23,14 +23,14 @@
         self.conn = Connection()
 
     async def test_silence_is_told_once(self):
-        SilenceWatch(self.conn, 0.02, time.monotonic)
+        SilenceDetector(self.conn, 0.02, time.monotonic)
         await asyncio.sleep(0.1)
         self.assertEqual(len(self.conn.told), 1)
 
     async def test_nothing_is_told_once_it_has_stopped(self):
         """The next call on the connection was told of silence that nobody watched for,
         and its caller got no answer: a watch set anew had left its first timer."""
-        watch = SilenceWatch(self.conn, 0.02, time.monotonic)
+        watch = SilenceDetector(self.conn, 0.02, time.monotonic)
         watch.look_again(0.03)
         watch.again()
         watch.stop()
--- a/tests/gateway/failures/test_connections.py
+++ b/tests/gateway/failures/test_connections.py
@@ -4,8 +4,8 @@
 import socket
 import unittest
 
-from bambootiller.gateway.connections import ConnectionLost
-from bambootiller.gateway.pools import CannotConnect, ConnectionPool
+from bambootiller.gateway.backend_connection import ConnectionLost
+from bambootiller.gateway.connection_pool import CannotConnect, ConnectionPool
 
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n"
@@ -18,7 +18,7 @@
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
         self.pool = ConnectionPool(
-            f"127.0.0.1:{port}", most=2, ran=asyncio.get_running_loop().time
+            f"127.0.0.1:{port}", most=2, running_time=asyncio.get_running_loop().time
         )
 
     async def asyncTearDown(self):
@@ -109,7 +109,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         pool = ConnectionPool(
-            f"127.0.0.1:{port}", most=2, ran=asyncio.get_running_loop().time
+            f"127.0.0.1:{port}", most=2, running_time=asyncio.get_running_loop().time
         )
         conn = await pool.acquire(0.0, 1.0)
         conn.send(REQUEST, b"")
--- a/tests/gateway/failures/test_standstills.py
+++ b/tests/gateway/failures/test_standstills.py
@@ -86,7 +86,7 @@
             knowledge,
             self.events,
             self.channels,
-            lambda: self.running.ran(loop.time()),
+            lambda: self.running.running_time(loop.time()),
         )
         stream = exchanger.keep_open(
             "10.0.0.1:7", lambda *_: None, lambda *_: self.heard.append(loop.time())
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from bambootiller.gateway.placing import UNPLANNED_S, Placing
+from bambootiller.gateway.placement import UNPLANNED_S, Placement
 from bambootiller_core.gateway.attempts import Refusal
 from bambootiller_core.gateway.calls import ModelAsk, Progress
 from bambootiller_core.gateway.crash_ledger import Standing
@@ -113,12 +113,12 @@
         loading = Loading("poet", 60.0, True)
         holder = samples.engine_backend(5.0, "b1", ["tutor"], loading=loading)
         due = DueAdapters()
-        relays = mock.Mock()
-        relays.clock.return_value = 5.0
-        relays.knowledge.fleet.of_service.return_value = [holder]
-        relays.engines.plans.due_adapters.return_value = due
+        context = mock.Mock()
+        context.clock.return_value = 5.0
+        context.knowledge.fleet.of_service.return_value = [holder]
+        context.engines.plans.due_adapters.return_value = due
         call = samples.call(now=5.0, ask=samples.ask("tutor", "x1"), service="llm")
-        refusal = await Placing(relays, call, Progress()).place()
+        refusal = await Placement(context, call, Progress()).place()
         self.assertIsInstance(refusal, Refusal)
         free = samples.engine_backend(6.0, "b1", ["tutor"])
         (wish,) = due.wishes(6.0, free, [free])
@@ -129,17 +129,17 @@
     """They were told 6 s where the plan said 26, and came back for nothing."""
 
     async def told(self, planned):
-        relays = mock.Mock()
-        relays.clock.return_value = 5.0
-        relays.knowledge.fleet.of_service.return_value = []
-        relays.quarantine.load_admission.return_value.standing = Standing.ADMITTED
-        relays.is_starting.return_value = False
-        relays.stop_by = None
-        relays.engines.plans.plan_for.return_value = planned
+        context = mock.Mock()
+        context.clock.return_value = 5.0
+        context.knowledge.fleet.of_service.return_value = []
+        context.quarantine.load_admission.return_value.standing = Standing.ADMITTED
+        context.is_starting.return_value = False
+        context.stop_deadline = None
+        context.engines.plans.plan_for.return_value = planned
         call = samples.call(now=5.0, ask=samples.ask("tutor"), service="llm")
-        placing = Placing(relays, call, Progress())
-        with mock.patch.object(Placing, "_plan_seen", return_value=None):
-            return (await placing.place()).come_back_s
+        placement = Placement(context, call, Progress())
+        with mock.patch.object(Placement, "_plan_seen", return_value=None):
+            return (await placement.place()).come_back_s
 
     async def test_they_are_told_when_the_model_is_to_be_there(self):
         planned = PlannedLoad("tutor", "", 26.0, False, True)
