--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
@@ -28,7 +28,7 @@
     until it is listed, so there it stays ended.
     """
     backend = fleet.get(run.incarnation.instance)
-    if backend is None or backend.incarnation.is_other_start(run.incarnation):
+    if backend is None or backend.incarnation.differs_from(run.incarnation):
         return Fate.CRASHED
     if backend.engine is not None and backend.engine.silent:
         return Fate.CRASHED
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/customers.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/customers.py
@@ -21,7 +21,7 @@
 SCHEME = b"bearer"
 
 
-class KeyTwice(ValueError):
+class CustomerConflict(ValueError):
     """One key, or one name, belongs to two customers."""
 
 
@@ -77,17 +77,17 @@
     def build(cls, keyed: Iterable[tuple[Customer, Sequence[str]]]) -> Customers:
         """Customers with their keys, which are kept as digests.
 
-        Raises :class:`KeyTwice`, which doesn't tell the key.
+        Raises :class:`CustomerConflict`, which doesn't tell the key.
         """
         by_name: dict[str, Customer] = {}
         by_digest: dict[bytes, Customer] = {}
         for customer, keys in keyed:
             if by_name.setdefault(customer.name, customer) is not customer:
-                raise KeyTwice(f"two customers are called {customer.name!r}")
+                raise CustomerConflict(f"two customers are called {customer.name!r}")
             for key in keys:
                 holder = by_digest.setdefault(digest(key.encode()), customer)
                 if holder is not customer:
-                    raise KeyTwice(
+                    raise CustomerConflict(
                         f"customers {holder.name!r} and {customer.name!r} share a key"
                     )
         return cls(by_name, by_digest)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -118,7 +118,7 @@
 
     def is_followed(self, now: float, incarnation: Incarnation) -> bool:
         """Whether word of ``incarnation`` means that this start is over."""
-        return incarnation.follows(self.incarnation, now - self.told_at)
+        return incarnation.supersedes(self.incarnation, now - self.told_at)
 
     @property
     def holdings(self) -> Mapping[str, frozenset[str]]:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/incarnation.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/incarnation.py
@@ -7,7 +7,7 @@
 #: For how long word of an earlier start counts as late. Writes and messages are held up
 #: for seconds at most; a registration lapses within three heartbeats, and an agent
 #: speaks twice a second. Seconds.
-SILENT_S = 10.0
+TAKEOVER_SILENCE_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,11 +42,11 @@
             return False
         return self.started_ms < other.started_ms
 
-    def is_other_start(self, other: Incarnation) -> bool:
+    def differs_from(self, other: Incarnation) -> bool:
         """Whether both are known to be different starts of one backend server."""
         return self.precedes(other) or other.precedes(self)
 
-    def follows(self, other: Incarnation, silent_s: float) -> bool:
+    def supersedes(self, other: Incarnation, silent_s: float) -> bool:
         """Whether this start takes the place of the ``other`` one, of which nothing was
         heard for ``silent_s`` seconds.
 
@@ -56,4 +56,4 @@
         """
         if other.precedes(self):
             return True
-        return self.precedes(other) and silent_s >= SILENT_S
+        return self.precedes(other) and silent_s >= TAKEOVER_SILENCE_S
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/initial_discovery.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/initial_discovery.py
@@ -28,13 +28,13 @@
     """The look at one service, which is over once and for all."""
 
     def __init__(self) -> None:
-        self._over = False
-        self._known: tuple[int, int] = (0, 0)
+        self._complete = False
+        self._counts: tuple[int, int] = (0, 0)
         #: When the number of listed engines changed last, and when that or the number
         #: of those heard did.
-        self._listed_at: float | None = None
+        self._listed_changed_at: float | None = None
         self._changed_at: float | None = None
-        self._began_at: float | None = None
+        self._first_heard_at: float | None = None
 
     def is_complete(
         self, now: float, backends: Collection[Backend], quiet_s: float
@@ -42,19 +42,21 @@
         """Whether no engine has been listed for ``quiet_s``, and all were heard, or
         nothing at all has come to be known for :data:`MAX_STALL_S`, or the look has taken
         :data:`MAX_DISCOVERY_S`."""
-        if self._over:
+        if self._complete:
             return True
         heard = sum([backend.engine is not None for backend in backends])
-        known = (len(backends), heard)
-        if self._listed_at is None or known[0] != self._known[0]:
-            self._listed_at = now
-        if self._changed_at is None or known != self._known:
-            self._known, self._changed_at = known, now
-        if heard and self._began_at is None:
-            self._began_at = now
+        counts = (len(backends), heard)
+        if self._listed_changed_at is None or counts[0] != self._counts[0]:
+            self._listed_changed_at = now
+        if self._changed_at is None or counts != self._counts:
+            self._counts, self._changed_at = counts, now
+        if heard and self._first_heard_at is None:
+            self._first_heard_at = now
         all_heard = 0 < len(backends) == heard
-        all_known = all_heard and now - self._listed_at >= quiet_s
-        is_still = now - self._changed_at >= MAX_STALL_S
-        lasts_s = now - self._began_at if self._began_at is not None else 0.0
-        self._over = all_known or is_still or lasts_s >= MAX_DISCOVERY_S
-        return self._over
+        is_settled = all_heard and now - self._listed_changed_at >= quiet_s
+        is_stalled = now - self._changed_at >= MAX_STALL_S
+        elapsed_s = (
+            now - self._first_heard_at if self._first_heard_at is not None else 0.0
+        )
+        self._complete = is_settled or is_stalled or elapsed_s >= MAX_DISCOVERY_S
+        return self._complete
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -153,7 +153,7 @@
         if self._report is None:
             return False
         known, silent_s = self._report.incarnation, now - self._reported_at
-        renewed = report.incarnation.follows(known, silent_s)
+        renewed = report.incarnation.supersedes(known, silent_s)
         return renewed or report.instance != known.instance
 
     def _is_late(self, report: EngineReport) -> bool:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/overload.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/overload.py
@@ -16,12 +16,12 @@
 #: A loop that gets to a timer this much late is busy. Seconds.
 BUSY_S = 0.06
 #: So many times in a row make an overload.
-SUSTAINED = 3
+SUSTAINED_TICKS = 3
 #: How fast the share grows while the loop is busy, and shrinks while it isn't, a tick.
 GROWTH = 0.1
 DECAY = 0.05
 #: Some connections are always taken: others may have no room either.
-MOST_SHARE = 0.9
+MAX_SHARE = 0.9
 #: From this share on no new connections are wanted at all.
 UNREADY_SHARE = 0.5
 
@@ -42,7 +42,7 @@
     def tick(self, late_s: float) -> None:
         """The loop got to its timer, so much late."""
         self._busy_ticks = self._busy_ticks + 1 if late_s >= BUSY_S else 0
-        if self._busy_ticks >= SUSTAINED:
-            self.share = min(MOST_SHARE, self.share + GROWTH)
+        if self._busy_ticks >= SUSTAINED_TICKS:
+            self.share = min(MAX_SHARE, self.share + GROWTH)
         elif not self._busy_ticks:
             self.share = max(0.0, self.share - DECAY)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_account.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_account.py
@@ -12,7 +12,7 @@
     spent = account.take(now, limit, 640.0)
     if spent is not None:
         ...
-        account.give_back(now, limit, spent)    # it never ran
+        account.refund(now, limit, spent)    # it never ran
 """
 
 from __future__ import annotations
@@ -22,18 +22,18 @@
 from dataclasses import dataclass
 
 from bambootiller_core.gateway.quota_limits import Limit
-from bambootiller_core.gateway.quota_messages import SHARE_S, CustomerAsk
+from bambootiller_core.gateway.quota_messages import SHARE_TTL_S, CustomerAsk
 
 #: Demand fades by a factor of e in this time. Seconds; long enough for several calls of
 #: a customer at one of many entries.
-DEMAND_S = 4.0
+DEMAND_DECAY_S = 4.0
 
 #: How much the last call counts in what one costs on average.
-COST_SHARE = 0.2
+COST_SMOOTHING = 0.2
 
 
 @dataclass(eq=False, slots=True)
-class Spent:
+class QuotaCharge:
     """What a call took. ``refundable`` is what giving it back may restore to the
     bucket: less than was taken once the bucket would have run over meanwhile.
     ``advances`` are the parts of advances, and until when these may be spent."""
@@ -49,79 +49,79 @@
     def __init__(self) -> None:
         self.share = 0.0
         self._level = 0.0
-        self._until = float("-inf")
+        self._share_expires_at = float("-inf")
         self._advances: list[tuple[float, float]] = []
-        self._at: float | None = None
-        self._outstanding: set[Spent] = set()
+        self._refilled_at: float | None = None
+        self._outstanding: set[QuotaCharge] = set()
         self._demand = 0.0
         self._demand_at = 0.0
         self._call_cost = 0.0
 
-    def asked_for(self, now: float, cost: float) -> None:
+    def record_demand(self, now: float, cost: float) -> None:
         """A call of that cost has come."""
-        self._demand = self._faded(now) + cost / DEMAND_S
+        self._demand = self._decayed_demand(now) + cost / DEMAND_DECAY_S
         self._demand_at = now
-        self._call_cost += (cost - self._call_cost) * COST_SHARE
+        self._call_cost += (cost - self._call_cost) * COST_SMOOTHING
 
     def demand_per_s(self, now: float) -> float:
         """What the customer's calls cost lately, refused ones included."""
-        return self._faded(now)
+        return self._decayed_demand(now)
 
-    def _faded(self, now: float) -> float:
-        return self._demand * math.exp((self._demand_at - now) / DEMAND_S)
+    def _decayed_demand(self, now: float) -> float:
+        return self._demand * math.exp((self._demand_at - now) / DEMAND_DECAY_S)
 
     def available(self, now: float, limit: Limit) -> float:
         """What may be spent now."""
-        self._advance_to(now, limit)
+        self._refill(now, limit)
         return self._level + sum(amount for amount, _ in self._advances)
 
-    def take(self, now: float, limit: Limit, cost: float) -> Spent | None:
+    def take(self, now: float, limit: Limit, cost: float) -> QuotaCharge | None:
         """Spend the cost of a call; None if it isn't there."""
         if self.available(now, limit) < cost:
             return None
         left = cost
         kept, taken = [], []
-        for amount, until in self._advances:
+        for amount, expires_at in self._advances:
             used = min(left, amount)
             left -= used
             if used:
-                taken.append((used, until))
+                taken.append((used, expires_at))
             if amount > used:
-                kept.append((amount - used, until))
+                kept.append((amount - used, expires_at))
         self._advances = kept
         self._level -= left
-        spent = Spent(cost, left, tuple(taken))
-        self._outstanding.add(spent)
-        return spent
+        charge = QuotaCharge(cost, left, tuple(taken))
+        self._outstanding.add(charge)
+        return charge
 
-    def settle(self, spent: Spent) -> None:
+    def settle(self, charge: QuotaCharge) -> None:
         """The call has run, or may have: what it took stays spent."""
-        self._outstanding.discard(spent)
+        self._outstanding.discard(charge)
 
-    def give_back(self, now: float, limit: Limit, spent: Spent) -> None:
+    def refund(self, now: float, limit: Limit, charge: QuotaCharge) -> None:
         """The call never ran and never will."""
-        if spent not in self._outstanding:
+        if charge not in self._outstanding:
             return
-        self._advance_to(now, limit)
-        self._outstanding.discard(spent)
-        self._level += spent.refundable
-        self._advances += [item for item in spent.advances if item[1] > now]
+        self._refill(now, limit)
+        self._outstanding.discard(charge)
+        self._level += charge.refundable
+        self._advances += [item for item in charge.advances if item[1] > now]
 
-    def take_anyway(self, now: float, limit: Limit, cost: float) -> None:
+    def overdraw(self, now: float, limit: Limit, cost: float) -> None:
         """A call ran a second time: it counts, whatever is there."""
-        self._advance_to(now, limit)
+        self._refill(now, limit)
         self._level -= cost
 
     def granted(
         self, now: float, limit: Limit, asked_at: float, share: float, advance: float
     ) -> None:
         """Take over the answer to what was asked at ``asked_at``."""
-        self._advance_to(now, limit)
-        self.share, self._until = share, asked_at + SHARE_S
+        self._refill(now, limit)
+        self.share, self._share_expires_at = share, asked_at + SHARE_TTL_S
         self._level = min(self._level, share * limit.share_depth)
-        until = asked_at + limit.advance_s
-        if advance > 0 and until > now:
-            self._advances.append((advance, until))
+        expires_at = asked_at + limit.advance_s
+        if advance > 0 and expires_at > now:
+            self._advances.append((advance, expires_at))
 
     def room_in_s(self, now: float, limit: Limit, cost: float) -> float:
         """When the entry's own share has room for a call of that cost, infinite if
@@ -135,27 +135,31 @@
 
     def ask(self, now: float, limit: Limit, costs: Sequence[float] = ()) -> CustomerAsk:
         """What the allocator is told, if calls of these costs wait."""
-        there = self.available(now, limit)
-        wanted = max(0.0, sum(costs) - there) if costs else 0.0
-        least = max(0.0, costs[0] - there) if costs else 0.0
-        return CustomerAsk(self._faded(now), wanted, least, self.share, self._call_cost)
-
-    def _advance_to(self, now: float, limit: Limit) -> None:
+        balance = self.available(now, limit)
+        wanted = max(0.0, sum(costs) - balance) if costs else 0.0
+        least = max(0.0, costs[0] - balance) if costs else 0.0
+        return CustomerAsk(
+            self._decayed_demand(now), wanted, least, self.share, self._call_cost
+        )
+
+    def _refill(self, now: float, limit: Limit) -> None:
         """Fill the bucket up to ``now``."""
-        filled_to = min(now, self._until)
-        if self._at is None:
-            self._at = now
-        if filled_to > self._at:
+        filled_to = min(now, self._share_expires_at)
+        if self._refilled_at is None:
+            self._refilled_at = now
+        if filled_to > self._refilled_at:
             depth = self.share * limit.share_depth
-            filled = self._level + (filled_to - self._at) * (
+            filled = self._level + (filled_to - self._refilled_at) * (
                 self.share * limit.rate_per_s
             )
             self._level = max(min(self._level, depth), min(filled, depth))
-            for spent in self._outstanding:
-                spent.refundable = min(spent.refundable, max(0.0, depth - self._level))
-        if now >= self._until and self.share:
+            for charge in self._outstanding:
+                charge.refundable = min(
+                    charge.refundable, max(0.0, depth - self._level)
+                )
+        if now >= self._share_expires_at and self.share:
             # Others may hold the share from now on.
             self.share = 0.0
             self._level = min(self._level, 0.0)
-        self._at = max(self._at, now)
+        self._refilled_at = max(self._refilled_at, now)
         self._advances = [item for item in self._advances if item[1] > now]
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
@@ -3,7 +3,7 @@
 The limits that backend servers name are divided like those of customers.
 
 The allocator is the one process that may hand out parts of a limit. An entry holds a
-share of it, a part of rate and depth, for as long as :data:`quota_messages.SHARE_S`
+share of it, a part of rate and depth, for as long as :data:`quota_messages.SHARE_TTL_S`
 after it asked; what isn't held by anybody is the allocator's own bucket, from which it
 advances what a call lacks. Shares follow demand, and a share is given only once who
 held it has confirmed the smaller one, or can't hold it any more.
@@ -22,9 +22,9 @@
 
     allocator = QuotaAllocator(term=91, now=now, members=record)
     answer = allocator.answer(now, ask, limits)
-    if allocator.record_wanted is not None:
+    if allocator.pending_record is not None:
         ...    # write it, then:
-        allocator.recorded(allocator.record_wanted)
+        allocator.recorded(allocator.pending_record)
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 from bambootiller_core.gateway.quota_limits import Limit
 from bambootiller_core.gateway.quota_messages import (
-    SHARE_S,
+    SHARE_TTL_S,
     CustomerAsk,
     CustomerGrant,
     QuotaAnswer,
@@ -50,18 +50,18 @@
 HEADROOM = 1.0
 #: The part of a limit that all shares together take at most. The rest serves advances,
 #: for entries whose demand is new.
-SHARED_MOST = 0.6
+MAX_SHARED_FRACTION = 0.6
 #: A share that differs from the one due by less than this part of it is left as it is.
-MOVED_SHARE = 0.2
+MIN_SHARE_CHANGE = 0.2
 #: A share holds this many calls at least. Smaller ones would lie at entries without
 #: serving a call, so calls of such a customer are served by advances.
-LEAST_CALLS = 2.0
+MIN_SHARE_CALLS = 2.0
 #: A ceiling is recorded so many times as large as the share for which it is needed, so
 #: that a growing share isn't a write each time.
-CEILING_ROOM = 1.3
+CEILING_MARGIN = 1.3
 #: How often it is looked which entries' shares have ended, and sums are made anew.
 #: Seconds.
-REVIEW_S = 1.0
+REVIEW_INTERVAL_S = 1.0
 
 
 @dataclass(slots=True)
@@ -71,27 +71,27 @@
     ``granted`` are shares by the number of the answer that granted them, which the
     entry may act on."""
 
-    told: float = 0.0
+    reported: float = 0.0
     granted: dict[int, float] = field(default_factory=dict)
     demand_per_s: float = 0.0
     call_cost: float = 0.0
 
     @property
-    def most(self) -> float:
-        return max(self.told, *self.granted.values(), 0.0)
+    def upper_bound(self) -> float:
+        return max(self.reported, *self.granted.values(), 0.0)
 
 
 @dataclass(slots=True)
 class _Entry:
-    """A process of an entry. ``proved``: it has acted on an answer of this allocator,
+    """A process of an entry. ``confirmed``: it has acted on an answer of this allocator,
     so it is the one that runs at its instance now."""
 
     name: str
     incarnation: str
     number: int = 0
-    until: float = 0.0
+    expires_at: float = 0.0
     ceilings: dict[str, float] = field(default_factory=dict)
-    proved: bool = False
+    confirmed: bool = False
     customers: defaultdict[str, _Holding] = field(
         default_factory=lambda: defaultdict(_Holding)
     )
@@ -111,13 +111,13 @@
     at: float
     stored: deque[tuple[float, float]]
 
-    def note_stored(self, amount: float) -> None:
+    def record_stored(self, amount: float) -> None:
         """So much may be stored now."""
         while self.stored and self.stored[-1][1] <= amount:
             self.stored.pop()
         self.stored.append((self.at, amount))
 
-    def most_stored(self, since: float) -> float:
+    def max_stored(self, since: float) -> float:
         """The most that was stored from then on."""
         while len(self.stored) > 1 and self.stored[1][0] <= since:
             self.stored.popleft()
@@ -133,11 +133,11 @@
 
     def __init__(self, term: int, now: float, members: Mapping[str, Member]) -> None:
         self.term = term
-        self._unheard = dict(members)
-        self._unheard_until = now + SHARE_S
+        self._silent_members = dict(members)
+        self._silent_until = now + SHARE_TTL_S
         self._entries: dict[tuple[str, str], _Entry] = {}
         #: Processes that a later one of the same instance has followed.
-        self._ended: set[tuple[str, str]] = set()
+        self._superseded: set[tuple[str, str]] = set()
         self._buckets: dict[str, _Bucket] = {}
         #: What entries hold of each customer's limit, and what its calls cost at all of
         #: them: summed for each ask, it would cost the more the more entries there are.
@@ -145,7 +145,7 @@
         self._demand: Counter[str] = Counter()
         self._reviewed_at = now
         #: The record that has to be written before shares that are due are granted.
-        self.record_wanted: dict[str, Member] | None = None
+        self.pending_record: dict[str, Member] | None = None
 
     @property
     def entry_count(self) -> int:
@@ -167,7 +167,7 @@
 
         ``limits`` are those of the configuration in force, by customer.
         """
-        entry = self._heard(now, ask)
+        entry = self._receive(now, ask)
         if entry is None:
             return None
         grants = {}
@@ -177,87 +177,87 @@
                 grants[name] = self._grant(now, name, limit, entry, asked)
         return QuotaAnswer(self.term, ask.number, grants)
 
-    def recorded(self, members: Mapping[str, Member]) -> None:
+    def record_written(self, members: Mapping[str, Member]) -> None:
         """The record has been written."""
-        if self.record_wanted == members:
-            self.record_wanted = None
+        if self.pending_record == members:
+            self.pending_record = None
         for name, member in members.items():
             entry = self._entries.get((name, member.incarnation))
             if entry is not None:
                 entry.ceilings = dict(member.ceilings)
 
-    def _heard(self, now: float, ask: QuotaAsk) -> _Entry | None:
-        if now - self._reviewed_at >= REVIEW_S:
+    def _receive(self, now: float, ask: QuotaAsk) -> _Entry | None:
+        if now - self._reviewed_at >= REVIEW_INTERVAL_S:
             self._review(now)
         key = (ask.entry, ask.incarnation)
-        if key in self._ended:
+        if key in self._superseded:
             return None
         entry = self._entries.get(key)
         if entry is None:
             entry = self._entries[key] = _Entry(*key)
-            before = self._unheard.get(ask.entry)
+            before = self._silent_members.get(ask.entry)
             if before is not None and before.incarnation == ask.incarnation:
                 entry.ceilings = dict(before.ceilings)
-                del self._unheard[ask.entry]
+                del self._silent_members[ask.entry]
         if ask.number <= entry.number:
             return None
         entry.number = ask.number
-        entry.until = now + SHARE_S
+        entry.expires_at = now + SHARE_TTL_S
         heard = ask.heard if ask.term == self.term else 0
         for name in entry.customers.keys() | ask.customers.keys():
             asked = ask.customers.get(name, CustomerAsk())
-            with self._changes(name, entry.customers[name]) as holding:
-                _take_over(holding, heard, asked)
-        if heard and not entry.proved:
-            self._prove(entry)
+            with self._updating_sums(name, entry.customers[name]) as holding:
+                _apply_report(holding, heard, asked)
+        if heard and not entry.confirmed:
+            self._confirm(entry)
         return entry
 
-    def _prove(self, entry: _Entry) -> None:
+    def _confirm(self, entry: _Entry) -> None:
         """The process runs now, so no other one of its instance does.
 
         An ask alone shows less: one of a process that has ended may come late.
         """
-        entry.proved = True
-        before = self._unheard.pop(entry.name, None)
+        entry.confirmed = True
+        before = self._silent_members.pop(entry.name, None)
         if before is not None:
-            self._ended.add((entry.name, before.incarnation))
+            self._superseded.add((entry.name, before.incarnation))
         for key in list(self._entries):
             if key[0] == entry.name and key[1] != entry.incarnation:
-                self._ended.add(key)
+                self._superseded.add(key)
                 del self._entries[key]
-        self._sum_up()
+        self._recompute_sums()
 
     @contextlib.contextmanager
-    def _changes(self, name: str, holding: _Holding) -> Iterator[_Holding]:
+    def _updating_sums(self, name: str, holding: _Holding) -> Iterator[_Holding]:
         """Keeps the sums while a holding changes."""
-        held, demand = holding.most, holding.demand_per_s
+        held, demand = holding.upper_bound, holding.demand_per_s
         yield holding
-        self._held[name] += holding.most - held
+        self._held[name] += holding.upper_bound - held
         self._demand[name] += holding.demand_per_s - demand
 
     def _review(self, now: float) -> None:
         """Forget entries whose shares have ended."""
         self._reviewed_at = now
         for key, entry in list(self._entries.items()):
-            if now >= entry.until:
+            if now >= entry.expires_at:
                 del self._entries[key]
-        if now >= self._unheard_until:
-            self._unheard.clear()
-        self._sum_up()
+        if now >= self._silent_until:
+            self._silent_members.clear()
+        self._recompute_sums()
 
-    def _sum_up(self) -> None:
+    def _recompute_sums(self) -> None:
         self._held, self._demand = Counter(), Counter()
         for entry in self._entries.values():
             for name, holding in entry.customers.items():
-                self._held[name] += holding.most
+                self._held[name] += holding.upper_bound
                 self._demand[name] += holding.demand_per_s
 
     def _free(self, name: str) -> float:
         """The part of a customer's limit that no entry may hold."""
-        unheard = sum(
-            member.ceilings.get(name, 0.0) for member in self._unheard.values()
+        silent = sum(
+            member.ceilings.get(name, 0.0) for member in self._silent_members.values()
         )
-        return max(0.0, 1.0 - unheard - self._held[name])
+        return max(0.0, 1.0 - silent - self._held[name])
 
     def _bucket(self, now: float, name: str, limit: Limit) -> _Bucket:
         """The customer's bucket, filled up to now.
@@ -273,11 +273,11 @@
             bucket = self._buckets[name] = _Bucket(free, 0.0, now, stored)
         least_free = min(free, bucket.free)
         rate = least_free * limit.rate_per_s
-        rate += limit.extra_per_s(bucket.most_stored(bucket.at - limit.span_s))
+        rate += limit.extra_per_s(bucket.max_stored(bucket.at - limit.span_s))
         filled = bucket.level + max(0.0, now - bucket.at) * rate
         bucket.level = min(filled, limit.depth - (1.0 - free) * limit.share_depth)
         bucket.free, bucket.at = free, max(bucket.at, now)
-        bucket.note_stored((1.0 - least_free) * limit.share_depth + bucket.level)
+        bucket.record_stored((1.0 - least_free) * limit.share_depth + bucket.level)
         return bucket
 
     def _grant(
@@ -286,25 +286,27 @@
         bucket = self._bucket(now, name, limit)
         holding = entry.customers[name]
         share = self._share(name, limit, entry, holding)
-        if share != holding.told:
-            with self._changes(name, holding):
+        if share != holding.reported:
+            with self._updating_sums(name, holding):
                 holding.granted[entry.number] = share
         # What the share takes with it of the bucket isn't there for an advance.
         bucket.free = self._free(name)
         held = 1.0 - bucket.free
         bucket.level = min(bucket.level, limit.depth - held * limit.share_depth)
-        bucket.note_stored(held * limit.share_depth + bucket.level)
+        bucket.record_stored(held * limit.share_depth + bucket.level)
         advance = _advance(asked, bucket.level) if limit.advance_s > 0 else 0.0
         bucket.level -= advance
         lacking = asked.wanted - advance
         room_in_s = 0.0
         if lacking > 0:
-            part = share + bucket.free * self._contended(name, limit, bucket, holding)
+            part = share + bucket.free * self._contended_part(
+                name, limit, bucket, holding
+            )
             rate = part * limit.rate_per_s
             room_in_s = lacking / rate if rate > 0 else math.inf
         return CustomerGrant(share, advance, room_in_s)
 
-    def _contended(
+    def _contended_part(
         self, name: str, limit: Limit, bucket: _Bucket, holding: _Holding
     ) -> float:
         """The part of what is free that this entry may count on: all of it, unless more
@@ -320,38 +322,40 @@
         """The share that the entry holds from now on."""
         due = HEADROOM * holding.demand_per_s / limit.rate_per_s
         due_to_all = HEADROOM * self._demand[name] / limit.rate_per_s
-        if due_to_all > SHARED_MOST:
-            due *= SHARED_MOST / due_to_all
-        if due * limit.share_depth < LEAST_CALLS * holding.call_cost:
+        if due_to_all > MAX_SHARED_FRACTION:
+            due *= MAX_SHARED_FRACTION / due_to_all
+        if due * limit.share_depth < MIN_SHARE_CALLS * holding.call_cost:
             due = 0.0
-        if abs(due - holding.told) <= MOVED_SHARE * max(due, holding.told):
-            return holding.told
-        if due <= holding.told:
+        if abs(due - holding.reported) <= MIN_SHARE_CHANGE * max(due, holding.reported):
+            return holding.reported
+        if due <= holding.reported:
             return due
-        if not entry.proved:
-            return holding.told
-        reserved = 1.0 - SHARED_MOST
-        can_grow = max(0.0, self._free(name) + holding.most - holding.told - reserved)
-        due = min(due, holding.told + can_grow)
+        if not entry.confirmed:
+            return holding.reported
+        reserved = 1.0 - MAX_SHARED_FRACTION
+        can_grow = max(
+            0.0, self._free(name) + holding.upper_bound - holding.reported - reserved
+        )
+        due = min(due, holding.reported + can_grow)
         ceiling = entry.ceilings.get(name, 0.0)
         if due > ceiling:
-            self._want_ceiling(entry, name, due)
-            due = max(holding.told, min(due, ceiling))
+            self._request_ceiling(entry, name, due)
+            due = max(holding.reported, min(due, ceiling))
         return due
 
-    def _want_ceiling(self, entry: _Entry, name: str, share: float) -> None:
-        members = dict(self._unheard)
-        wanted = self.record_wanted or {}
+    def _request_ceiling(self, entry: _Entry, name: str, share: float) -> None:
+        members = dict(self._silent_members)
+        wanted = self.pending_record or {}
         for known in self._entries.values():
             ceilings = known.ceilings
             other = wanted.get(known.name)
             if other is not None and other.incarnation == known.incarnation:
                 ceilings = other.ceilings
             if known is entry:
-                ceilings = {**ceilings, name: min(1.0, share * CEILING_ROOM)}
+                ceilings = {**ceilings, name: min(1.0, share * CEILING_MARGIN)}
             if ceilings:
                 members[known.name] = Member(known.incarnation, ceilings)
-        self.record_wanted = members
+        self.pending_record = members
 
 
 def _advance(asked: CustomerAsk, level: float) -> float:
@@ -361,9 +365,9 @@
     return asked.least if asked.least <= level else 0.0
 
 
-def _take_over(holding: _Holding, heard: int, asked: CustomerAsk) -> None:
+def _apply_report(holding: _Holding, heard: int, asked: CustomerAsk) -> None:
     """What the entry tells; grants up to the answer that it has heard are settled."""
-    holding.told = asked.share
+    holding.reported = asked.share
     holding.demand_per_s = asked.demand_per_s
     holding.call_cost = asked.call_cost
     holding.granted = {
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_limits.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_limits.py
@@ -14,20 +14,20 @@
 from bambootiller_core.gateway.customers import Customers, Quota
 
 #: The part of what a window allows that is used. The rest covers second runs of calls.
-USED_SHARE = 0.97
+USABLE_FRACTION = 0.97
 #: The depth is this part of what a window allows, or the quota's burst if that is more.
 #: What is left fills the bucket in the time of a window.
-DEPTH_SHARE = 0.25
-MOST_DEPTH_SHARE = 0.6
+DEPTH_FRACTION = 0.25
+MAX_DEPTH_FRACTION = 0.6
 #: Shares store no more than this part of it: what lies at entries serves nobody else.
-SHARE_DEPTH_SHARE = 0.12
+SHARED_DEPTH_FRACTION = 0.12
 #: An advance is spent within so long of having been asked for. Seconds; a few round
 #: trips between instances that are busy.
-ADVANCE_S = 0.3
+ADVANCE_TTL_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaTerms:
+class QuotaTolerance:
     """In any ``window_s`` seconds a customer may run its quota, a part ``overage`` more
     and ``slack`` units."""
 
@@ -51,20 +51,20 @@
     depth: float
     share_depth: float
     span_s: float
-    advance_s: float = ADVANCE_S
+    advance_s: float = ADVANCE_TTL_S
 
     @classmethod
-    def of(cls, quota: Quota, terms: QuotaTerms) -> Limit:
+    def of(cls, quota: Quota, tolerance: QuotaTolerance) -> Limit:
         """The limit by the platform's terms.
 
-        >>> limit = Limit.of(Quota(100.0, 100.0), QuotaTerms(8.0, 0.1, 10.0))
+        >>> limit = Limit.of(Quota(100.0, 100.0), QuotaTolerance(8.0, 0.1, 10.0))
         >>> round(limit.depth), round(limit.rate_per_s)
         (242, 88)
         """
-        used = USED_SHARE * terms.allowed(quota)
-        depth = max(DEPTH_SHARE * used, min(quota.burst, MOST_DEPTH_SHARE * used))
-        span_s = terms.window_s + ADVANCE_S
-        share_depth = min(depth, SHARE_DEPTH_SHARE * used)
+        used = USABLE_FRACTION * tolerance.allowed(quota)
+        depth = max(DEPTH_FRACTION * used, min(quota.burst, MAX_DEPTH_FRACTION * used))
+        span_s = tolerance.window_s + ADVANCE_TTL_S
+        share_depth = min(depth, SHARED_DEPTH_FRACTION * used)
         return cls((used - depth) / span_s, depth, share_depth, span_s)
 
     def extra_per_s(self, stored: float) -> float:
@@ -73,11 +73,13 @@
         return max(0.0, self.depth - stored) / self.span_s
 
 
-def limits_of(customers: Customers | None, terms: QuotaTerms) -> dict[str, Limit]:
+def limits_of(
+    customers: Customers | None, tolerance: QuotaTolerance
+) -> dict[str, Limit]:
     """The limits of all customers that have a quota, by name."""
     by_name = customers.by_name if customers is not None else {}
     return {
-        name: Limit.of(customer.quota, terms)
+        name: Limit.of(customer.quota, tolerance)
         for name, customer in by_name.items()
         if customer.quota is not None
     }
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_messages.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_messages.py
@@ -11,7 +11,7 @@
 
 #: A share holds for so long after the entry asked. Seconds; longer than the key-value
 #: service is away, as without it no allocator can follow one that is gone.
-SHARE_S = 30.0
+SHARE_TTL_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
@@ -15,7 +15,7 @@
 MEMBERS_KEY = "bambootiller/quotas/members"
 
 
-class RecordUnreadable(ValueError):
+class UnreadableRecord(ValueError):
     """The record can't be read, and why."""
 
 
@@ -45,7 +45,7 @@
 
 
 def decode(value: bytes) -> dict[str, Member]:
-    """The same, read. Raises :class:`RecordUnreadable`."""
+    """The same, read. Raises :class:`UnreadableRecord`."""
     try:
         form = json.loads(value)
         return {
@@ -53,7 +53,7 @@
             for name, (incarnation, ceilings) in form.items()
         }
     except (ValueError, TypeError, AttributeError) as exc:
-        raise RecordUnreadable(f"members of quotas: {type(exc).__name__}") from exc
+        raise UnreadableRecord(f"members of quotas: {type(exc).__name__}") from exc
 
 
 def _parts(ceilings: Mapping[str, float]) -> dict[str, float]:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/reported_limits.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/reported_limits.py
@@ -15,12 +15,12 @@
 
 #: What was said of a backend server that is gone, or no limit any more, is forgotten
 #: after this time. Seconds; longer than word of it is under way.
-KEPT_S = 60.0
+RETENTION_S = 60.0
 #: A backend server that takes less is called so often all the same, or nobody would
 #: hear when it takes calls again. Calls a second.
-LEAST_PER_S = 0.25
+MIN_PER_S = 0.25
 #: What isn't sent is stored for so long, one call at least. Seconds.
-STORED_S = 0.5
+BUCKET_S = 0.5
 #: The time in which the first users' platform counts calls against a limit. Seconds.
 WINDOW_S = 4.0
 #: What stands before the backend server in the name of its limit.
@@ -43,36 +43,36 @@
 
 
 def _limit(per_s: float) -> Limit:
-    rate = max(per_s, LEAST_PER_S)
-    depth = max(1.0, rate * STORED_S)
+    rate = max(per_s, MIN_PER_S)
+    depth = max(1.0, rate * BUCKET_S)
     return Limit(rate, depth, share_depth=0.0, span_s=WINDOW_S)
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
+class ReportedLimit:
     """What a backend server said of its limit: ``per_s`` calls a second, None for no
-    limit. ``said_at`` is in seconds on this process's monotonic clock."""
+    limit. ``reported_at`` is in seconds on this process's monotonic clock."""
 
     instance: str
     per_s: float | None
-    said_at: float
+    reported_at: float
 
 
 @dataclass(slots=True)
 class _Record:
-    limit: NamedLimit
+    limit: ReportedLimit
     version: int
     source: str
 
 
-class NamedLimits:
+class ReportedLimits:
     """The last word of each backend server that has named a limit.
 
     Example::
 
-        limits.said(NamedLimit("i-1", 1.9, now))
+        limits.said(ReportedLimit("i-1", 1.9, now))
         limits.per_s("i-1")    # 1.9
-        limits.said(NamedLimit("i-1", None, later))
+        limits.said(ReportedLimit("i-1", None, later))
     """
 
     def __init__(self) -> None:
@@ -80,14 +80,14 @@
         #: How many changes there have been that others may have to hear of.
         self.version = 0
 
-    def said(self, limit: NamedLimit, source: str = "") -> bool:
+    def apply(self, limit: ReportedLimit, source: str = "") -> bool:
         """Take over a word, ``source`` being the peer that told of it; returns whether
         another limit holds now."""
         held = self._records.get(limit.instance)
         if held is None:
             if limit.per_s is None:
                 return False
-        elif limit.said_at <= held.limit.said_at:
+        elif limit.reported_at <= held.limit.reported_at:
             if limit.per_s != held.limit.per_s and source:
                 # The peer hasn't heard the later word.
                 self._keep(held.limit, "")
@@ -111,7 +111,7 @@
             if record.limit.per_s is not None
         }
 
-    def news(self, untold: Untold) -> list[NamedLimit]:
+    def unsent(self, untold: Untold) -> list[ReportedLimit]:
         """What was said that a peer hasn't been told."""
         return [
             record.limit
@@ -124,13 +124,13 @@
         there. Returns whether a limit that held is gone."""
         dropped = False
         for name, record in list(self._records.items()):
-            if now - record.limit.said_at <= KEPT_S:
+            if now - record.limit.reported_at <= RETENTION_S:
                 continue
             if record.limit.per_s is None or not is_known(name):
                 dropped = dropped or record.limit.per_s is not None
                 del self._records[name]
         return dropped
 
-    def _keep(self, limit: NamedLimit, source: str) -> None:
+    def _keep(self, limit: ReportedLimit, source: str) -> None:
         self.version += 1
         self._records[limit.instance] = _Record(limit, self.version, source)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/retry_budget.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/retry_budget.py
@@ -12,17 +12,17 @@
 
 #: The part of the allowance that is used. The rest covers entries that start or that
 #: aren't known yet, and windows that begin in the middle of a burst.
-USED_SHARE = 0.6
+USABLE_FRACTION = 0.6
 #: How many entries are assumed to share the slack while their number isn't known.
 ASSUMED_ENTRIES = 8
 
 
-class AttemptBudget:
+class RetryBudget:
     """Second attempts at one service, as one entry may make them.
 
     Example::
 
-        budget = AttemptBudget(ratio=0.2, slack=54, window_s=10.0)
+        budget = RetryBudget(ratio=0.2, slack=54, window_s=10.0)
         budget.called(now)
         if budget.take(now): ...    # send it to another backend server
     """
@@ -37,30 +37,30 @@
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
-        self._calls: deque[float] = deque()
-        self._spent: deque[float] = deque()
+        self._first_attempts: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
-    def called(self, now: float) -> None:
+    def record_call(self, now: float) -> None:
         """A call is sent for the first time."""
-        self._calls.append(now)
-        self._forget(now)
+        self._first_attempts.append(now)
+        self._expire(now)
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """The second attempts that may be made now."""
-        self._forget(now)
+        self._expire(now)
         share = self._slack / max(1, self.entries)
-        allowed = USED_SHARE * (self._ratio * len(self._calls) + share)
-        return allowed - len(self._spent)
+        allowed = USABLE_FRACTION * (self._ratio * len(self._first_attempts) + share)
+        return allowed - len(self._retries)
 
     def take(self, now: float) -> bool:
         """Spend one second attempt; False if none is left."""
-        if self.left(now) < 1.0:
+        if self.remaining(now) < 1.0:
             return False
-        self._spent.append(now)
+        self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         horizon = now - self._window_s
-        for times in (self._calls, self._spent):
+        for times in (self._first_attempts, self._retries):
             while times and times[0] <= horizon:
                 times.popleft()
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_admission.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_admission.py
@@ -45,18 +45,18 @@
         self._is_busy = is_busy
         self._second_copies = 0
         self._wants = wants
-        self._without_copy = {
-            spec.name: self._worth(spec)
+        self._uncopied = {
+            spec.name: self._value_per_second(spec)
             for spec, rank in order
             if rank <= Rank.ASKED_FOR and spec.name not in copied
         }
 
-    def _worth(self, spec: ModelSpec) -> float:
+    def _value_per_second(self, spec: ModelSpec) -> float:
         return self._wants.get(spec.name, NO_WANT).turn_value / spec.load_s
 
     def mark_planned(self, name: str) -> None:
         """The model is planned next."""
-        self._without_copy.pop(name, None)
+        self._uncopied.pop(name, None)
 
     def admit(self, rank: Rank, is_loading: bool) -> bool:
         """Whether a load is worth the store's time; ``is_loading``: one of the same
@@ -80,10 +80,10 @@
         But not for ever: where that engine has made no room for as long as a load
         takes, the model is weighed like the others.
         """
-        others = self._without_copy.values()
+        others = self._uncopied.values()
         if self._wants.get(spec.name, NO_WANT).unserved_s >= spec.load_s:
-            worth = self._worth(spec)
-            others = [other for other in others if other >= worth]
+            value = self._value_per_second(spec)
+            others = [other for other in others if other >= value]
         return len(others) >= max(1, self.queue.room())
 
     def record_load(self, rank: Rank) -> None:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -67,12 +67,12 @@
 class _Group:
     """Loads that began at about the same time, in an order that isn't known.
 
-    ``before`` were under way already. ``at_full_speed`` of the group have ended in
+    ``running_before`` were under way already. ``at_full_speed`` of the group have ended in
     their stated time, so these were the first.
     """
 
     began: float
-    before: int
+    running_before: int
     size: int = 0
     at_full_speed: int = 0
 
@@ -81,18 +81,18 @@
         """The loads under way when the slowest of the group began, itself included, as
         few of them as what has ended allows."""
         if self.at_full_speed:
-            return self.before + self.at_full_speed + 1
-        return self.before + self.size
+            return self.running_before + self.at_full_speed + 1
+        return self.running_before + self.size
 
 
 @dataclass(slots=True)
-class _Watched:
-    """A load under way; ``place`` is its own among those under way as it began."""
+class _TrackedLoad:
+    """A load under way; ``position`` is its own among those under way as it began."""
 
-    stated_s: float
+    nominal_s: float
     began: float
     seen_at: float
-    place: int
+    position: int
     group: _Group
 
 
@@ -101,13 +101,13 @@
 
     def __init__(self, loads: int = ASSUMED_LOADS) -> None:
         self.loads = loads
-        self._bounded = False
-        self._one_is_late = False
-        self._one_is_tried = False
-        self._tries_from = float("-inf")
-        self._may_try = True
+        self._bound_is_known = False
+        self._load_is_overdue = False
+        self._probe_under_way = False
+        self._probe_not_before = float("-inf")
+        self._may_probe = True
         self._group: _Group | None = None
-        self._watched: dict[_Key, _Watched] = {}
+        self._tracked: dict[_Key, _TrackedLoad] = {}
 
     @property
     def allows_probe(self) -> bool:
@@ -118,18 +118,18 @@
         Begun beside it, a third load would be slowed by it in any case, and keep its
         engine twice as long.
         """
-        known = self._bounded or self.loads >= ASSUMED_LOADS
-        open_question = self._one_is_late or self._one_is_tried
-        return self._may_try and not known and not open_question
+        known = self._bound_is_known or self.loads >= ASSUMED_LOADS
+        undecided = self._load_is_overdue or self._probe_under_way
+        return self._may_probe and not known and not undecided
 
-    def left_s(self, now: float, at: Incarnation, loading: Loading) -> float:
+    def left_s(self, now: float, incarnation: Incarnation, loading: Loading) -> float:
         """When a load from the store ends. Its agent, which doesn't see the others,
         tells what it would need alone."""
-        watched = self._watched.get((at, loading.model))
-        if watched is None:
+        tracked = self._tracked.get((incarnation, loading.model))
+        if tracked is None:
             return loading.left_s
-        seconds = self._seconds(watched)
-        left = watched.began + seconds - now
+        seconds = self._expected_s(tracked)
+        left = tracked.began + seconds - now
         return max(left, OVERRUN_SHARE * seconds, loading.left_s)
 
     def observe(
@@ -137,41 +137,48 @@
     ) -> None:
         """Take a look at the loads under way; to be called several times a second."""
         backends = list(backends)
-        current = self._current(now, backends, engine)
+        current = self._reported_loads(now, backends, engine)
         present = {backend.instance: backend for backend in backends}
-        for key, watched in list(self._watched.items()):
+        for key, tracked in list(self._tracked.items()):
             if key in current:
-                watched.seen_at = now
-            elif not self._goes_on(now, key, watched, present):
-                del self._watched[key]
-                self._over(now, key, watched, present)
+                tracked.seen_at = now
+            elif not self._is_still_running(now, key, tracked, present):
+                del self._tracked[key]
+                self._handle_end(now, key, tracked, present)
         for key, loading in current.items():
-            if key not in self._watched:
-                self._begun(now, key, engine.models[loading.model].load_s, loading)
-        self._one_is_late = any(
-            now - watched.began > watched.stated_s for watched in self._watched.values()
+            if key not in self._tracked:
+                self._start_tracking(
+                    now, key, engine.models[loading.model].load_s, loading
+                )
+        self._load_is_overdue = any(
+            now - tracked.began > tracked.nominal_s
+            for tracked in self._tracked.values()
         )
-        self._lower()
-        self._one_is_tried = any(
-            watched.place > self.loads for watched in self._watched.values()
+        self._lower_estimate()
+        self._probe_under_way = any(
+            tracked.position > self.loads for tracked in self._tracked.values()
         )
-        self._may_try = now >= self._tries_from
+        self._may_probe = now >= self._probe_not_before
 
     def ends_elsewhere(self, now: float, known: Collection[str]) -> list[float]:
         """When the loads end, in seconds, that are under way at engines other than the
         ``known`` ones: the store serves them all the same."""
         return [
-            max(0.0, watched.began + self._seconds(watched) - now)
-            for (at, _), watched in self._watched.items()
-            if at.instance not in known
+            max(0.0, tracked.began + self._expected_s(tracked) - now)
+            for (incarnation, _), tracked in self._tracked.items()
+            if incarnation.instance not in known
         ]
 
-    def _seconds(self, watched: _Watched) -> float:
+    def _expected_s(self, tracked: _TrackedLoad) -> float:
         """How long a load takes from its begin."""
-        return watched.stated_s * max(1.0, watched.place / self.loads)
-
-    def _goes_on(
-        self, now: float, key: _Key, watched: _Watched, present: Mapping[str, Backend]
+        return tracked.nominal_s * max(1.0, tracked.position / self.loads)
+
+    def _is_still_running(
+        self,
+        now: float,
+        key: _Key,
+        tracked: _TrackedLoad,
+        present: Mapping[str, Backend],
     ) -> bool:
         """Whether a load that nobody tells of is still under way.
 
@@ -179,35 +186,39 @@
         by another that it slows; and seen again, it would look as if it had just begun,
         or had ended as fast as if it were alone.
         """
-        at, _ = key
-        backend = present.get(at.instance)
-        if backend is None or at.precedes(backend.incarnation):
+        incarnation, _ = key
+        backend = present.get(incarnation.instance)
+        if backend is None or incarnation.precedes(backend.incarnation):
             # A load is cut off where its engine is gone, or starts anew.
             return False
         if backend.agent_heard(now):
             return False
-        return now < watched.began + (1.0 + OVERRUN_SHARE) * self._seconds(watched)
-
-    def _over(
-        self, now: float, key: _Key, watched: _Watched, present: Mapping[str, Backend]
+        return now < tracked.began + (1.0 + OVERRUN_SHARE) * self._expected_s(tracked)
+
+    def _handle_end(
+        self,
+        now: float,
+        key: _Key,
+        tracked: _TrackedLoad,
+        present: Mapping[str, Backend],
     ) -> None:
         """Learn from a load that has ended, if its end was seen."""
-        at, _ = key
-        backend = present.get(at.instance)
-        seen_s = now - watched.seen_at
-        watched.seen_at = now
-        told = (
+        incarnation, _ = key
+        backend = present.get(incarnation.instance)
+        unseen_s = now - tracked.seen_at
+        tracked.seen_at = now
+        end_reported = (
             backend is not None
             and backend.agent_heard(now)
             and not backend.engine.silent
-            and not at.precedes(backend.incarnation)
+            and not incarnation.precedes(backend.incarnation)
         )
-        if told and seen_s <= SIMULTANEOUS_S:
-            self._ended(watched)
-        elif watched.place > self.loads:
-            self._tries_from = now + PROBE_RETRY_S
+        if end_reported and unseen_s <= SIMULTANEOUS_S:
+            self._learn_from(tracked)
+        elif tracked.position > self.loads:
+            self._probe_not_before = now + PROBE_RETRY_S
 
-    def _current(
+    def _reported_loads(
         self, now: float, backends: Iterable[Backend], engine: EngineSpec
     ) -> dict[_Key, Loading]:
         found = {}
@@ -224,39 +235,41 @@
                 found[(backend.incarnation, loading.model)] = loading
         return found
 
-    def _begun(self, now: float, key: _Key, stated_s: float, loading: Loading) -> None:
+    def _start_tracking(
+        self, now: float, key: _Key, nominal_s: float, loading: Loading
+    ) -> None:
         group = self._group
         if group is None or now - group.began > SIMULTANEOUS_S:
-            group = self._group = _Group(now, len(self._watched))
+            group = self._group = _Group(now, len(self._tracked))
         group.size += 1
-        place = len(self._watched) + 1
+        position = len(self._tracked) + 1
         began = now
-        if loading.left_s <= OVERRUN_SHARE * stated_s:
+        if loading.left_s <= OVERRUN_SHARE * nominal_s:
             # It was under way before this process saw it, and is late.
-            began -= stated_s
-        self._watched[key] = _Watched(stated_s, began, now, place, group)
-
-    def _ended(self, watched: _Watched) -> None:
-        seconds = watched.seen_at - watched.began
-        at_full_speed = seconds <= FULL_SPEED_RATIO * watched.stated_s
-        whole = seconds >= watched.stated_s / FULL_SPEED_RATIO
-        if whole and at_full_speed:
-            group = watched.group
+            began -= nominal_s
+        self._tracked[key] = _TrackedLoad(nominal_s, began, now, position, group)
+
+    def _learn_from(self, tracked: _TrackedLoad) -> None:
+        seconds = tracked.seen_at - tracked.began
+        at_full_speed = seconds <= FULL_SPEED_RATIO * tracked.nominal_s
+        ran_fully = seconds >= tracked.nominal_s / FULL_SPEED_RATIO
+        if ran_fully and at_full_speed:
+            group = tracked.group
             group.at_full_speed += 1
-            self.loads = max(self.loads, group.before + group.at_full_speed)
+            self.loads = max(self.loads, group.running_before + group.at_full_speed)
 
-    def _lower(self) -> None:
+    def _lower_estimate(self) -> None:
         """Take the estimate down as soon as loads are overdue: the longer they are, the
         lower is the number that explains it."""
         bounds = []
-        for watched in self._watched.values():
-            seconds = watched.seen_at - watched.began
-            if seconds > SLOW_RATIO * watched.stated_s:
-                most = watched.group.most_under_way
-                bounds.append(most * watched.stated_s / seconds)
+        for tracked in self._tracked.values():
+            seconds = tracked.seen_at - tracked.began
+            if seconds > SLOW_RATIO * tracked.nominal_s:
+                most = tracked.group.most_under_way
+                bounds.append(most * tracked.nominal_s / seconds)
         if not bounds:
             return
-        self._bounded = True
+        self._bound_is_known = True
         if len(bounds) < MIN_SLOW_LOADS:
             return
         bound = math.floor(statistics.median(bounds) + ROUNDING_MARGIN)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency_by_service.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency_by_service.py
@@ -19,33 +19,37 @@
     """The estimates by service."""
 
     def __init__(self) -> None:
-        self._speeds: dict[str, StoreConcurrency] = {}
+        self._by_service: dict[str, StoreConcurrency] = {}
 
     @property
     def min_loads(self) -> float:
         """The loads that the store is taken to serve at full speed, by the slowest of
         the services; 0 if there are none."""
-        return min((speed.loads for speed in self._speeds.values()), default=0)
+        return min(
+            (concurrency.loads for concurrency in self._by_service.values()), default=0
+        )
 
     def observe(
         self, now: float, service: ServiceSpec, backends: Collection[Backend]
     ) -> StoreConcurrency:
         """Take a look at the loads under way; to be called several times a second."""
-        speed = self._speeds.get(service.name)
-        if speed is None:
-            speed = StoreConcurrency(initial_loads(service.engine))
-            self._speeds[service.name] = speed
-        speed.observe(now, backends, service.engine)
-        return speed
+        concurrency = self._by_service.get(service.name)
+        if concurrency is None:
+            concurrency = StoreConcurrency(initial_loads(service.engine))
+            self._by_service[service.name] = concurrency
+        concurrency.observe(now, backends, service.engine)
+        return concurrency
 
 
-def remaining_time(speed: StoreConcurrency, now: float) -> Callable[[Backend], float]:
+def remaining_time(
+    concurrency: StoreConcurrency, now: float
+) -> Callable[[Backend], float]:
     """When the load under way at an engine ends, the store's speed considered."""
 
     def left_s(backend: Backend) -> float:
         loading = backend.engine.loading
         if not loading.from_store:
             return loading.left_s
-        return speed.left_s(now, backend.incarnation, loading)
+        return concurrency.left_s(now, backend.incarnation, loading)
 
     return left_s
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_idle.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_idle.py
@@ -26,9 +26,9 @@
     def __init__(self) -> None:
         #: All idle time so far. Seconds.
         self.total_s = 0.0
-        self._since: float | None = None
-        self._seen_at = 0.0
-        self._told_at: float | None = None
+        self._idle_since: float | None = None
+        self._observed_at = 0.0
+        self._reported_at: float | None = None
 
     def observe(
         self, now: float, loads_under_way: int, awaited: Collection[str]
@@ -36,16 +36,20 @@
         """Take a look; ``awaited`` are models that no engine has a copy of. Returns how
         long the store has been idle where that is to be told, in seconds."""
         if loads_under_way or not awaited:
-            self._since = self._told_at = None
+            self._idle_since = self._reported_at = None
             return None
-        if self._since is None or now - self._seen_at > MAX_SAMPLE_GAP_S:
-            self._since = self._seen_at = now
-            self._told_at = None
-        self.total_s += now - self._seen_at
-        self._seen_at = now
-        told_at = self._told_at
-        due_at = self._since + MIN_IDLE_S if told_at is None else told_at + REPEAT_S
+        if self._idle_since is None or now - self._observed_at > MAX_SAMPLE_GAP_S:
+            self._idle_since = self._observed_at = now
+            self._reported_at = None
+        self.total_s += now - self._observed_at
+        self._observed_at = now
+        reported_at = self._reported_at
+        due_at = (
+            self._idle_since + MIN_IDLE_S
+            if reported_at is None
+            else reported_at + REPEAT_S
+        )
         if now < due_at:
             return None
-        self._told_at = now
-        return now - self._since
+        self._reported_at = now
+        return now - self._idle_since
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
@@ -39,7 +39,7 @@
 class StartReason(enum.Enum):
     """Why a load begins when it does.
 
-    ``FREE``: the store serves it at full speed. ``PROBE``: it is begun to see
+    ``FREE``: the store serves it at capacity speed. ``PROBE``: it is begun to see
     whether the store serves one more. ``OVERSUBSCRIBED``: it is over sooner beside the others.
     ``QUEUED``: it waits for its turn.
     """
@@ -61,7 +61,7 @@
 class StoreQueue:
     """The loads of a plan, from those under way on.
 
-    ``full`` is how many the store is known to serve at full speed, ``allow_probe`` whether
+    ``capacity`` is how many the store is known to serve at capacity speed, ``allow_probe`` whether
     another may be begun beside these, to see whether it serves that as well.
 
     Example::
@@ -71,9 +71,9 @@
     """
 
     def __init__(
-        self, full: int, ends_in_s: Iterable[float], allow_probe: bool = False
+        self, capacity: int, ends_in_s: Iterable[float], allow_probe: bool = False
     ) -> None:
-        self._full = full
+        self._capacity = capacity
         self._allow_probe = allow_probe
         self._loads = [_Load(0.0, end) for end in ends_in_s]
 
@@ -99,7 +99,7 @@
 
     def room(self) -> int:
         """How many more loads could begin now."""
-        return max(0, self._full - self._under_way(0.0))
+        return max(0, self._capacity - self._under_way(0.0))
 
     def preview(
         self,
@@ -126,22 +126,22 @@
         if begins <= 0:
             return begins, begins + load_s, StartReason.FREE
         under_way = self._under_way(0.0)
-        slowed_s = load_s * max(1.0, (under_way + 1) / self._full)
-        tries = self._allow_probe and oversubscription >= Oversubscription.MAY_PROBE
-        if tries and under_way == len(self._loads) <= self._full:
+        slowed_s = load_s * max(1.0, (under_way + 1) / self._capacity)
+        can_probe = self._allow_probe and oversubscription >= Oversubscription.MAY_PROBE
+        if can_probe and under_way == len(self._loads) <= self._capacity:
             # None waits before it.
             if begins > MIN_PROBE_WAIT * load_s:
                 return 0.0, slowed_s, StartReason.PROBE
         is_sooner = slowed_s + MIN_GAIN_S <= begins + load_s
-        crowds = oversubscription is Oversubscription.MAY_OVERSUBSCRIBE
-        if crowds and is_sooner and slowed_s <= MAX_SLOWDOWN * load_s:
+        can_oversubscribe = oversubscription is Oversubscription.MAY_OVERSUBSCRIBE
+        if can_oversubscribe and is_sooner and slowed_s <= MAX_SLOWDOWN * load_s:
             return 0.0, slowed_s, StartReason.OVERSUBSCRIBED
         return begins, begins + load_s, StartReason.QUEUED
 
     def _next_free(self) -> float:
         ends = sorted([load.ends for load in self._loads])
         for at in [0.0, *ends]:
-            if self._under_way(at) < self._full:
+            if self._under_way(at) < self._capacity:
                 return at
         return ends[-1]
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/wakeups.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/wakeups.py
@@ -22,12 +22,12 @@
     return (
         before.incarnation != state.incarnation
         or before.holdings != state.holdings
-        or _loads(before) != _loads(state)
+        or _loading_model(before) != _loading_model(state)
         or (before.busy and not state.busy)
         or before.orderable != state.orderable
         or before.silent != state.silent
     )
 
 
-def _loads(state: EngineState) -> str | None:
+def _loading_model(state: EngineState) -> str | None:
     return state.loading.model if state.loading is not None else None
--- a/packages/bambootiller-standins/src/bambootiller_standins/quotaforms/_forms.py
+++ b/packages/bambootiller-standins/src/bambootiller_standins/quotaforms/_forms.py
@@ -10,7 +10,7 @@
 from bambootiller_core.gateway.customers import Quota
 from bambootiller_core.gateway.quota_account import QuotaAccount
 from bambootiller_core.gateway.quota_allocator import QuotaAllocator
-from bambootiller_core.gateway.quota_limits import Limit, QuotaTerms
+from bambootiller_core.gateway.quota_limits import Limit, QuotaTolerance
 from bambootiller_core.gateway.quota_messages import QuotaAsk
 from bambootiller_core.gateway.quota_record import Member
 from bambootiller_standins.quotaforms._world import World
@@ -51,12 +51,12 @@
     world: World
     entries: list[str]
     quotas: dict[str, Quota]
-    terms: QuotaTerms
+    tolerance: QuotaTolerance
     incarnations: dict[str, int] = field(default_factory=dict)
 
     def limit(self, customer: str) -> Limit:
         """The limit in force."""
-        return Limit.of(self.quotas[customer], self.terms)
+        return Limit.of(self.quotas[customer], self.tolerance)
 
 
 class Form:
@@ -141,13 +141,13 @@
         """By what was spent in the window, as far as it is known here."""
         now, quota = self.world.now, self.fleet.quotas[customer]
         known = self._known[entry]
-        horizon = now - self.fleet.terms.window_s
+        horizon = now - self.fleet.tolerance.window_s
         while known and known[0][0] < horizon:
             known.popleft()
         total = sum(
             amount for at, name, amount in known if name == customer and at >= horizon
         )
-        most = quota.rate_per_s * self.fleet.terms.window_s + quota.burst
+        most = quota.rate_per_s * self.fleet.tolerance.window_s + quota.burst
         admitted = total + cost <= most
         if admitted:
             self._spent[entry].append((now, customer, cost))
@@ -205,7 +205,7 @@
         """From the entry's account, after an ask if that lacks something."""
         now, limit = self.world.now, self.fleet.limit(customer)
         account = self._account(entry, customer)
-        account.asked_for(now, cost)
+        account.record_demand(now, cost)
         spent = account.take(now, limit, cost)
         if spent is not None:
             account.settle(spent)
@@ -247,9 +247,9 @@
         if allocator is None:
             return
         answer = allocator.answer(now, ask, self._limits())
-        if allocator.record_wanted is not None:
-            self._record = allocator.record_wanted
-            allocator.recorded(self._record)
+        if allocator.pending_record is not None:
+            self._record = allocator.pending_record
+            allocator.record_written(self._record)
         if answer is not None:
             self.world.send(
                 "allocator", ask.entry, lambda: self._heard_back(ask, answer, asked_at)
--- a/packages/bambootiller-standins/src/bambootiller_standins/quotaforms/_scenarios.py
+++ b/packages/bambootiller-standins/src/bambootiller_standins/quotaforms/_scenarios.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from bambootiller_core.gateway.customers import Quota, QuotaUnit
-from bambootiller_core.gateway.quota_limits import QuotaTerms
+from bambootiller_core.gateway.quota_limits import QuotaTolerance
 from bambootiller_standins.quotaforms._forms import Fleet, Form
 from bambootiller_standins.quotaforms._world import Network, World
 
@@ -19,7 +19,7 @@
 MEAN_COST = 1000.0
 #: Calls a second and entry, of all customers.
 CALLS_PER_ENTRY = 7.5
-TERMS = QuotaTerms(window_s=8.0, overage=0.1, slack=7400.0)
+TERMS = QuotaTolerance(window_s=8.0, overage=0.1, slack=7400.0)
 BEGIN_S = 4.0
 END_S = 34.0
 
--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -330,7 +330,7 @@
             self._events.emit(changed)
         if before is None:
             return
-        if not now_there.incarnation.is_other_start(before.incarnation):
+        if not now_there.incarnation.differs_from(before.incarnation):
             return
         self._engine_gone(before.incarnation)
         line = lines.BackendRestarted(
--- a/packages/bambootiller/src/bambootiller/gateway/allowances.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allowances.py
@@ -18,10 +18,10 @@
 from bambootiller.gateway import wire
 from bambootiller.gateway.boot_clock import boot_now
 from bambootiller.gateway.exchange import Outgoing, Update
-from bambootiller_core.gateway.quota_account import QuotaAccount, Spent
+from bambootiller_core.gateway.quota_account import QuotaAccount, QuotaCharge
 from bambootiller_core.gateway.quota_limits import Limit
 from bambootiller_core.gateway.quota_messages import (
-    SHARE_S,
+    SHARE_TTL_S,
     CustomerGrant,
     QuotaAnswer,
     QuotaAsk,
@@ -33,8 +33,8 @@
 REVIEW_S = 0.4
 #: Demand is told this often at most while nothing waits. Seconds.
 TOLD_S = 1.0
-#: And this often at least: shares end (``quota_messages.SHARE_S``). Seconds.
-RENEWED_S = SHARE_S / 3
+#: And this often at least: shares end (``quota_messages.SHARE_TTL_S``). Seconds.
+RENEWED_S = SHARE_TTL_S / 3
 #: Demand that differs from what the share is for by less than this part isn't told.
 MOVED_SHARE = 0.3
 #: The longest that a call waits for an answer, and for one of an allocator that isn't
@@ -148,7 +148,7 @@
         for name in [name for name in self._books if name not in self._limits]:
             for waiter in self._books.pop(name).waiters:
                 # There is no limit any more.
-                _decide(waiter, Spent(0.0, 0.0))
+                _decide(waiter, QuotaCharge(0.0, 0.0))
 
     @property
     def has_limits(self) -> bool:
@@ -213,42 +213,42 @@
         book = self._book(name)
         book.dry_until = max(book.dry_until, self.clock() + seconds)
 
-    def asked_for(self, name: str, cost: float) -> None:
+    def record_demand(self, name: str, cost: float) -> None:
         """A call of that cost has come."""
-        self._book(name).account.asked_for(self.clock(), cost)
+        self._book(name).account.record_demand(self.clock(), cost)
 
     async def obtain(
         self, name: str, cost: float, wait_s: float = WAIT_S
-    ) -> Spent | Shortage:
+    ) -> QuotaCharge | Shortage:
         """Spend the cost of a call, waiting for an answer if it isn't there."""
         limit = self._limits.get(name)
         if limit is None:
-            return Spent(0.0, 0.0)
+            return QuotaCharge(0.0, 0.0)
         now, book = self.clock(), self._book(name)
-        spent = None if book.waiters else book.account.take(now, limit, cost)
-        if spent is not None:
-            return spent
+        charge = None if book.waiters else book.account.take(now, limit, cost)
+        if charge is not None:
+            return charge
         if now < book.dry_until:
             return Shortage.NO_ROOM
         return await self._wait(book, cost, wait_s)
 
-    def ended(self, name: str, spent: Spent, may_have_run: bool) -> None:
+    def ended(self, name: str, charge: QuotaCharge, may_have_run: bool) -> None:
         """A call has ended that was let in; what it cost is given back if it never
         ran."""
         book, limit = self._books.get(name), self._limits.get(name)
         if book is None or limit is None:
             return
         if may_have_run:
-            book.account.settle(spent)
+            book.account.settle(charge)
         else:
-            book.account.give_back(self.clock(), limit, spent)
+            book.account.refund(self.clock(), limit, charge)
             self._look(book, limit)
 
     def ran_again(self, name: str, cost: float) -> None:
         """A call is sent once more though it may have run."""
         book, limit = self._books.get(name), self._limits.get(name)
         if book is not None and limit is not None:
-            book.account.take_anyway(self.clock(), limit, cost)
+            book.account.overdraw(self.clock(), limit, cost)
 
     def fill(self, update: Update, outgoing: Outgoing) -> None:
         """Put what is to be asked into a message to the allocator."""
@@ -260,7 +260,9 @@
         self._number += 1
         self._asked_at[self._number] = now
         self._asked_at = {
-            number: at for number, at in self._asked_at.items() if now - at < SHARE_S
+            number: at
+            for number, at in self._asked_at.items()
+            if now - at < SHARE_TTL_S
         }
         asked = {}
         for name, book in self._books.items():
@@ -308,7 +310,9 @@
     def _book(self, name: str) -> _Book:
         return self._books.setdefault(name, _Book())
 
-    async def _wait(self, book: _Book, cost: float, wait_s: float) -> Spent | Shortage:
+    async def _wait(
+        self, book: _Book, cost: float, wait_s: float
+    ) -> QuotaCharge | Shortage:
         waiter = _Waiter(cost, asyncio.get_running_loop().create_future())
         book.waiters.append(waiter)
         self._ask()
@@ -375,10 +379,10 @@
         """Let in calls that wait, in their order."""
         now = self.clock()
         while book.waiters:
-            spent = book.account.take(now, limit, book.waiters[0].cost)
-            if spent is None:
+            charge = book.account.take(now, limit, book.waiters[0].cost)
+            if charge is None:
                 return
-            _decide(book.waiters.popleft(), spent)
+            _decide(book.waiters.popleft(), charge)
 
     def _ask(self) -> None:
         allocator = self.allocator
@@ -390,9 +394,9 @@
             allocator.poke()
 
 
-def _decide(waiter: _Waiter, spent: Spent | None) -> None:
+def _decide(waiter: _Waiter, charge: QuotaCharge | None) -> None:
     if not waiter.decided.done():
-        waiter.decided.set_result(spent)
+        waiter.decided.set_result(charge)
 
 
 def _moved(told: float, demand: float) -> bool:
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -79,9 +79,9 @@
         self._planners: dict[str, Planner] = {}
         self._store_idle: dict[str, StoreIdleTracker] = {}
         self._planned_at = float("-inf")
-        self._speeds = StoreConcurrencyByService()
+        self._store_concurrency = StoreConcurrencyByService()
         self._due_adapters: dict[str, DueAdapters] = {}
-        self._first_looks: dict[str, InitialDiscovery] = {}
+        self._discoveries: dict[str, InitialDiscovery] = {}
         self._clock = PlanClock(
             self._due,
             self._awaited,
@@ -179,7 +179,7 @@
 
     def store_loads(self) -> float:
         """How many loads the weight store is taken to serve at full speed."""
-        return self._speeds.min_loads
+        return self._store_concurrency.min_loads
 
     def plan_for(self, service: str, model: str) -> PlannedLoad | None:
         """The load of the model for a call that waits now: the plan is made anew unless
@@ -208,16 +208,16 @@
         for service in self._engine_services():
             backends = self._knowledge.fleet.of_service(service.name)
             pairs += len(backends) * len(service.engine.models)
-            speed = self._observe(now, service)
+            concurrency = self._observe(now, service)
             wants = self._refresh_wants(service.name)
             wants_of_all = self.wants_of_all(service.name, wants)
             known = [backend.instance for backend in backends if not backend.lost(now)]
             planner = Planner(
                 service.engine,
-                speed.loads,
-                remaining_time(speed, now),
-                speed.ends_elsewhere(now, known),
-                speed.allows_probe and self._asks.may_probe(now, service.name),
+                concurrency.loads,
+                remaining_time(concurrency, now),
+                concurrency.ends_elsewhere(now, known),
+                concurrency.allows_probe and self._asks.may_probe(now, service.name),
                 self._asks.cooling_down(now, service.name),
             )
             plan = planner.plan(now, backends, self._admitted(wants_of_all))
@@ -360,7 +360,7 @@
     def _observe(self, now: float, service: ServiceSpec) -> StoreConcurrency:
         """Take a look at the loads under way, at engines that leave too."""
         backends = self._knowledge.fleet.all_of_service(service.name)
-        return self._speeds.observe(now, service, backends)
+        return self._store_concurrency.observe(now, service, backends)
 
     def _engine_services(self) -> list[ServiceSpec]:
         config = self._knowledge.config
@@ -372,6 +372,6 @@
     ) -> bool:
         """Whether copies of models can be at no engine that this entry hasn't heard of
         since it started."""
-        look = self._first_looks.setdefault(service, InitialDiscovery())
+        look = self._discoveries.setdefault(service, InitialDiscovery())
         quiet_s = self._knowledge.gather_s + LISTED_WITHIN_S
         return look.is_complete(now, backends, quiet_s)
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -34,7 +34,7 @@
 from bambootiller_core.gateway import log_lines as lines
 from bambootiller_core.gateway.config import CallLimits
 from bambootiller_core.gateway.overload import Overload
-from bambootiller_core.gateway.retry_budget import AttemptBudget
+from bambootiller_core.gateway.retry_budget import RetryBudget
 
 #: A leaving entry takes new calls for this long: the balancer has to miss its readiness
 #: twice, a second apart, before it sends no new connections. Seconds.
@@ -328,9 +328,9 @@
         servicer = ResidencyServicer(self._exchanger, _nothing, _ignore, to_entry=True)
         api.add_ResidencyServicer_to_server(servicer, server)
 
-    def _new_budget(self) -> AttemptBudget:
+    def _new_budget(self) -> RetryBudget:
         bounds = self._platform.bounds
-        return AttemptBudget(
+        return RetryBudget(
             bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
         )
 
--- a/packages/bambootiller/src/bambootiller/gateway/failover.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -227,7 +227,7 @@
         if not self._context.quarantine.admits(self._call):
             return StayReason.KEPT_APART
         service = self._context.service(self._call.service)
-        if service.budget.left(now) < 1.0:
+        if service.budget.remaining(now) < 1.0:
             return StayReason.BUDGET
         backend = self._placement.another()
         if backend is None or service.health.avoided(now, backend.incarnation):
--- a/packages/bambootiller/src/bambootiller/gateway/load_asks.py
+++ b/packages/bambootiller/src/bambootiller/gateway/load_asks.py
@@ -102,9 +102,9 @@
         planned = [load for load in plan.values() if load.ask_now and load.from_store]
         asks = self._store_asks.setdefault(service, StoreLoadRequests())
         chosen = asks.choose(now, planned, self._is_told, self._is_listed)
-        for load in asks.given_up:
+        for load in asks.expired:
             self._emit(StoreLoadNotBegun(service, load.model, load.instance))
-        for load in asks.begun:
+        for load in asks.newly_requested:
             want = wants_of_all.get(load.model, NO_WANT)
             self._emit(_asked(service, load, planner, want))
         return chosen
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -15,7 +15,7 @@
     EngineReport,
     OrderAnswer,
 )
-from bambootiller_core.gateway.quota_limits import QuotaTerms
+from bambootiller_core.gateway.quota_limits import QuotaTolerance
 from bambootiller_core.ports import KeyValue, Record
 
 #: Name and value as they stand on the wire, the name in lower case.
@@ -164,7 +164,7 @@
     retry_slack: float = 50.0
     retry_window_s: float = 10.0
     leaving_s: float = 2.0
-    quota: QuotaTerms = QuotaTerms()
+    quota: QuotaTolerance = QuotaTolerance()
 
 
 @dataclass(slots=True)
--- a/packages/bambootiller/src/bambootiller/gateway/quota_allocation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quota_allocation.py
@@ -24,7 +24,7 @@
 from bambootiller_core.gateway.config import GatewayConfig
 from bambootiller_core.gateway.log_lines import DocumentUnreadable, QuotaAllocator
 from bambootiller_core.gateway.quota_allocator import QuotaAllocator as Allocator
-from bambootiller_core.gateway.quota_limits import Limit, QuotaTerms, limits_of
+from bambootiller_core.gateway.quota_limits import Limit, QuotaTolerance, limits_of
 from bambootiller_core.gateway.quota_messages import QuotaAnswer
 from bambootiller_core.gateway.quota_record import HOLDER_KEY, MEMBERS_KEY, Member
 from bambootiller_core.gateway.reported_limits import shared_limits
@@ -72,7 +72,7 @@
         app: Application,
         kv: KeyValue,
         events: EventLog,
-        terms: Callable[[], QuotaTerms],
+        tolerance: Callable[[], QuotaTolerance],
         poke: Callable[[], None],
         hears_an_entry: Callable[[], bool],
         named: ServerLimits,
@@ -82,12 +82,12 @@
         self._app = app
         self._kv = kv
         self._events = events
-        self._terms = terms
+        self._tolerance = tolerance
         self._poke = poke
         self._hears_an_entry = hears_an_entry
         self._config: GatewayConfig | None = None
         self._limits: dict[str, Limit] = {}
-        self._limited_by = terms()
+        self._limited_by = tolerance()
         self._allocator: Allocator | None = None
         self._valid_until = float("-inf")
         self._lease = 0
@@ -108,7 +108,7 @@
 
     def configured(self, config: GatewayConfig) -> None:
         """A configuration has come into force."""
-        self._config, self._limited_by = config, self._terms()
+        self._config, self._limited_by = config, self._tolerance()
         self._limits_changed()
 
     def _limits_changed(self) -> None:
@@ -140,7 +140,7 @@
             self._app.spawn("allocator of quotas", self._allocate())
         if not update.HasField("quota_ask") or not self.term:
             return
-        if self._terms() != self._limited_by and self._config is not None:
+        if self._tolerance() != self._limited_by and self._config is not None:
             # The settings have changed.
             self.configured(self._config)
         ask = wire.quota_ask_of(update.quota_ask, outgoing.peer)
@@ -148,7 +148,7 @@
         if answer is not None:
             self._answers[outgoing] = answer
             outgoing.poke()
-        if self._allocator.record_wanted is not None and not self._writing:
+        if self._allocator.pending_record is not None and not self._writing:
             self._writing = True
             self._app.spawn("members of quotas", self._write_members())
 
@@ -227,7 +227,7 @@
         self._members_revision = record.mod_revision
         try:
             return quota_record.decode(record.value)
-        except quota_record.RecordUnreadable as exc:
+        except quota_record.UnreadableRecord as exc:
             line = DocumentUnreadable(record.key, record.mod_revision, str(exc))
             self._events.emit(line)
             return {"unreadable": Member("", dict.fromkeys(self._limits, 1.0))}
@@ -257,8 +257,8 @@
 
     async def _write_members(self) -> None:
         try:
-            while self.term and self._allocator.record_wanted is not None:
-                wanted = self._allocator.record_wanted
+            while self.term and self._allocator.pending_record is not None:
+                wanted = self._allocator.pending_record
                 if not await self._write(self._allocator, wanted):
                     await asyncio.sleep(RETRY_S)
         finally:
@@ -273,7 +273,7 @@
         written = await self._kv.transact(compares, [put])
         if isinstance(written, Committed):
             self._members_revision = written.revision
-            allocator.recorded(wanted)
+            allocator.record_written(wanted)
             return True
         if isinstance(written, Conflict):
             held = {record.key: record for record in written.records}
--- a/packages/bambootiller/src/bambootiller/gateway/quotas.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quotas.py
@@ -12,8 +12,8 @@
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.config import GatewayConfig
 from bambootiller_core.gateway.log_lines import QuotaSeen
-from bambootiller_core.gateway.quota_account import Spent
-from bambootiller_core.gateway.quota_limits import QuotaTerms, limits_of
+from bambootiller_core.gateway.quota_account import QuotaCharge
+from bambootiller_core.gateway.quota_limits import QuotaTolerance, limits_of
 from bambootiller_core.timers import TimerService
 
 #: How often it is looked whether the settings have changed. Seconds.
@@ -26,20 +26,22 @@
 class Admission:
     """A call that was let in; closed when its end is known."""
 
-    def __init__(self, allowances: Allowances, name: str, spent: Spent | None) -> None:
+    def __init__(
+        self, allowances: Allowances, name: str, charge: QuotaCharge | None
+    ) -> None:
         self._allowances = allowances
         self._name = name
-        self._spent = spent
+        self._charge = charge
 
     def close(self, may_have_run: bool) -> None:
         """The call has ended; what it cost is given back if it never ran."""
-        spent, self._spent = self._spent, None
-        if spent is not None:
-            self._allowances.ended(self._name, spent, may_have_run)
+        charge, self._charge = self._charge, None
+        if charge is not None:
+            self._allowances.ended(self._name, charge, may_have_run)
 
 
 class Quotas:
-    """The quotas of all customers at one entry; ``terms`` are the platform's.
+    """The quotas of all customers at one entry; ``tolerance`` are the platform's.
 
     Example::
 
@@ -51,13 +53,13 @@
     def __init__(
         self,
         knowledge: Knowledge,
-        terms: Callable[[], QuotaTerms],
+        tolerance: Callable[[], QuotaTolerance],
         allowances: Allowances,
     ) -> None:
         self._knowledge = knowledge
-        self._terms = terms
+        self._tolerance = tolerance
         self._allowances = allowances
-        self._limited_by = terms()
+        self._limited_by = tolerance()
 
     def start(self, timers: TimerService, now: float) -> None:
         """Follow the configuration and the settings."""
@@ -69,7 +71,7 @@
         return self._allowances.shares(KIND)
 
     def _configured(self, config: GatewayConfig) -> None:
-        self._limited_by = self._terms()
+        self._limited_by = self._tolerance()
         limits = limits_of(config.customers, self._limited_by)
         self._allowances.limited(KIND, limits)
 
@@ -79,9 +81,9 @@
         name = call.customer.name if call.customer is not None else ""
         if allowances.limit(name) is None:
             return Admission(allowances, name, None)
-        allowances.asked_for(name, call.cost)
+        allowances.record_demand(name, call.cost)
         found = await allowances.obtain(name, call.cost)
-        if isinstance(found, Spent):
+        if isinstance(found, QuotaCharge):
             return Admission(allowances, name, found)
         return self._refusal(call, found)
 
@@ -120,5 +122,5 @@
 
     def review(self) -> None:
         """Take over settings that have changed."""
-        if self._terms() != self._limited_by and self._knowledge.config is not None:
+        if self._tolerance() != self._limited_by and self._knowledge.config is not None:
             self._configured(self._knowledge.config)
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -117,7 +117,7 @@
         if isinstance(admission, Refusal):
             return admission
         self._admission = admission
-        self._service.budget.called(self._context.clock())
+        self._service.budget.record_call(self._context.clock())
         if self._call.ask is not None:
             self._placement.ask()
         while True:
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -22,7 +22,7 @@
 from bambootiller_core.gateway.health import Health
 from bambootiller_core.gateway.incarnation import Incarnation
 from bambootiller_core.gateway.log_lines import BackendJudged
-from bambootiller_core.gateway.retry_budget import ASSUMED_ENTRIES, AttemptBudget
+from bambootiller_core.gateway.retry_budget import ASSUMED_ENTRIES, RetryBudget
 from bambootiller_core.gateway.returning import Returning
 from bambootiller_core.gateway.service_levels import ServiceLevels
 
@@ -45,7 +45,7 @@
     """What belongs to one service while it is configured."""
 
     health: Health = field(default_factory=Health)
-    budget: AttemptBudget | None = None
+    budget: RetryBudget | None = None
     levels: ServiceLevels = field(default_factory=ServiceLevels)
     returning: Returning = field(default_factory=Returning)
 
@@ -62,7 +62,7 @@
         zone: str,
         rng: random.Random,
         clock: Callable[[], float],
-        new_budget: Callable[[], AttemptBudget],
+        new_budget: Callable[[], RetryBudget],
         running_time: RunningClock,
         quarantine: Quarantine,
         quotas: Quotas,
@@ -152,8 +152,8 @@
     def least_budget(self) -> float:
         """The second attempts that the tightest budget of a service allows now."""
         now = self.clock()
-        left = (state.budget.left(now) for state in self._services.values())
-        return min(left, default=0.0)
+        remaining = (state.budget.remaining(now) for state in self._services.values())
+        return min(remaining, default=0.0)
 
     def open_count(self) -> int:
         """The connections to backend servers, idle ones included."""
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -101,7 +101,7 @@
                 may_have_run=progress.may_have_run,
                 last_event=progress.last_event,
                 next=type(then).__name__,
-                budget_left=round(budget.left(now), 1),
+                budget_left=round(budget.remaining(now), 1),
                 left_ms=_ms(call.deadline - now),
                 chosen_on=self._chosen_on,
             )
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -14,7 +14,7 @@
 from bambootiller.gateway.allowances import Allowances, Shortage
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.quota_account import Spent
+from bambootiller_core.gateway.quota_account import QuotaCharge
 from bambootiller_core.gateway.reported_limits import limit_name, shared_limits
 
 KIND = "backend servers"
@@ -46,10 +46,10 @@
 class Permit:
     """What lets one call be sent to one backend server."""
 
-    def __init__(self, allowances: Allowances, name: str, spent: Spent) -> None:
+    def __init__(self, allowances: Allowances, name: str, charge: QuotaCharge) -> None:
         self._allowances = allowances
         self._name = name
-        self._spent: Spent | None = spent
+        self._charge: QuotaCharge | None = charge
 
     def used(self) -> None:
         """The call was sent."""
@@ -60,9 +60,9 @@
         self._close(False)
 
     def _close(self, sent: bool) -> None:
-        spent, self._spent = self._spent, None
-        if spent is not None:
-            self._allowances.ended(self._name, spent, sent)
+        charge, self._charge = self._charge, None
+        if charge is not None:
+            self._allowances.ended(self._name, charge, sent)
 
 
 class ServerAdmission:
@@ -101,13 +101,13 @@
     def asked(self, backend: Backend) -> None:
         """A call would go to the backend server, if it may."""
         if self.is_limited(backend):
-            self._allowances.asked_for(limit_name(backend.instance), CALL)
+            self._allowances.record_demand(limit_name(backend.instance), CALL)
 
     async def permit(self, backend: Backend) -> Permit | None:
         """What lets a call be sent there now."""
         name = limit_name(backend.instance)
         found = await self._allowances.obtain(name, CALL, ANSWER_S)
-        if isinstance(found, Spent):
+        if isinstance(found, QuotaCharge):
             return Permit(self._allowances, name, found)
         backend.short_until = self._clock() + SHORT_S
         if found is Shortage.UNKNOWN:
--- a/packages/bambootiller/src/bambootiller/gateway/server_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_limits.py
@@ -13,7 +13,7 @@
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller_core.gateway.fleet import Backend, Fleet
 from bambootiller_core.gateway.log_lines import BackendLimit, BackendLimitUnreadable
-from bambootiller_core.gateway.reported_limits import NamedLimit, NamedLimits
+from bambootiller_core.gateway.reported_limits import ReportedLimit, ReportedLimits
 from bambootiller_core.timers import TimerService
 
 FORGET_S = 20.0
@@ -36,7 +36,7 @@
         self._events = events
         self._clock = clock
         self._poke = poke
-        self._limits = NamedLimits()
+        self._limits = ReportedLimits()
         self._listeners: list[Callable[[], None]] = []
 
     def start(self, timers: TimerService, now: float, fleet: Fleet) -> None:
@@ -62,11 +62,11 @@
 
     def named(self, backend: Backend, per_s: float) -> None:
         """An answer names a limit."""
-        self._said(NamedLimit(backend.instance, per_s, self._clock()))
+        self._said(ReportedLimit(backend.instance, per_s, self._clock()))
 
     def named_none(self, backend: Backend, sent_at: float) -> None:
         """The answer to a call that was sent at ``sent_at`` names none."""
-        self._said(NamedLimit(backend.instance, None, sent_at))
+        self._said(ReportedLimit(backend.instance, None, sent_at))
 
     def unreadable(self, backend: Backend, detail: str) -> None:
         """An answer names something that isn't a limit; what held goes on."""
@@ -79,7 +79,7 @@
         if untold is None:
             return
         now = self._clock()
-        for limit in self._limits.news(untold):
+        for limit in self._limits.unsent(untold):
             wire.add_server_limit(update, limit, now)
 
     def take(self, update: Update, outgoing: Outgoing) -> None:
@@ -88,9 +88,9 @@
         for message in update.server_limits:
             self._said(wire.server_limit_of(message, now), outgoing.peer)
 
-    def _said(self, limit: NamedLimit, source: str = "") -> None:
+    def _said(self, limit: ReportedLimit, source: str = "") -> None:
         before, version = self._limits.per_s(limit.instance), self._limits.version
-        if self._limits.said(limit, source):
+        if self._limits.apply(limit, source):
             line = BackendLimit(limit.instance, limit.per_s, before, source or "answer")
             self._events.emit(line)
             self._changed()
--- a/packages/bambootiller/src/bambootiller/gateway/wire.py
+++ b/packages/bambootiller/src/bambootiller/gateway/wire.py
@@ -15,7 +15,7 @@
     QuotaAnswer,
     QuotaAsk,
 )
-from bambootiller_core.gateway.reported_limits import NamedLimit
+from bambootiller_core.gateway.reported_limits import ReportedLimit
 from bambootiller_core.gateway.want import Want
 
 #: Room that is further away than this, or is never there, is told as so far. Seconds.
@@ -169,16 +169,18 @@
     )
 
 
-def add_server_limit(update: pb.ResidencyUpdate, limit: NamedLimit, now: float) -> None:
+def add_server_limit(
+    update: pb.ResidencyUpdate, limit: ReportedLimit, now: float
+) -> None:
     """Put what a backend server said of its limit into a message."""
-    age_ms = max(0, round((now - limit.said_at) * 1000))
+    age_ms = max(0, round((now - limit.reported_at) * 1000))
     update.server_limits.add(instance=limit.instance, per_s=limit.per_s, age_ms=age_ms)
 
 
-def server_limit_of(message: pb.ServerLimit, now: float) -> NamedLimit:
+def server_limit_of(message: pb.ServerLimit, now: float) -> ReportedLimit:
     """The same, received."""
     per_s = message.per_s if message.HasField("per_s") else None
-    return NamedLimit(message.instance, per_s, now - message.age_ms / 1000)
+    return ReportedLimit(message.instance, per_s, now - message.age_ms / 1000)
 
 
 def put_quota_ask(update: pb.ResidencyUpdate, ask: QuotaAsk) -> None:
--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -18,8 +18,8 @@
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller_core.gateway.demand import Demand
 from bambootiller_core.gateway.due_adapters import DueAdapters
-from bambootiller_core.gateway.quota_limits import QuotaTerms
-from bambootiller_core.gateway.retry_budget import AttemptBudget
+from bambootiller_core.gateway.quota_limits import QuotaTolerance
+from bambootiller_core.gateway.retry_budget import RetryBudget
 from bambootiller_core.gateway.running import TICK_S, RunningTime
 from bambootiller_core.gateway.want import NO_WANT
 from bambootiller_core.ports import Changed, Record
@@ -117,7 +117,7 @@
         self._ticking = loop.create_task(self._tick())
         allowances = Allowances("e1", lambda peer: True, lambda: False)
         limits = ServerLimits(self.events, loop.time, lambda: None)
-        self.quotas = Quotas(self.knowledge, QuotaTerms, allowances)
+        self.quotas = Quotas(self.knowledge, QuotaTolerance, allowances)
         self.context = RelayContext(
             self.knowledge,
             self.engines,
@@ -126,7 +126,7 @@
             "z1",
             random.Random(7),
             loop.time,
-            lambda: AttemptBudget(0.2, 54, 10.0),
+            lambda: RetryBudget(0.2, 54, 10.0),
             self.running_time,
             Quarantine(self.knowledge, self.events, loop.time, lambda: None),
             self.quotas,
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_standstills.py
@@ -20,7 +20,7 @@
 
 from bambootiller.gateway.knowledge import Knowledge, StoreWatcher
 from bambootiller.gateway.ports import Bounds
-from bambootiller_core.gateway.retry_budget import AttemptBudget
+from bambootiller_core.gateway.retry_budget import RetryBudget
 from bambootiller_core.gateway.running import TICK_S, RunningTime
 from bambootiller_platform import store as store_module
 from bambootiller_platform.documents import PlatformDirectory
@@ -46,7 +46,7 @@
         return [self.add(name, "llm", (MODEL_NAME,)) for name in ("i-1", "i-2")]
 
     def spend_budget(self):
-        self.bench.context.service("llm").budget = AttemptBudget(0.0, 0.0, 10.0)
+        self.bench.context.service("llm").budget = RetryBudget(0.0, 0.0, 10.0)
 
     async def call(self):
         return await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
--- a/tests/gateway/cover/test_customers.py
+++ b/tests/gateway/cover/test_customers.py
@@ -6,8 +6,8 @@
 
 from bambootiller_core.gateway.customers import (
     Customer,
+    CustomerConflict,
     Customers,
-    KeyTwice,
     Quota,
     QuotaUnit,
     credential,
@@ -48,13 +48,13 @@
         self.assertIsNone(customers.holder(None))
 
     def test_one_key_of_two_customers_is_refused_without_telling_it(self):
-        with self.assertRaises(KeyTwice) as raised:
+        with self.assertRaises(CustomerConflict) as raised:
             Customers.build([(FIRST, (KEY,)), (SECOND, (KEY,))])
         self.assertNotIn(KEY, str(raised.exception))
         self.assertIn("'second'", str(raised.exception))
 
     def test_two_customers_of_one_name_are_refused(self):
-        with self.assertRaises(KeyTwice):
+        with self.assertRaises(CustomerConflict):
             Customers.build([(FIRST, ("a",)), (Customer("first"), ("b",))])
 
     def test_no_key_is_kept(self):
--- a/tests/gateway/cover/test_named_limits.py
+++ b/tests/gateway/cover/test_named_limits.py
@@ -2,16 +2,20 @@
 
 import unittest
 
-from bambootiller_core.gateway.reported_limits import KEPT_S, NamedLimit, NamedLimits
+from bambootiller_core.gateway.reported_limits import (
+    RETENTION_S,
+    ReportedLimit,
+    ReportedLimits,
+)
 from bambootiller_core.gateway.telling import Untold
 
 
 class TestNamedLimits(unittest.TestCase):
     def setUp(self):
-        self.limits = NamedLimits()
+        self.limits = ReportedLimits()
 
     def say(self, per_s, at, source="", instance="i-1"):
-        return self.limits.said(NamedLimit(instance, per_s, at), source)
+        return self.limits.apply(ReportedLimit(instance, per_s, at), source)
 
     def test_the_last_word_holds(self):
         self.assertTrue(self.say(1.9, 10.0))
@@ -33,23 +37,23 @@
     def test_news_leave_out_what_the_peer_told(self):
         self.say(1.9, 10.0)
         self.say(0.5, 10.0, "a1", "i-2")
-        everything = self.limits.news(Untold(0, False, "a2"))
+        everything = self.limits.unsent(Untold(0, False, "a2"))
         self.assertEqual({item.instance for item in everything}, {"i-1", "i-2"})
-        for_teller = self.limits.news(Untold(0, False, "a1"))
+        for_teller = self.limits.unsent(Untold(0, False, "a1"))
         self.assertEqual([item.instance for item in for_teller], ["i-1"])
         since = Untold(self.limits.version, False, "a2")
-        self.assertEqual(self.limits.news(since), [])
+        self.assertEqual(self.limits.unsent(since), [])
 
     def test_a_peer_with_an_earlier_word_is_told_the_later_one(self):
         self.say(1.9, 10.0, "a1")
         version = self.limits.version
         self.assertFalse(self.say(None, 9.0, "a1"))
-        news = self.limits.news(Untold(version, True, "a1"))
-        self.assertEqual([item.per_s for item in news], [1.9])
+        unsent = self.limits.unsent(Untold(version, True, "a1"))
+        self.assertEqual([item.per_s for item in unsent], [1.9])
 
     def test_a_limit_lasts_as_long_as_its_backend_server_is_known(self):
         self.say(1.9, 10.0)
-        later = 10.0 + 2 * KEPT_S
+        later = 10.0 + 2 * RETENTION_S
         self.assertFalse(self.limits.forget(later, lambda name: True))
         self.assertTrue(self.limits.forget(later, lambda name: False))
         self.assertEqual(self.limits.in_force(), {})
--- a/tests/gateway/cover/test_overload.py
+++ b/tests/gateway/cover/test_overload.py
@@ -2,7 +2,12 @@
 
 import unittest
 
-from bambootiller_core.gateway.overload import BUSY_S, MOST_SHARE, SUSTAINED, Overload
+from bambootiller_core.gateway.overload import (
+    BUSY_S,
+    MAX_SHARE,
+    SUSTAINED_TICKS,
+    Overload,
+)
 
 
 class TestOverload(unittest.TestCase):
@@ -17,18 +22,18 @@
         """An instance that was suspended took no caller when it was back."""
         self.ticks(1, 8.0)
         self.ticks(5, 0.0)
-        self.ticks(SUSTAINED - 1, 2 * BUSY_S)
+        self.ticks(SUSTAINED_TICKS - 1, 2 * BUSY_S)
         self.assertEqual(self.overload.share, 0.0)
         self.assertTrue(self.overload.is_ready)
 
     def test_more_work_than_time_turns_away_more_and_more(self):
-        self.ticks(SUSTAINED, 2 * BUSY_S)
+        self.ticks(SUSTAINED_TICKS, 2 * BUSY_S)
         first = self.overload.share
         self.assertGreater(first, 0.0)
         self.ticks(4, 2 * BUSY_S)
         self.assertGreater(self.overload.share, first)
         self.ticks(40, 2 * BUSY_S)
-        self.assertEqual(self.overload.share, MOST_SHARE)
+        self.assertEqual(self.overload.share, MAX_SHARE)
         self.assertFalse(self.overload.is_ready)
 
     def test_it_ends_with_the_work(self):
--- a/tests/gateway/cover/test_quotas.py
+++ b/tests/gateway/cover/test_quotas.py
@@ -4,9 +4,12 @@
 
 from bambootiller_core.gateway.customers import Quota, QuotaUnit
 from bambootiller_core.gateway.quota_account import QuotaAccount
-from bambootiller_core.gateway.quota_allocator import SHARED_MOST, QuotaAllocator
-from bambootiller_core.gateway.quota_limits import Limit, QuotaTerms
-from bambootiller_core.gateway.quota_messages import SHARE_S, CustomerAsk, QuotaAsk
+from bambootiller_core.gateway.quota_allocator import (
+    MAX_SHARED_FRACTION,
+    QuotaAllocator,
+)
+from bambootiller_core.gateway.quota_limits import Limit, QuotaTolerance
+from bambootiller_core.gateway.quota_messages import SHARE_TTL_S, CustomerAsk, QuotaAsk
 from bambootiller_core.gateway.quota_record import Member
 
 LIMIT = Limit(rate_per_s=100.0, depth=140.0, share_depth=140.0, span_s=8.3)
@@ -14,7 +17,7 @@
 
 
 class TestLimit(unittest.TestCase):
-    TERMS = QuotaTerms(8.0, 0.1, 500.0)
+    TERMS = QuotaTolerance(8.0, 0.1, 500.0)
 
     def test_a_window_is_within_what_is_allowed(self):
         for burst in (0.0, 100.0, 900.0, 10_000.0):
@@ -35,8 +38,8 @@
 
     def test_a_customer_that_stores_nothing_runs_what_the_window_allows(self):
         quota = Quota(12_685.0, 45_664.0, QuotaUnit.TOKEN)
-        terms = QuotaTerms(8.0, 0.1, 7400.0)
-        limits = {"c1": Limit.of(quota, terms)}
+        tolerance = QuotaTolerance(8.0, 0.1, 7400.0)
+        limits = {"c1": Limit.of(quota, tolerance)}
         allocator = QuotaAllocator(1, 0.0, {})
         allocator.configured(0.0, limits)
         granted = []
@@ -50,9 +53,9 @@
             sum(amount for at, amount in granted if begin < at <= begin + 8.0)
             for begin, _ in granted
         ]
-        self.assertLessEqual(max(windows), terms.allowed(quota))
+        self.assertLessEqual(max(windows), tolerance.allowed(quota))
         late = sum(amount for at, amount in granted if at > 20.0) / 20.0
-        self.assertGreater(late, 0.9 * terms.allowed(quota) / 8.3)
+        self.assertGreater(late, 0.9 * tolerance.allowed(quota) / 8.3)
 
 
 class TestAccount(unittest.TestCase):
@@ -77,17 +80,17 @@
 
     def test_it_stores_its_part_of_the_depth(self):
         self.grant(10.0, share=0.5)
-        available = self.account.available(10.0 + SHARE_S / 2, LIMIT)
+        available = self.account.available(10.0 + SHARE_TTL_S / 2, LIMIT)
         self.assertAlmostEqual(available, 0.5 * LIMIT.depth)
 
     def test_a_share_ends_with_what_it_stored(self):
         self.grant(10.0, share=0.5)
-        self.assertEqual(self.account.available(10.0 + SHARE_S, LIMIT), 0.0)
+        self.assertEqual(self.account.available(10.0 + SHARE_TTL_S, LIMIT), 0.0)
         self.assertEqual(self.account.share, 0.0)
 
     def test_it_is_reckoned_from_the_ask(self):
         self.grant(20.0, share=0.5, asked_at=10.0)
-        self.assertEqual(self.account.available(10.0 + SHARE_S, LIMIT), 0.0)
+        self.assertEqual(self.account.available(10.0 + SHARE_TTL_S, LIMIT), 0.0)
 
     def test_an_advance_is_spent_soon_or_lost(self):
         self.grant(10.0, advance=30.0)
@@ -107,18 +110,18 @@
     def test_what_never_ran_is_given_back_once(self):
         self.grant(10.0, share=0.5)
         spent = self.take(11.0, 40.0)
-        self.account.give_back(11.0, LIMIT, spent)
-        self.account.give_back(11.0, LIMIT, spent)
+        self.account.refund(11.0, LIMIT, spent)
+        self.account.refund(11.0, LIMIT, spent)
         self.assertAlmostEqual(self.account.available(11.0, LIMIT), 50.0)
 
     def test_an_advance_is_given_back_while_it_may_be_spent(self):
         """A customer's calls were refused by busy engines, and what they had taken was
         lost: it ran half of what it might."""
         self.grant(10.0, advance=30.0)
-        self.account.give_back(10.1, LIMIT, self.take(10.0, 30.0))
+        self.account.refund(10.1, LIMIT, self.take(10.0, 30.0))
         spent = self.take(10.1, 30.0)
         self.assertIsNotNone(spent)
-        self.account.give_back(10.0 + LIMIT.advance_s, LIMIT, spent)
+        self.account.refund(10.0 + LIMIT.advance_s, LIMIT, spent)
         self.assertEqual(self.account.available(10.0 + LIMIT.advance_s, LIMIT), 0.0)
 
     def test_given_back_after_the_bucket_was_full_it_is_nothing_more(self):
@@ -128,12 +131,12 @@
         spent = self.take(11.0, 40.0)
         full = self.account.available(20.0, LIMIT)
         self.take(20.0, full)
-        self.account.give_back(20.0, LIMIT, spent)
+        self.account.refund(20.0, LIMIT, spent)
         self.assertAlmostEqual(self.account.available(20.0, LIMIT), 0.0)
 
     def test_a_second_run_counts_whatever_is_there(self):
         self.grant(10.0, share=0.5)
-        self.account.take_anyway(10.0, LIMIT, 50.0)
+        self.account.overdraw(10.0, LIMIT, 50.0)
         self.assertAlmostEqual(self.account.available(11.0, LIMIT), 0.0)
 
 
@@ -156,9 +159,9 @@
             entry, process, self.numbers[key], self.allocator.term, heard, asked
         )
         answer = self.allocator.answer(now, ask, LIMITS)
-        if self.allocator.record_wanted is not None:
-            self.record = self.allocator.record_wanted
-            self.allocator.recorded(self.record)
+        if self.allocator.pending_record is not None:
+            self.record = self.allocator.pending_record
+            self.allocator.record_written(self.record)
         if answer is None:
             return None
         self.heard[key] = answer.number
@@ -187,28 +190,28 @@
 
     def test_shares_follow_demand_and_leave_a_part(self):
         first = self.shared(1.0, "e1", 300.0)
-        self.assertAlmostEqual(first, SHARED_MOST)
+        self.assertAlmostEqual(first, MAX_SHARED_FRACTION)
         self.assertEqual(self.shared(2.0, "e2", 300.0), 0.0)
         smaller = self.ask(3.0, "e1", 300.0, share=first).share
-        self.assertAlmostEqual(smaller, SHARED_MOST / 2)
+        self.assertAlmostEqual(smaller, MAX_SHARED_FRACTION / 2)
         # Only what e1 has confirmed to have given up is there for e2.
         self.assertEqual(self.ask(3.0, "e2", 300.0).share, 0.0)
         self.ask(3.1, "e1", 300.0, share=smaller)
-        self.assertAlmostEqual(self.shared(3.2, "e2", 300.0), SHARED_MOST / 2)
+        self.assertAlmostEqual(self.shared(3.2, "e2", 300.0), MAX_SHARED_FRACTION / 2)
 
     def test_a_share_that_was_granted_counts_before_it_is_confirmed(self):
         self.ask(1.0, "e1", demand=60.0)
         granted = self.ask(1.1, "e1", demand=60.0)
         granted = self.ask(1.2, "e1", demand=60.0)
         self.assertAlmostEqual(granted.share, 0.6)
-        self.assertLessEqual(self.shared(1.3, "e2", 300.0), SHARED_MOST - 0.6)
+        self.assertLessEqual(self.shared(1.3, "e2", 300.0), MAX_SHARED_FRACTION - 0.6)
 
     def test_the_record_is_written_before_a_share_grows(self):
         self.ask(1.0, "e1", demand=30.0)
         ask = QuotaAsk("e1", "p1", 9, 1, 1, {"c1": CustomerAsk(30.0)})
         answer = self.allocator.answer(1.1, ask, LIMITS)
         self.assertEqual(answer.customers["c1"].share, 0.0)
-        self.assertEqual(self.allocator.record_wanted["e1"].incarnation, "p1")
+        self.assertEqual(self.allocator.pending_record["e1"].incarnation, "p1")
 
     def test_one_that_follows_counts_entries_that_it_does_not_hear(self):
         self.allocator = self.begin(5.0, {"e1": Member("p1", {"c1": 0.6})}, term=2)
@@ -224,9 +227,9 @@
 
     def test_or_until_their_shares_have_ended(self):
         self.allocator = self.begin(5.0, {"e1": Member("p1", {"c1": 1.0})}, term=2)
-        self.assertEqual(self.ask(5.0 + SHARE_S - 1, "e2", wanted=1.0).advance, 0.0)
-        self.ask(5.0 + SHARE_S, "e2")
-        self.assertEqual(self.ask(6.0 + SHARE_S, "e2", wanted=90.0).advance, 90.0)
+        self.assertEqual(self.ask(5.0 + SHARE_TTL_S - 1, "e2", wanted=1.0).advance, 0.0)
+        self.ask(5.0 + SHARE_TTL_S, "e2")
+        self.assertEqual(self.ask(6.0 + SHARE_TTL_S, "e2", wanted=90.0).advance, 90.0)
 
     def test_an_ask_that_comes_twice_is_answered_once(self):
         ask = QuotaAsk("e1", "p1", 1, 1, 0, {"c1": CustomerAsk(0.0, 10.0, 10.0)})
@@ -245,7 +248,7 @@
             ask = QuotaAsk("e1", "p1", number, 1, number - 1, asked)
             answer = self.allocator.answer(1.0, ask, LIMITS)
         self.assertEqual(answer.customers["c1"].share, 0.0)
-        self.assertIsNone(self.allocator.record_wanted)
+        self.assertIsNone(self.allocator.pending_record)
 
     def test_less_than_a_call_lacks_is_not_advanced(self):
         grant = self.ask(0.5, "e1", wanted=60.0)
--- a/tests/gateway/cover/test_store_speed.py
+++ b/tests/gateway/cover/test_store_speed.py
@@ -25,7 +25,7 @@
     def __init__(self, full):
         self.full = full
         self.now = 0.0
-        self.speed = StoreConcurrency()
+        self.concurrency = StoreConcurrency()
         self.left = {}
         self.spec = samples.engine(samples.model("tutor"))
 
@@ -48,7 +48,7 @@
             loading = Loading("tutor", 1.0, True) if name in self.left else None
             state = samples.engine_state(name, loading=loading)
             backends.append(samples.backend(name, self.now, state, service="llm"))
-        self.speed.observe(self.now, backends, self.spec)
+        self.concurrency.observe(self.now, backends, self.spec)
 
 
 class OrderlyStore:
@@ -58,7 +58,7 @@
         self.full = full
         self.load_s = load_s
         self.now = 0.0
-        self.speed = StoreConcurrency(loads)
+        self.concurrency = StoreConcurrency(loads)
         self.ends = {}
         self.names = []
         self.silent = {}
@@ -73,7 +73,7 @@
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
             self.ends = {n: end for n, end in self.ends.items() if end > self.now}
-            self.speed.observe(self.now, self.backends(), self.spec)
+            self.concurrency.observe(self.now, self.backends(), self.spec)
 
     def backends(self):
         """All engines that ever loaded; an agent in ``silent`` isn't heard."""
@@ -97,23 +97,25 @@
         for number in range(4):
             store.begin(f"b{number}")
         store.run(1.4 * LOAD_S)
-        self.assertEqual(store.speed.loads, 1)
-        self.assertFalse(store.speed.allows_probe)
+        self.assertEqual(store.concurrency.loads, 1)
+        self.assertFalse(store.concurrency.allows_probe)
 
     def test_all_of_four_at_full_speed_show_that_four_are_served(self):
         store = OrderlyStore(full=4, loads=1)
         for number in range(4):
             store.begin(f"b{number}")
         store.run(1.1 * LOAD_S)
-        self.assertEqual(store.speed.loads, 4)
+        self.assertEqual(store.concurrency.loads, 4)
 
     def test_one_more_is_tried_until_the_store_is_seen_to_serve_no_more(self):
         store = OrderlyStore(full=1, loads=1)
-        self.assertTrue(store.speed.allows_probe)
+        self.assertTrue(store.concurrency.allows_probe)
         store.begin("b0")
         store.begin("b1")
         store.run(1.3 * LOAD_S)
-        self.assertEqual((store.speed.loads, store.speed.allows_probe), (1, False))
+        self.assertEqual(
+            (store.concurrency.loads, store.concurrency.allows_probe), (1, False)
+        )
 
     def test_while_one_is_late_no_further_one_is_tried(self):
         """Symptom: the store serves one load, and three of them are under way.
@@ -126,7 +128,7 @@
         store.begin("b1")
         store.run(1.02 * LOAD_S)
         self.assertEqual(len(store.ends), 1)
-        self.assertFalse(store.speed.allows_probe)
+        self.assertFalse(store.concurrency.allows_probe)
 
     def test_one_that_was_lost_with_its_engine_is_not_tried_again_at_once(self):
         """Symptom: each turn of the store was given to one load more than it serves.
@@ -140,9 +142,9 @@
         store.names.remove("b1")
         del store.ends["b1"]
         store.run(0.3 * LOAD_S)
-        self.assertFalse(store.speed.allows_probe)
+        self.assertFalse(store.concurrency.allows_probe)
         store.run(PROBE_RETRY_S)
-        self.assertTrue(store.speed.allows_probe)
+        self.assertTrue(store.concurrency.allows_probe)
 
     def test_until_the_one_that_is_tried_shows_something_no_other_is_tried(self):
         """The load before it had ended, it wasn't late yet, and another was tried."""
@@ -151,10 +153,10 @@
         store.run(0.1 * LOAD_S)
         store.begin("b1")
         store.run(0.1 * LOAD_S)
-        self.assertFalse(store.speed.allows_probe)
+        self.assertFalse(store.concurrency.allows_probe)
         store.run(0.82 * LOAD_S)
         self.assertEqual(list(store.ends), ["b1"])
-        self.assertFalse(store.speed.allows_probe)
+        self.assertFalse(store.concurrency.allows_probe)
 
     def test_the_end_of_a_load_is_foreseen(self):
         store = OrderlyStore(full=1, loads=1)
@@ -162,7 +164,7 @@
         store.run(1.0)
         store.begin("b1")
         store.run(1.0)
-        left_s = store.speed.left_s(
+        left_s = store.concurrency.left_s(
             store.now, Incarnation("b1"), Loading("tutor", 5.0, True)
         )
         self.assertAlmostEqual(left_s, store.ends["b1"] - store.now, delta=0.2)
@@ -195,32 +197,34 @@
 
     def test_it_is_not_taken_for_one_at_full_speed(self):
         self.unheard("b1", 0.9 * LOAD_S, 1.2 * LOAD_S)
-        self.assertEqual(self.store.speed.loads, 1)
-        self.assertFalse(self.store.speed.allows_probe)
+        self.assertEqual(self.store.concurrency.loads, 1)
+        self.assertFalse(self.store.concurrency.allows_probe)
 
     def test_it_is_not_taken_for_one_that_begins_when_it_is_heard_again(self):
         self.unheard("b1", 1.3 * LOAD_S, 1.5 * LOAD_S)
         del self.store.silent["b1"]
         self.store.run(0.1)
-        left_s = self.store.speed.left_s(
+        left_s = self.store.concurrency.left_s(
             self.store.now, Incarnation("b1"), Loading("tutor", 1.0, True)
         )
         self.assertLess(left_s, self.store.ends["b1"] - self.store.now + 1.0)
 
     def test_the_store_serves_it_all_the_same(self):
         self.unheard("b1", 0.5 * LOAD_S, 1.2 * LOAD_S)
-        (left_s,) = self.store.speed.ends_elsewhere(self.store.now, known=["b0"])
+        (left_s,) = self.store.concurrency.ends_elsewhere(self.store.now, known=["b0"])
         self.assertAlmostEqual(left_s, self.store.ends["b1"] - self.store.now, delta=1)
 
     def test_it_is_over_with_its_time(self):
         self.unheard("b1", 0.5 * LOAD_S, 2.5 * LOAD_S)
-        self.assertEqual(self.store.speed.ends_elsewhere(self.store.now, ()), [])
+        self.assertEqual(self.store.concurrency.ends_elsewhere(self.store.now, ()), [])
 
     def test_it_is_over_where_its_engine_is_gone(self):
         self.store.run(0.5 * LOAD_S)
         self.store.names.remove("b1")
         self.store.run(STEP_S)
-        self.assertEqual(self.store.speed.ends_elsewhere(self.store.now, ["b0"]), [])
+        self.assertEqual(
+            self.store.concurrency.ends_elsewhere(self.store.now, ["b0"]), []
+        )
 
     def test_one_that_is_late_when_it_is_first_seen_has_not_just_begun(self):
         late = StoreConcurrency(1)
@@ -243,7 +247,7 @@
     def test_at_full_speed_the_assumption_stays(self):
         store = Store(full=4)
         store.run(30.0, at_once=4)
-        self.assertEqual(store.speed.loads, ASSUMED_LOADS)
+        self.assertEqual(store.concurrency.loads, ASSUMED_LOADS)
 
     def test_a_store_for_one_is_found_out(self):
         """Symptom: every cold start takes four times as long as the model's load time.
@@ -252,27 +256,27 @@
         """
         store = Store(full=1)
         store.run(4.1 * LOAD_S, at_once=4)
-        self.assertEqual(store.speed.loads, 1)
+        self.assertEqual(store.concurrency.loads, 1)
 
     def test_it_shows_before_the_first_load_ends(self):
         store = Store(full=1)
         store.run(2.1 * LOAD_S, at_once=4)
-        self.assertLessEqual(store.speed.loads, 2)
+        self.assertLessEqual(store.concurrency.loads, 2)
 
     def test_a_store_for_more_is_found_out_when_more_are_needed(self):
         store = Store(full=8)
         store.run(2 * LOAD_S, at_once=6)
-        self.assertEqual(store.speed.loads, 6)
+        self.assertEqual(store.concurrency.loads, 6)
 
     def test_two_more_for_a_moment_do_not_spoil_the_estimate(self):
         store = Store(full=4)
         store.run(20.0, at_once=6)
-        self.assertEqual(store.speed.loads, 4)
+        self.assertEqual(store.concurrency.loads, 4)
 
     def test_one_engine_that_stands_still_says_nothing_of_the_store(self):
         store = Store(full=4)
         store.run(30.0, at_once=3, frozen=("b0",))
-        self.assertEqual(store.speed.loads, ASSUMED_LOADS)
+        self.assertEqual(store.concurrency.loads, ASSUMED_LOADS)
 
     def test_the_plan_keeps_to_it(self):
         spec = samples.engine(*(samples.model(f"m{number}") for number in range(6)))
--- a/tests/gateway/failures/test_orders.py
+++ b/tests/gateway/failures/test_orders.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bambootiller_core.gateway.incarnation import SILENT_S
+from bambootiller_core.gateway.incarnation import TAKEOVER_SILENCE_S
 from bambootiller_core.gateway.late_orders import LATE_ORDER_S
 from bambootiller_core.gateway.order_messages import (
     EngineReport,
@@ -195,7 +195,7 @@
         self.restarted(0.1)
         self.book.reported(1.0, report(started_ms=1))
         self.assertEqual(self.book.report.started_ms, 2)
-        self.book.reported(0.1 + SILENT_S, report(started_ms=1))
+        self.book.reported(0.1 + TAKEOVER_SILENCE_S, report(started_ms=1))
         self.assertEqual(self.book.report.started_ms, 1)
 
     def test_calls_on_the_start_before_hold_no_model(self):
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -5,7 +5,7 @@
 from bambootiller.gateway import wire
 from bambootiller_core.gateway.engine_state import Loading
 from bambootiller_core.gateway.fleet import LAPSE_GRACE_S, Fleet
-from bambootiller_core.gateway.incarnation import SILENT_S, Incarnation
+from bambootiller_core.gateway.incarnation import TAKEOVER_SILENCE_S, Incarnation
 from bambootiller_core.gateway.order_messages import EngineReport
 from bambootiller_core.gateway.report_naming import listed_at, named
 from bambootiller_core.gateway.store_concurrency import StoreConcurrency
@@ -158,19 +158,19 @@
         back = registered(self.BACK_MS, revision=5)
         self.assertFalse(self.fleet.registry_changed(1.0, back))
         back = registered(self.BACK_MS, revision=6)
-        self.assertTrue(self.fleet.registry_changed(SILENT_S, back))
+        self.assertTrue(self.fleet.registry_changed(TAKEOVER_SILENCE_S, back))
         self.assertIsNot(self.fleet.get("b1"), self.first)
         self.assertTrue(self.first.ended)
 
     def test_its_agents_word_does_too(self):
         self.assertFalse(self.fleet.engine_told(1.0, told(self.BACK_MS)))
-        self.assertTrue(self.fleet.engine_told(SILENT_S, told(self.BACK_MS)))
+        self.assertTrue(self.fleet.engine_told(TAKEOVER_SILENCE_S, told(self.BACK_MS)))
         self.assertEqual(self.fleet.get("b1").incarnation.started_ms, self.BACK_MS)
 
     def test_word_of_the_start_that_lives_renews_its_time(self):
-        self.fleet.engine_told(SILENT_S - 1, told(FIRST_MS, ["tutor"]))
+        self.fleet.engine_told(TAKEOVER_SILENCE_S - 1, told(FIRST_MS, ["tutor"]))
         back = registered(self.BACK_MS, revision=5)
-        self.assertFalse(self.fleet.registry_changed(SILENT_S, back))
+        self.assertFalse(self.fleet.registry_changed(TAKEOVER_SILENCE_S, back))
 
 
 class TestAddresses(Case):
--- a/tests/gateway/randomised/test_budget.py
+++ b/tests/gateway/randomised/test_budget.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from bambootiller_core.gateway.retry_budget import AttemptBudget
+from bambootiller_core.gateway.retry_budget import RetryBudget
 from tests.common import counting, profiles
 
 RATIO, SLACK, WINDOW_S = 0.2, 54.0, 10.0
@@ -12,14 +12,14 @@
 def play(seed, entries):
     """Times of calls and of second attempts, when every call wants one."""
     rng = random.Random(seed)
-    budgets = [AttemptBudget(RATIO, SLACK, WINDOW_S) for _ in range(entries)]
+    budgets = [RetryBudget(RATIO, SLACK, WINDOW_S) for _ in range(entries)]
     for budget in budgets:
         budget.entries = entries
     calls, spent, now = [], [], 0.0
     for _ in range(3000):
         now += rng.expovariate(40.0 if int(now) // 7 % 2 else 8.0)
         budget = rng.choice(budgets[: rng.randint(1, entries)])
-        budget.called(now)
+        budget.record_call(now)
         calls.append(now)
         for _ in range(rng.randint(0, 2)):
             if budget.take(now):
@@ -44,12 +44,12 @@
                     self.assertLessEqual(within(spent, begin, at), allowed)
 
     def test_some_second_attempts_are_allowed_at_once(self):
-        budget = AttemptBudget(RATIO, SLACK, WINDOW_S)
-        budget.called(0.0)
+        budget = RetryBudget(RATIO, SLACK, WINDOW_S)
+        budget.record_call(0.0)
         self.assertTrue(budget.take(0.0))
 
     def test_spent_attempts_come_back_after_the_window(self):
-        budget = AttemptBudget(RATIO, SLACK, WINDOW_S)
+        budget = RetryBudget(RATIO, SLACK, WINDOW_S)
         while budget.take(0.0):
             continue
         self.assertFalse(budget.take(WINDOW_S - 0.1))
@@ -57,4 +57,4 @@
 
     def test_bad_figures_are_named(self):
         with self.assertRaisesRegex(ValueError, "ratio -1"):
-            AttemptBudget(-1, 1, 1)
+            RetryBudget(-1, 1, 1)
--- a/tests/gateway/randomised/test_named_limits.py
+++ b/tests/gateway/randomised/test_named_limits.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest import mock
 
-from bambootiller_core.gateway.quota_limits import QuotaTerms
+from bambootiller_core.gateway.quota_limits import QuotaTolerance
 from bambootiller_core.gateway.reported_limits import WINDOW_S, shared_limits
 from tests.gateway.randomised import test_quotas
 from tests.gateway.randomised.test_quotas import END_S, QuotaFleet
@@ -29,7 +29,7 @@
         with (
             mock.patch.object(test_quotas, "LIMIT", limit),
             mock.patch.object(test_quotas, "ENTRIES", ENTRIES),
-            mock.patch.object(test_quotas, "TERMS", QuotaTerms(WINDOW_S)),
+            mock.patch.object(test_quotas, "TERMS", QuotaTolerance(WINDOW_S)),
         ):
             fleet = LimitedFleet(seed)
             fleet.world.run(END_S)
--- a/tests/gateway/randomised/test_quotas.py
+++ b/tests/gateway/randomised/test_quotas.py
@@ -12,15 +12,19 @@
 from bambootiller_core.gateway.customers import Quota, QuotaUnit
 from bambootiller_core.gateway.quota_account import QuotaAccount
 from bambootiller_core.gateway.quota_allocator import QuotaAllocator
-from bambootiller_core.gateway.quota_limits import USED_SHARE, Limit, QuotaTerms
+from bambootiller_core.gateway.quota_limits import (
+    USABLE_FRACTION,
+    Limit,
+    QuotaTolerance,
+)
 from bambootiller_core.gateway.quota_messages import QuotaAsk
 from bambootiller_standins.quotaforms._world import Network, World
 
 QUOTA = Quota(1000.0, 1000.0, QuotaUnit.TOKEN)
-TERMS = QuotaTerms(window_s=8.0, overage=0.1, slack=1000.0)
+TERMS = QuotaTolerance(window_s=8.0, overage=0.1, slack=1000.0)
 LIMIT = Limit.of(QUOTA, TERMS)
 #: What may run in a window where no call runs twice.
-MOST = USED_SHARE * TERMS.allowed(QUOTA)
+MOST = USABLE_FRACTION * TERMS.allowed(QUOTA)
 NAME = "c1"
 ENTRIES = 6
 END_S = 90.0
@@ -41,7 +45,7 @@
         now = self.fleet.world.now
         if not self.alive or now < self.frozen_until:
             return
-        self.account.asked_for(now, cost)
+        self.account.record_demand(now, cost)
         if not self.spend(cost):
             self.waiting = [*self.waiting, cost][-3:]
             self.ask()
@@ -54,16 +58,16 @@
         if self.fleet.world.rng.random() < 0.2:
             # It is refused after a while, and never ran.
             self.fleet.world.after(
-                self.fleet.world.rng.random() * 6, lambda: self.give_back(spent)
+                self.fleet.world.rng.random() * 6, lambda: self.refund(spent)
             )
         else:
             self.account.settle(spent)
             self.fleet.ran(cost)
         return True
 
-    def give_back(self, spent):
+    def refund(self, spent):
         if self.alive:
-            self.account.give_back(self.fleet.world.now, LIMIT, spent)
+            self.account.refund(self.fleet.world.now, LIMIT, spent)
 
     def ask(self):
         now = self.fleet.world.now
@@ -115,10 +119,10 @@
         if world.now >= self.valid_until:
             return
         answer = self.allocator.answer(world.now, ask, {NAME: LIMIT})
-        wanted = self.allocator.record_wanted
+        wanted = self.allocator.pending_record
         if wanted is not None and world.rng.random() < 0.7:
             self.fleet.record = wanted
-            self.allocator.recorded(wanted)
+            self.allocator.record_written(wanted)
         if answer is not None:
             world.send(self.name, entry.name, lambda: entry.answered(answer, asked_at))
 
@@ -226,9 +230,9 @@
 
 
 # Most of the limit is in shares, which are what can be given twice.
-@mock.patch.object(quota_allocator, "SHARED_MOST", 0.9)
+@mock.patch.object(quota_allocator, "MAX_SHARED_FRACTION", 0.9)
 @mock.patch.object(quota_allocator, "HEADROOM", 1.5)
-@mock.patch.object(quota_allocator, "LEAST_CALLS", 0.0)
+@mock.patch.object(quota_allocator, "MIN_SHARE_CALLS", 0.0)
 class TestQuotasHold(unittest.TestCase):
     SEEDS = range(20)
 
