--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
@@ -34,23 +34,23 @@
     >>> decode(encode({"e1": Member("a", {"c1": 0.25})}))
     {'e1': Member(incarnation='a', ceilings={'c1': 0.25})}
     """
-    form = {
+    document = {
         name: [
             member.incarnation,
             {key: round(part, 4) for key, part in sorted(member.ceilings.items())},
         ]
         for name, member in sorted(members.items())
     }
-    return json.dumps(form, separators=(",", ":")).encode()
+    return json.dumps(document, separators=(",", ":")).encode()
 
 
 def decode(value: bytes) -> dict[str, Member]:
     """The same, read. Raises :class:`UnreadableRecord`."""
     try:
-        form = json.loads(value)
+        document = json.loads(value)
         return {
             str(name): Member(str(incarnation), _parts(ceilings))
-            for name, (incarnation, ceilings) in form.items()
+            for name, (incarnation, ceilings) in document.items()
         }
     except (ValueError, TypeError, AttributeError) as exc:
         raise UnreadableRecord(f"members of quotas: {type(exc).__name__}") from exc
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -47,7 +47,7 @@
 #: same way. Seconds.
 PROBE_RETRY_S = 60.0
 #: A load that has outlived its estimate is expected to last this part of it longer.
-OVERRUN_SHARE = 0.15
+OVERRUN_FRACTION = 0.15
 
 
 def initial_loads(engine: EngineSpec) -> int:
@@ -130,7 +130,7 @@
             return loading.left_s
         seconds = self._expected_s(tracked)
         left = tracked.began + seconds - now
-        return max(left, OVERRUN_SHARE * seconds, loading.left_s)
+        return max(left, OVERRUN_FRACTION * seconds, loading.left_s)
 
     def observe(
         self, now: float, backends: Iterable[Backend], engine: EngineSpec
@@ -193,7 +193,9 @@
             return False
         if backend.agent_heard(now):
             return False
-        return now < tracked.began + (1.0 + OVERRUN_SHARE) * self._expected_s(tracked)
+        return now < tracked.began + (1.0 + OVERRUN_FRACTION) * self._expected_s(
+            tracked
+        )
 
     def _handle_end(
         self,
@@ -244,7 +246,7 @@
         group.size += 1
         position = len(self._tracked) + 1
         began = now
-        if loading.left_s <= OVERRUN_SHARE * nominal_s:
+        if loading.left_s <= OVERRUN_FRACTION * nominal_s:
             # It was under way before this process saw it, and is late.
             began -= nominal_s
         self._tracked[key] = _TrackedLoad(nominal_s, began, now, position, group)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_record.py
@@ -35,8 +35,8 @@
     def decode(cls, value: bytes) -> StorePermitRecord | None:
         """The same, read; None if it can't be. Its key is taken all the same."""
         try:
-            form = json.loads(value)
-            return cls(str(form["holder"]), str(form["model"]))
+            document = json.loads(value)
+            return cls(str(document["holder"]), str(document["model"]))
         except (ValueError, KeyError, TypeError):
             return None
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
@@ -20,7 +20,7 @@
 #: One more than the store is known to serve is tried only where its turn is further
 #: away than this part of its time. If the store serves no more, it takes twice its time
 #: from its begin, so what the load before had done by then is lost for both.
-MIN_PROBE_WAIT = 0.8
+MIN_PROBE_WAIT_FRACTION = 0.8
 
 
 class Oversubscription(enum.IntEnum):
@@ -130,7 +130,7 @@
         can_probe = self._allow_probe and oversubscription >= Oversubscription.MAY_PROBE
         if can_probe and under_way == len(self._loads) <= self._capacity:
             # None waits before it.
-            if begins > MIN_PROBE_WAIT * load_s:
+            if begins > MIN_PROBE_WAIT_FRACTION * load_s:
                 return 0.0, slowed_s, StartReason.PROBE
         is_sooner = slowed_s + MIN_GAIN_S <= begins + load_s
         can_oversubscribe = oversubscription is Oversubscription.MAY_OVERSUBSCRIBE
--- a/tests/gateway/cover/test_store_speed.py
+++ b/tests/gateway/cover/test_store_speed.py
@@ -7,7 +7,7 @@
 from bambootiller_core.gateway.residency import Planner
 from bambootiller_core.gateway.store_concurrency import (
     ASSUMED_LOADS,
-    OVERRUN_SHARE,
+    OVERRUN_FRACTION,
     PROBE_RETRY_S,
     StoreConcurrency,
     initial_loads,
@@ -228,7 +228,7 @@
 
     def test_one_that_is_late_when_it_is_first_seen_has_not_just_begun(self):
         late = StoreConcurrency(1)
-        loading = Loading("tutor", OVERRUN_SHARE * LOAD_S, True)
+        loading = Loading("tutor", OVERRUN_FRACTION * LOAD_S, True)
         state = samples.engine_state("b1", loading=loading)
         for now in (50.0, 50.1):
             backend = samples.backend("b1", now, state, service="llm")
