--- a/packages/bambootiller-core/src/bambootiller_core/gateway/attempts.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/attempts.py
@@ -18,17 +18,17 @@
 
 #: A further attempt that has less time left than this would be cut before it answers.
 #: Seconds.
-SHORTEST_ATTEMPT_S = 0.05
+MIN_ATTEMPT_S = 0.05
 #: When to come back after a refusal for which nothing better is known. Seconds.
-COME_BACK_S = 0.25
+DEFAULT_RETRY_AFTER_S = 0.25
 
 
-class Ended(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How an attempt ended.
 
     ``NOT_SENT``: no connection was made. ``REFUSED``: the backend server promises that
     it hasn't run the call. ``UNKNOWN``: it was sent, and no usable answer came.
-    ``BROKEN``: the answer broke off after a part of it was passed on. ``TIMED_OUT``:
+    ``BROKEN``: the answer broke off next_action a part of it was passed on. ``TIMED_OUT``:
     the call's own time was over.
     """
 
@@ -61,18 +61,18 @@
     BAD_REQUEST = "bad_request"
     REFUSED_BY_BACKEND = "refused_by_backend"
     OVERLOADED = "overloaded"
-    COLD = "model_not_loaded_in_time"
+    MODEL_NOT_LOADED = "model_not_loaded_in_time"
     OUTCOME_UNKNOWN = "outcome_unknown"
-    TIMED_OUT_UNSENT = "timed_out_before_sending"
+    TIMED_OUT_BEFORE_SENDING = "timed_out_before_sending"
     TIMED_OUT = "timed_out"
     LEAVING = "leaving"
     QUARANTINED = "quarantined"
     KEPT_APART = "kept_apart"
     UNKNOWN_KEY = "unknown_key"
-    KEY_CHANGED = "key_changed_hands"
+    KEY_CHANGED_HANDS = "key_changed_hands"
     OVER_QUOTA = "over_quota"
     QUOTA_UNKNOWN = "quota_unknown"
-    LIMITED = "backend_limited"
+    BACKEND_LIMITED = "backend_limited"
 
 
 STATUS: dict[Reason, int] = {
@@ -83,18 +83,18 @@
     Reason.BAD_REQUEST: 400,
     Reason.REFUSED_BY_BACKEND: 503,
     Reason.OVERLOADED: 503,
-    Reason.COLD: 503,
+    Reason.MODEL_NOT_LOADED: 503,
     Reason.OUTCOME_UNKNOWN: 502,
-    Reason.TIMED_OUT_UNSENT: 503,
+    Reason.TIMED_OUT_BEFORE_SENDING: 503,
     Reason.TIMED_OUT: 504,
     Reason.LEAVING: 503,
     Reason.QUARANTINED: 503,
     Reason.KEPT_APART: 503,
     Reason.UNKNOWN_KEY: 401,
-    Reason.KEY_CHANGED: 503,
+    Reason.KEY_CHANGED_HANDS: 503,
     Reason.OVER_QUOTA: 429,
     Reason.QUOTA_UNKNOWN: 503,
-    Reason.LIMITED: 503,
+    Reason.BACKEND_LIMITED: 503,
 }
 
 
@@ -124,34 +124,41 @@
 Decision = SendAgain | Refusal | CutOff
 
 
-def after(call: Call, progress: Progress, ended: Ended, now: float) -> Decision:
+def next_action(
+    call: Call, progress: Progress, outcome: AttemptOutcome, now: float
+) -> Decision:
     """What to do after an attempt of ``call`` has ended without a whole answer.
 
     ``progress`` includes that attempt. A budget may still forbid a further attempt; the
     caller of this function then takes :func:`give_up`.
     """
-    if ended is Ended.TIMED_OUT or call.deadline - now < SHORTEST_ATTEMPT_S:
-        return give_up(progress, timed_out=ended is Ended.TIMED_OUT)
-    if not _may_send_again(call, progress, ended):
+    if outcome is AttemptOutcome.TIMED_OUT or call.deadline - now < MIN_ATTEMPT_S:
+        return give_up(progress, timed_out=outcome is AttemptOutcome.TIMED_OUT)
+    if not _may_send_again(call, progress, outcome):
         return give_up(progress)
-    return SendAgain(progress.passed_on, costs_budget=ended is not Ended.NOT_SENT)
+    return SendAgain(
+        progress.forwarded, costs_budget=outcome is not AttemptOutcome.NOT_SENT
+    )
 
 
 def give_up(progress: Progress, timed_out: bool = False) -> Refusal | CutOff:
     """The final answer of a call that gets no further attempt."""
-    if progress.passed_on:
+    if progress.forwarded:
         return CutOff()
     if progress.may_have_run:
         reason = Reason.TIMED_OUT if timed_out else Reason.OUTCOME_UNKNOWN
         return Refusal(reason)
-    reason = Reason.TIMED_OUT_UNSENT if timed_out else Reason.REFUSED_BY_BACKEND
-    return Refusal(reason, COME_BACK_S)
+    reason = Reason.TIMED_OUT_BEFORE_SENDING if timed_out else Reason.REFUSED_BY_BACKEND
+    return Refusal(reason, DEFAULT_RETRY_AFTER_S)
 
 
-def _may_send_again(call: Call, progress: Progress, ended: Ended) -> bool:
-    if ended is not Ended.NOT_SENT and progress.sends >= call.route.max_attempts:
+def _may_send_again(call: Call, progress: Progress, outcome: AttemptOutcome) -> bool:
+    if (
+        outcome is not AttemptOutcome.NOT_SENT
+        and progress.sends >= call.route.max_attempts
+    ):
         return False
-    if progress.passed_on:
+    if progress.forwarded:
         return call.route.resumable and progress.last_event is not None
     if progress.may_have_run:
         return call.may_rerun
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/calls.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/calls.py
@@ -12,11 +12,11 @@
 #: deadline still reaches the caller. Seconds.
 DEADLINE_MARGIN_S = 0.01
 #: So many parts of a prompt are told apart; a caller may name thousands.
-MOST_SHARED_PARTS = 16
+MAX_SHARED_PARTS = 16
 
 
 @dataclass(frozen=True, slots=True)
-class ModelAsk:
+class ModelRequest:
     """What a call of an engine asks for.
 
     ``prefix`` are the ids of the prompt's parts in order.
@@ -32,7 +32,7 @@
     def shared_parts(self) -> tuple[str, ...]:
         """The parts that other calls may have as well, the first of a long prompt; the
         last part is the call's own."""
-        return self.prefix[:-1][:MOST_SHARED_PARTS]
+        return self.prefix[:-1][:MAX_SHARED_PARTS]
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     arrived: float
     deadline: float
     first_event_due: float
-    ask: ModelAsk | None = None
+    ask: ModelRequest | None = None
     resume_after: int | None = None
     fingerprint: str = ""
     keyed: bool = False
@@ -63,7 +63,7 @@
     tokens: int | None = None
 
     @property
-    def rank(self) -> int:
+    def priority(self) -> int:
         """Its priority, where 0 goes first: the customer's goes before the route's."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
@@ -91,9 +91,9 @@
 
     def next_event_due(self, progress: Progress) -> float:
         """When the caller of a stream leaves unless something more has come by then."""
-        if progress.passed_at is None or self.route.patience_s is None:
+        if progress.forwarded_at is None or self.route.event_timeout_s is None:
             return self.first_event_due
-        return progress.passed_at + self.route.patience_s
+        return progress.forwarded_at + self.route.event_timeout_s
 
 
 @dataclass(slots=True)
@@ -102,12 +102,12 @@
 
     ``tried`` are the backend servers that an attempt was made at; ``sends`` counts the
     attempts for which a connection was made and the call went out. ``last_event`` is
-    the number of the last whole event passed on, ``passed_at`` when that was.
+    the number of the last whole event passed on, ``forwarded_at`` when that was.
     """
 
     tried: list[Incarnation] = field(default_factory=list)
     sends: int = 0
     may_have_run: bool = False
-    passed_on: bool = False
+    forwarded: bool = False
     last_event: int | None = None
-    passed_at: float | None = None
+    forwarded_at: float | None = None
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/config.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/config.py
@@ -20,9 +20,9 @@
 #: A caller leaves a stream after the longest of these: a fixed time, this many times
 #: the route's target, and this many times the longest pause that is still on time.
 #: Stated by the platform of the first users.
-PATIENCE_S = 2.0
-PATIENCE_TARGETS = 4.0
-PATIENCE_PAUSES = 8.0
+EVENT_TIMEOUT_S = 2.0
+EVENT_TIMEOUT_TARGETS = 4.0
+EVENT_TIMEOUT_GAPS = 8.0
 
 
 class CallKind(enum.Enum):
@@ -61,7 +61,7 @@
     priority: int = 5
     max_attempts: int = 1
     resumable: bool = False
-    longest_pause_s: float = 0.0
+    max_event_gap_s: float = 0.0
     public: bool = False
 
     @property
@@ -70,20 +70,20 @@
         return self.kind is CallKind.IDEMPOTENT
 
     @property
-    def patience_s(self) -> float | None:
+    def event_timeout_s(self) -> float | None:
         """How long a caller waits for a stream's next event, None for other calls."""
         if self.kind is not CallKind.STREAM:
             return None
         return max(
-            PATIENCE_S,
-            PATIENCE_TARGETS * self.target_s,
-            PATIENCE_PAUSES * self.longest_pause_s,
+            EVENT_TIMEOUT_S,
+            EVENT_TIMEOUT_TARGETS * self.target_s,
+            EVENT_TIMEOUT_GAPS * self.max_event_gap_s,
         )
 
-    def pick_service(self, drawn: float) -> str | None:
-        """The service for ``drawn`` in [0, 1); None if no service has any weight."""
+    def pick_service(self, draw: float) -> str | None:
+        """The service for ``draw`` in [0, 1); None if no service has any weight."""
         total = sum(share.weight for share in self.shares)
-        point = drawn * total
+        point = draw * total
         for share in self.shares:
             point -= share.weight
             if share.weight > 0 and point < 0:
@@ -196,7 +196,7 @@
         return None
 
 
-def newer(held: GatewayConfig | None, offered: GatewayConfig) -> bool:
+def is_newer(held: GatewayConfig | None, offered: GatewayConfig) -> bool:
     """Whether ``offered`` replaces ``held``.
 
     What goes wrong without it: an answer of the store that was under way while a newer
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
@@ -16,7 +16,7 @@
   part that were at the same ones, the request is quarantined: fewer are kept out by it.
 - Of two parts that were at the same crashes either may be the cause. A request that has
   one of them alone still runs, and tells which it is.
-- Requests that share crashes are run again one after the other (:data:`TURN_S`), so
+- Requests that share crashes are run again one after the other (:data:`STAGGER_S`), so
   that the next crash tells them apart.
 
 Each process decides for itself on the same records; no two have to agree.
@@ -31,7 +31,7 @@
 from dataclasses import dataclass
 
 from bambootiller_core.gateway.incarnation import Incarnation
-from bambootiller_core.gateway.telling import Untold
+from bambootiller_core.gateway.update_filter import UpdateFilter
 
 #: A request is quarantined once this many crashes count against it.
 MOST_CRASHES = 3.0
@@ -43,37 +43,37 @@
 #: been mended, or the backend servers.
 QUARANTINE_S = 600.0
 #: Lost runs are forgotten after this time. Seconds.
-KEPT_S = 3600.0
+RETENTION_S = 3600.0
 #: Requests that share crashes begin this far apart: about what a run takes to end its
 #: backend server, and the others to hear of it. Seconds.
-TURN_S = 0.3
+STAGGER_S = 0.3
 #: Further ones share the last turn, so that none waits longer than its caller.
-MOST_TURNS = 8
+MAX_STAGGER_STEPS = 8
 #: How soon to look again at a request whose last crash isn't settled. Seconds.
-LOOK_AGAIN_S = 0.05
+RECHECK_S = 0.05
 #: What became of a backend server is final this long after the run was lost. Seconds;
 #: longer than one is down, or an agent that asks it in vain is patient.
-FINAL_S = 20.0
+VERDICT_FINAL_S = 20.0
 #: Requests of which lost runs are kept. The least suspicious are forgotten first.
-MOST_REQUESTS = 1024
+MAX_REQUESTS = 1024
 #: Requests known to be sound, and as many parts, from the latest completions.
-MOST_SOUND = 4096
+MAX_SOUND = 4096
 #: A part is taken for sound so long after a request with it has completed. Seconds; it
 #: may end what runs it after a change of the weights.
-SOUND_PART_S = 60.0
+SOUND_PART_TTL_S = 60.0
 #: What stands before the id of a part in its name.
-PART = "part "
+PART_PREFIX = "part "
 
 
 def part_name(part: str) -> str:
     """The name of a part of a prompt as a suspect."""
-    return PART + part
+    return PART_PREFIX + part
 
 
-class Fate(enum.Enum):
+class CrashVerdict(enum.Enum):
     """What became of the backend server after a run there was lost."""
 
-    OPEN = "open"
+    UNDECIDED = "open"
     CRASHED = "crashed"
     SURVIVED = "survived"
 
@@ -94,11 +94,11 @@
         return PROGRESSED_WEIGHT if self.progressed else 1.0
 
 
-class Standing(enum.Enum):
+class AdmissionDecision(enum.Enum):
     """Whether a request may run now."""
 
     ADMITTED = "admitted"
-    WAITS = "waits"
+    DEFERRED = "waits"
     QUARANTINED = "quarantined"
 
 
@@ -108,23 +108,27 @@
     ``crashes`` is how many count against the suspect ``name``, unsettled ones
     included."""
 
-    standing: Standing
-    again_s: float = 0.0
+    decision: AdmissionDecision
+    retry_in_s: float = 0.0
     crashes: float = 0.0
     name: str = ""
 
     @property
     def severity(self) -> tuple[int, float]:
         """Of several, the one with the greatest decides."""
-        order = (Standing.ADMITTED, Standing.WAITS, Standing.QUARANTINED)
-        return order.index(self.standing), self.again_s
+        order = (
+            AdmissionDecision.ADMITTED,
+            AdmissionDecision.DEFERRED,
+            AdmissionDecision.QUARANTINED,
+        )
+        return order.index(self.decision), self.retry_in_s
 
 
-ADMITTED = Admission(Standing.ADMITTED)
+ADMITTED = Admission(AdmissionDecision.ADMITTED)
 
 
 @dataclass(frozen=True, slots=True)
-class Quarantined:
+class QuarantinedRequest:
     """A request that is kept from all backend servers from now on."""
 
     fingerprint: str
@@ -133,7 +137,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class LedgerUpdate:
     """What the ledger has learnt: lost runs, and requests found sound."""
 
     runs: tuple[LostRun, ...]
@@ -145,7 +149,7 @@
     run: LostRun
     version: int
     source: str
-    fate: Fate = Fate.OPEN
+    verdict: CrashVerdict = CrashVerdict.UNDECIDED
 
 
 class CrashLedger:
@@ -156,8 +160,8 @@
     Example::
 
         ledger.run_lost(LostRun(fingerprint, incarnation, False, now))
-        ledger.settle(now, lambda run, before: Fate.CRASHED)
-        if ledger.admission(now, fingerprint).standing is Standing.QUARANTINED: ...
+        ledger.settle(now, lambda run, before: CrashVerdict.CRASHED)
+        if ledger.admission(now, fingerprint).standing is AdmissionDecision.QUARANTINED: ...
     """
 
     def __init__(self) -> None:
@@ -188,10 +192,10 @@
         self.version += 1
         record = _Record(run, self.version, source)
         if held is not None:
-            record.fate = held.fate
+            record.verdict = held.verdict
         records[run.incarnation] = record
         self._watched.append(record)
-        self._forget_least()
+        self._evict_least_suspicious()
         return True
 
     def completed(self, fingerprint: str, source: str = "", now: float = 0.0) -> int:
@@ -200,17 +204,17 @@
         sound = self._sound_parts if _is_part(fingerprint) else self._sound
         sound[fingerprint] = now
         sound.move_to_end(fingerprint)
-        if len(sound) > MOST_SOUND:
+        if len(sound) > MAX_SOUND:
             sound.popitem(last=False)
         lost = len(self._runs.pop(fingerprint, ()))
         if lost or (source and fingerprint not in self._cleared):
             self._clear(fingerprint, source)
-            self._judge()
+            self._update_quarantine()
         return lost
 
     def settle(
-        self, now: float, fate_of: Callable[[LostRun, Fate], Fate]
-    ) -> list[Quarantined]:
+        self, now: float, crash_verdict: Callable[[LostRun, CrashVerdict], CrashVerdict]
+    ) -> list[QuarantinedRequest]:
         """Look again at what became of backend servers, given what was thought of them
         until now; returns the requests that are quarantined from now on."""
         changed = False
@@ -218,18 +222,25 @@
         for record in watched:
             if not self._holds(record):
                 continue
-            before = record.fate
-            record.fate = fate_of(record.run, before)
-            changed = changed or record.fate is not before
-            if record.fate is Fate.SURVIVED:
+            before = record.verdict
+            record.verdict = crash_verdict(record.run, before)
+            changed = changed or record.verdict is not before
+            if record.verdict is CrashVerdict.SURVIVED:
                 self._drop(record.run)
-            elif now - record.run.lost_at <= FINAL_S or record.fate is Fate.OPEN:
+            elif (
+                now - record.run.lost_at <= VERDICT_FINAL_S
+                or record.verdict is CrashVerdict.UNDECIDED
+            ):
                 self._watched.append(record)
         if not changed:
             return []
         before = set(self._quarantined)
-        self._judge()
-        return [self._told(name) for name in self._quarantined if name not in before]
+        self._update_quarantine()
+        return [
+            self._quarantined_request(name)
+            for name in self._quarantined
+            if name not in before
+        ]
 
     def admission(self, now: float, *names: str) -> Admission:
         """Whether a request with these suspects may run now."""
@@ -241,27 +252,35 @@
     def _admission(
         self, now: float, fingerprint: str, names: Collection[str]
     ) -> Admission:
-        last_at = self._last_at(fingerprint)
-        crashes = self._count(fingerprint, Fate.CRASHED, Fate.OPEN)
+        last_at = self._last_lost_at(fingerprint)
+        crashes = self._weighted_count(
+            fingerprint, CrashVerdict.CRASHED, CrashVerdict.UNDECIDED
+        )
         left_s = last_at + QUARANTINE_S - now
         quarantined = fingerprint in self._quarantined and left_s > 0
-        if quarantined and not self._tells_apart(fingerprint, names):
-            return Admission(Standing.QUARANTINED, left_s, crashes, fingerprint)
-        if crashes >= MOST_CRASHES and self._count(fingerprint, Fate.OPEN):
-            return Admission(Standing.WAITS, LOOK_AGAIN_S, crashes, fingerprint)
+        if quarantined and not self._can_distinguish(fingerprint, names):
+            return Admission(
+                AdmissionDecision.QUARANTINED, left_s, crashes, fingerprint
+            )
+        if crashes >= MOST_CRASHES and self._weighted_count(
+            fingerprint, CrashVerdict.UNDECIDED
+        ):
+            return Admission(
+                AdmissionDecision.DEFERRED, RECHECK_S, crashes, fingerprint
+            )
         if crashes < SUSPECT_CRASHES:
             return ADMITTED
-        wait_s = last_at + self._turn(fingerprint) * TURN_S - now
+        wait_s = last_at + self._stagger_step(fingerprint) * STAGGER_S - now
         if wait_s > 0:
-            return Admission(Standing.WAITS, wait_s, crashes, fingerprint)
-        return Admission(Standing.ADMITTED, 0.0, crashes, fingerprint)
+            return Admission(AdmissionDecision.DEFERRED, wait_s, crashes, fingerprint)
+        return Admission(AdmissionDecision.ADMITTED, 0.0, crashes, fingerprint)
 
-    def _tells_apart(self, part: str, names: Collection[str]) -> bool:
+    def _can_distinguish(self, part: str, names: Collection[str]) -> bool:
         """Whether a part that the request doesn't have was at all crashes of the
         quarantined one, so that a run of the request tells which of both it is."""
         if not _is_part(part):
             return False
-        crashes = self._crashes(part)
+        crashes = self._crash_weights(part)
         if not crashes:
             return False
         one = next(iter(crashes))
@@ -273,54 +292,54 @@
         return any(
             crashes.keys() <= found.keys()
             and all(found[at] >= weight for at, weight in crashes.items())
-            for found in map(self._crashes, others)
+            for found in map(self._crash_weights, others)
         )
 
-    def _crashes(self, name: str) -> dict[Incarnation, float]:
+    def _crash_weights(self, name: str) -> dict[Incarnation, float]:
         """How much each crash counts at which the suspect was."""
         return {
             incarnation: record.run.weight
             for incarnation, record in self._runs[name].items()
-            if record.fate is Fate.CRASHED
+            if record.verdict is CrashVerdict.CRASHED
         }
 
     def _is_sound(self, name: str, at: float) -> bool:
         if not _is_part(name):
             return name in self._sound
         known_at = self._sound_parts.get(name)
-        return known_at is not None and at - known_at < SOUND_PART_S
+        return known_at is not None and at - known_at < SOUND_PART_TTL_S
 
-    def news(self, untold: Untold) -> News:
+    def pending_updates(self, update_filter: UpdateFilter) -> LedgerUpdate:
         """What has been learnt that a peer hasn't been told."""
         runs = tuple(
             record.run
             for record in self._records()
-            if untold.covers(record.version, record.source)
+            if update_filter.includes(record.version, record.source)
         )
         sound = tuple(
             name
             for name, (version, source) in self._cleared.items()
-            if untold.covers(version, source)
+            if update_filter.includes(version, source)
         )
-        return News(runs, sound)
+        return LedgerUpdate(runs, sound)
 
     def forget(self, now: float) -> None:
         """Drop lost runs past their time."""
         old = [
             record.run
             for record in self._records()
-            if now - record.run.lost_at > KEPT_S
+            if now - record.run.lost_at > RETENTION_S
         ]
         for run in old:
             self._drop(run)
-        self._judge()
+        self._update_quarantine()
 
     def lost_runs(self, fingerprint: str) -> tuple[LostRun, ...]:
         """The lost runs of a request."""
         records = self._runs.get(fingerprint, {}).values()
         return tuple(record.run for record in records)
 
-    def lost_one(self, fingerprint: str) -> bool:
+    def has_local_lost_run(self, fingerprint: str) -> bool:
         """Whether a run of the request was lost here."""
         records = self._runs.get(fingerprint, {}).values()
         return any(not record.source for record in records)
@@ -353,35 +372,36 @@
         self.version += 1
         self._cleared[name] = (self.version, source)
         self._cleared.move_to_end(name)
-        if len(self._cleared) > MOST_REQUESTS:
+        if len(self._cleared) > MAX_REQUESTS:
             self._cleared.popitem(last=False)
 
-    def _forget_least(self) -> None:
-        if len(self._runs) <= MOST_REQUESTS:
+    def _evict_least_suspicious(self) -> None:
+        if len(self._runs) <= MAX_REQUESTS:
             return
         least = min(
             self._runs,
             key=lambda name: (
                 name in self._quarantined,
                 len(self._runs[name]),
-                self._last_at(name),
+                self._last_lost_at(name),
             ),
         )
         del self._runs[least]
 
-    def _last_at(self, name: str) -> float:
+    def _last_lost_at(self, name: str) -> float:
         return max(record.run.lost_at for record in self._runs[name].values())
 
-    def _count(self, name: str, *fates: Fate) -> float:
+    def _weighted_count(self, name: str, *verdicts: CrashVerdict) -> float:
         """How much the crashes that nobody else explains count."""
         own = name in self._quarantined
         return sum(
             record.run.weight
             for incarnation, record in self._runs.get(name, {}).items()
-            if record.fate in fates and (own or incarnation not in self._explained)
+            if record.verdict in verdicts
+            and (own or incarnation not in self._explained)
         )
 
-    def _judge(self) -> None:
+    def _update_quarantine(self) -> None:
         """Find anew whom the crashes count against, the most suspicious first.
 
         From the start each time: a request that was quarantined for what another did
@@ -390,16 +410,16 @@
         self._quarantined, self._explained = {}, set()
         suspects = []
         for name in self._runs:
-            crashes = self._count(name, Fate.CRASHED)
+            crashes = self._weighted_count(name, CrashVerdict.CRASHED)
             if crashes >= MOST_CRASHES:
                 # Of two that were at as many, the one that was at the latest: the other
                 # may have been kept from it.
-                last_at = self._last_at(name)
+                last_at = self._last_lost_at(name)
                 suspects.append((-crashes, _is_part(name), -last_at, name))
         heapq.heapify(suspects)
         while suspects:
             before, is_part, last_at, name = heapq.heappop(suspects)
-            crashes = self._count(name, Fate.CRASHED)
+            crashes = self._weighted_count(name, CrashVerdict.CRASHED)
             if crashes < MOST_CRASHES:
                 continue
             if crashes < -before:
@@ -409,25 +429,30 @@
             self._explained |= {
                 incarnation
                 for incarnation, record in self._runs[name].items()
-                if record.fate is Fate.CRASHED
+                if record.verdict is CrashVerdict.CRASHED
             }
 
-    def _turn(self, name: str) -> int:
+    def _stagger_step(self, name: str) -> int:
         """How many others that share a crash with the request go before it."""
         own = self._runs[name].keys() - self._explained
         before = sum(
             other < name
             and not own.isdisjoint(records)
             and other not in self._quarantined
-            and self._count(other, Fate.CRASHED, Fate.OPEN) >= SUSPECT_CRASHES
+            and self._weighted_count(
+                other, CrashVerdict.CRASHED, CrashVerdict.UNDECIDED
+            )
+            >= SUSPECT_CRASHES
             for other, records in self._runs.items()
         )
-        return min(before, MOST_TURNS - 1)
+        return min(before, MAX_STAGGER_STEPS - 1)
 
-    def _told(self, name: str) -> Quarantined:
+    def _quarantined_request(self, name: str) -> QuarantinedRequest:
         backends = {incarnation.instance for incarnation in self._runs[name]}
-        return Quarantined(name, self._quarantined[name], tuple(sorted(backends)))
+        return QuarantinedRequest(
+            name, self._quarantined[name], tuple(sorted(backends))
+        )
 
 
 def _is_part(name: str) -> bool:
-    return name.startswith(PART)
+    return name.startswith(PART_PREFIX)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/due_adapters.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/due_adapters.py
@@ -16,7 +16,7 @@
 
 from collections.abc import Collection
 
-from bambootiller_core.gateway.calls import ModelAsk
+from bambootiller_core.gateway.calls import ModelRequest
 from bambootiller_core.gateway.demand import DUE_BACK_LATE_S
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.order_messages import Wish
@@ -34,7 +34,7 @@
         #: When the last caller is due back, by model and adapter.
         self._due: dict[str, dict[str, float]] = {}
 
-    def refused(self, now: float, ask: ModelAsk, come_back_s: float) -> None:
+    def refused(self, now: float, ask: ModelRequest, come_back_s: float) -> None:
         """A caller was refused because its model isn't there in time."""
         if not ask.adapter:
             return
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quarantine_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quarantine_record.py
@@ -6,7 +6,7 @@
 import json
 from collections.abc import Iterable
 
-from bambootiller_core.gateway.crash_ledger import KEPT_S, LostRun
+from bambootiller_core.gateway.crash_ledger import RETENTION_S, LostRun
 from bambootiller_core.gateway.incarnation import Incarnation
 
 PREFIX = "bambootiller/quarantine/"
@@ -44,7 +44,7 @@
         raise ValueError(
             f"{key}: {value[:80]!r}; allowed: a list of lost runs"
         ) from exc
-    return tuple(run for run in runs if now - run.lost_at <= KEPT_S)
+    return tuple(run for run in runs if now - run.lost_at <= RETENTION_S)
 
 
 def _run(key: str, item: dict, now: float, unix_s: float) -> LostRun:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/reported_limits.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/reported_limits.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from bambootiller_core.gateway.quota_limits import Limit
-from bambootiller_core.gateway.telling import Untold
+from bambootiller_core.gateway.update_filter import UpdateFilter
 
 #: What was said of a backend server that is gone, or no limit any more, is forgotten
 #: after this time. Seconds; longer than word of it is under way.
@@ -111,12 +111,12 @@
             if record.limit.per_s is not None
         }
 
-    def unsent(self, untold: Untold) -> list[ReportedLimit]:
+    def unsent(self, update_filter: UpdateFilter) -> list[ReportedLimit]:
         """What was said that a peer hasn't been told."""
         return [
             record.limit
             for record in self._records.values()
-            if untold.covers(record.version, record.source)
+            if update_filter.includes(record.version, record.source)
         ]
 
     def forget(self, now: float, is_known: Callable[[str], bool]) -> bool:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Sequence
 
 from bambootiller_core import rendezvous
-from bambootiller_core.gateway.calls import Call, ModelAsk
+from bambootiller_core.gateway.calls import Call, ModelRequest
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.health import Health
 
@@ -64,7 +64,7 @@
     return backend.occupied(now) >= MOST_OCCUPIED * max(1, backend.registered.slots)
 
 
-def home_weight(ask: ModelAsk, instance: str) -> int:
+def home_weight(ask: ModelRequest, instance: str) -> int:
     """How early an engine comes in the order in which all entries seek a home for an
     adapter; the greatest weight is first."""
     return rendezvous.weight(f"{ask.model}/{ask.adapter}", instance)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/telling.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/update_filter.py
@@ -5,7 +5,7 @@
 
 Example::
 
-    untold = Untold(since=7, own=True, but_from="a1")
+    untold = UpdateFilter(since=7, own=True, excluded_source="a1")
     untold.covers(version=9, source="")    # True
 """
 
@@ -15,16 +15,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Untold:
-    """What was learnt after the version ``since``; ``own`` leaves out what others told,
-    ``but_from`` what that peer did."""
+class UpdateFilter:
+    """What was learnt after the version ``since``; ``own_only`` leaves out what others told,
+    ``excluded_source`` what that peer did."""
 
     since: int = 0
-    own: bool = False
-    but_from: str = ""
+    own_only: bool = False
+    excluded_source: str = ""
 
-    def covers(self, version: int, source: str) -> bool:
+    def includes(self, version: int, source: str) -> bool:
         """Whether something of that version and source is to be told."""
-        if version <= self.since or (self.own and source):
+        if version <= self.since or (self.own_only and source):
             return False
-        return not source or source != self.but_from
+        return not source or source != self.excluded_source
--- a/packages/bambootiller/src/bambootiller/entry/figures.py
+++ b/packages/bambootiller/src/bambootiller/entry/figures.py
@@ -13,7 +13,7 @@
 from bambootiller_core.types import LoadFigures, ModelKey
 
 #: Figures older than this decide nothing and are dropped. Seconds.
-KEPT_S = 300.0
+RETENTION_S = 300.0
 
 
 @dataclass(slots=True)
@@ -82,7 +82,7 @@
         """Drop what is too old, so that the memory follows the agents in use."""
         for instance, models in list(self._known.items()):
             for key, known in list(models.items()):
-                if now - known.at > KEPT_S:
+                if now - known.at > RETENTION_S:
                     del models[key]
             if not models:
                 del self._known[instance]
--- a/packages/bambootiller/src/bambootiller/entry/relay/core.py
+++ b/packages/bambootiller/src/bambootiller/entry/relay/core.py
@@ -40,7 +40,7 @@
 from bambootiller_core.types import Request, ServiceTarget
 
 #: How often it looks. Seconds.
-LOOK_AGAIN_S = 0.1
+RECHECK_S = 0.1
 #: The pause before the same place is asked again, doubled with each attempt. Seconds.
 ASK_AGAIN_S = 0.1
 #: Attempts of a request that was refused for want of memory, and the pause before the
@@ -337,7 +337,7 @@
         """Wait a little for a place; the caller hears at once when that is over."""
         if self._patience_until is None:
             self._patience_until = now + self._patience_s
-        until = now + LOOK_AGAIN_S
+        until = now + RECHECK_S
         if until < min(self._patience_until, self._req.deadline):
             return Wait(until)
         detail = "no backend server that may serve this can be reached"
--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -135,7 +135,7 @@
         if verdict is AnswerKind.USELESS:
             raise ConnectionLost(f"useless answer of status {head.status}", False, True)
         if verdict not in (AnswerKind.NOT_RUN, AnswerKind.MISDIRECTED):
-            if self._progress.passed_on and not 200 <= head.status < 300:
+            if self._progress.forwarded and not 200 <= head.status < 300:
                 # The caller has the head of another answer already.
                 raise ConnectionLost(
                     f"status {head.status} in the middle of a stream", False, True
--- a/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
@@ -9,7 +9,11 @@
 from bambootiller_core.gateway import attempts
 from bambootiller_core.gateway.attempts import Reason, Refusal
 from bambootiller_core.gateway.calls import Call, Progress
-from bambootiller_core.gateway.crash_ledger import PART, Admission, Standing
+from bambootiller_core.gateway.crash_ledger import (
+    PART_PREFIX,
+    Admission,
+    AdmissionDecision,
+)
 
 #: A call is held no longer than this, and no more than this part of the time that it
 #: has left: a caller that would be refused in the end had better know at once. Seconds.
@@ -37,17 +41,17 @@
         """Wait until the call may be sent; returns a refusal if it may not, or not
         soon."""
         admission = self._admission()
-        if admission.standing is Standing.ADMITTED:
+        if admission.decision is AdmissionDecision.ADMITTED:
             return None
         began = self._context.clock()
         give_up_at = began + self._longest_hold_s(began)
-        while admission.standing is not Standing.ADMITTED:
+        while admission.decision is not AdmissionDecision.ADMITTED:
             now = self._context.clock()
-            if admission.standing is Standing.QUARANTINED:
+            if admission.decision is AdmissionDecision.QUARANTINED:
                 return _refusal(Reason.QUARANTINED, admission)
-            if now + admission.again_s > give_up_at:
+            if now + admission.retry_in_s > give_up_at:
                 return _refusal(Reason.KEPT_APART, admission)
-            await asyncio.sleep(admission.again_s)
+            await asyncio.sleep(admission.retry_in_s)
             admission = self._admission()
         self._report.kept_apart(admission.crashes, self._context.clock() - began)
         return None
@@ -61,8 +65,8 @@
 
 
 def _refusal(reason: Reason, admission: Admission) -> Refusal:
-    come_back_s = max(admission.again_s, attempts.COME_BACK_S)
+    come_back_s = max(admission.retry_in_s, attempts.DEFAULT_RETRY_AFTER_S)
     detail = f"{admission.crashes:g} crashes of backend servers"
-    if admission.name.startswith(PART):
+    if admission.name.startswith(PART_PREFIX):
         detail = f"{admission.name}: {detail}"
     return Refusal(reason, come_back_s, detail)
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -17,7 +17,7 @@
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller.rpc import bambootiller_pb2 as pb
 from bambootiller_core.gateway.collecting import collectors
-from bambootiller_core.gateway.crash_ledger import Standing
+from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.fleet import AGENT_SILENT_S, Backend
 from bambootiller_core.gateway.log_lines import BackendRemoved, LogLine
 from bambootiller_core.gateway.order_messages import Wish
@@ -96,7 +96,7 @@
 
     def _admits_load(self, model: str) -> bool:
         admission = self.quarantine.load_admission(model)
-        return admission.standing is Standing.ADMITTED
+        return admission.decision is AdmissionDecision.ADMITTED
 
     def stream_count(self) -> int:
         """How many streams to agents are kept."""
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -26,7 +26,7 @@
     ForPeer,
     agent_turn,
 )
-from bambootiller_core.gateway.telling import Untold
+from bambootiller_core.gateway.update_filter import UpdateFilter
 from bambootiller_core.ports import Changed, Record
 
 #: The longest silence of a side that is well and whose stream is given up when it is
@@ -123,7 +123,7 @@
         if first and not self._documents.is_empty:
             self.poke()
 
-    def untold(self, what: str, version: int, own: bool) -> Untold | None:
+    def update_filter(self, what: str, version: int, own: bool) -> UpdateFilter | None:
         """What the other side hasn't been told of ``what``, None if that is at
         ``version`` already; from now on it has. ``own`` leaves out what others told,
         unless the other side hasn't been told anything."""
@@ -132,7 +132,7 @@
             return None
         self.told[what] = version
         known = told is not None
-        return Untold(told if known else 0, own and known, self.peer)
+        return UpdateFilter(told if known else 0, own and known, self.peer)
 
     def poke(self) -> None:
         """Have the figures sent at once, with what else changes in the same moment."""
--- a/packages/bambootiller/src/bambootiller/gateway/failover.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -15,7 +15,7 @@
 from bambootiller.gateway.reporting import CallReport
 from bambootiller.gateway.silence import LEAST_WAIT_S
 from bambootiller_core.gateway import attempts
-from bambootiller_core.gateway.attempts import Ended, SendAgain
+from bambootiller_core.gateway.attempts import AttemptOutcome, SendAgain
 from bambootiller_core.gateway.calls import Call, Progress
 from bambootiller_core.gateway.fleet import Backend
 
@@ -220,8 +220,12 @@
 
     def _backend(self) -> Backend | StayReason:
         now = self._context.clock()
-        ended = Ended.BROKEN if self._progress.passed_on else Ended.UNKNOWN
-        decision = attempts.after(self._call, self._progress, ended, now)
+        ended = (
+            AttemptOutcome.BROKEN
+            if self._progress.forwarded
+            else AttemptOutcome.UNKNOWN
+        )
+        decision = attempts.next_action(self._call, self._progress, ended, now)
         if not isinstance(decision, SendAgain):
             return StayReason.ATTEMPTS
         if not self._context.quarantine.admits(self._call):
--- a/packages/bambootiller/src/bambootiller/gateway/http_front.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_front.py
@@ -17,7 +17,7 @@
 from bambootiller.gateway.ports import Incoming, Unreadable
 from bambootiller.gateway.relay import AnswerTruncated, Relay
 from bambootiller.gateway.relay_context import RelayContext
-from bambootiller_core.gateway.attempts import COME_BACK_S, Reason, Refusal
+from bambootiller_core.gateway.attempts import DEFAULT_RETRY_AFTER_S, Reason, Refusal
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.config import GatewayConfig, Route
 from bambootiller_core.gateway.fingerprint import fingerprint
@@ -99,7 +99,7 @@
         incoming = context.dialect.read(scope)
         config = context.knowledge.config
         if config is None:
-            refusal = Refusal(Reason.NO_CONFIGURATION, COME_BACK_S)
+            refusal = Refusal(Reason.NO_CONFIGURATION, DEFAULT_RETRY_AFTER_S)
             await self._refuse(send, incoming, refusal, arrived)
             return
         if isinstance(incoming, Unreadable):
@@ -119,7 +119,7 @@
             await self._refuse(send, incoming, call, arrived)
             return
         if self._takes_no_more():
-            refusal = Refusal(Reason.LEAVING, COME_BACK_S)
+            refusal = Refusal(Reason.LEAVING, DEFAULT_RETRY_AFTER_S)
             await self._refuse(send, incoming, refusal, arrived, call)
             return
         closing = self._closing(send)
@@ -174,7 +174,7 @@
             return Refusal(Reason.UNKNOWN_KEY)
         service = route.pick_service(self._context.rng.random())
         if service is None:
-            return Refusal(Reason.NO_BACKEND, COME_BACK_S)
+            return Refusal(Reason.NO_BACKEND, DEFAULT_RETRY_AFTER_S)
         spec = config.services.get(service)
         has_engine = spec is not None and spec.engine is not None
         return Call(
@@ -183,7 +183,8 @@
             service=service,
             arrived=arrived,
             deadline=arrived + _time_s(route, incoming),
-            first_event_due=arrived + (route.patience_s or _time_s(route, incoming)),
+            first_event_due=arrived
+            + (route.event_timeout_s or _time_s(route, incoming)),
             ask=incoming.ask if has_engine else None,
             resume_after=incoming.resume_after,
             fingerprint=fingerprint(
--- a/packages/bambootiller/src/bambootiller/gateway/knowledge.py
+++ b/packages/bambootiller/src/bambootiller/gateway/knowledge.py
@@ -16,7 +16,7 @@
 from bambootiller.gateway.registry_faults import MOST_DETAIL, RegistryFaults
 from bambootiller.gateway.stall_monitor import StallCheck
 from bambootiller_core.gateway import log_lines as lines
-from bambootiller_core.gateway.config import GatewayConfig, newer
+from bambootiller_core.gateway.config import GatewayConfig, is_newer
 from bambootiller_core.gateway.fleet import (
     LAPSE_GRACE_S,
     Backend,
@@ -212,7 +212,7 @@
             )
             self._events.emit(line)
             return
-        if not newer(self.config, config):
+        if not is_newer(self.config, config):
             return
         self.config = config
         line = lines.ConfigInForce(
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -9,7 +9,7 @@
 from bambootiller_core.gateway import attempts, selection
 from bambootiller_core.gateway.attempts import Reason, Refusal
 from bambootiller_core.gateway.calls import Call, Progress
-from bambootiller_core.gateway.crash_ledger import Standing
+from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.log_lines import PlanSeen
 from bambootiller_core.gateway.order_messages import Wish
@@ -17,7 +17,7 @@
 from bambootiller_core.gateway.service_levels import level_of
 
 #: A call that waits for a model looks again at least this often. Seconds.
-LOOK_AGAIN_S = 0.1
+RECHECK_S = 0.1
 #: What a stream needs between its model being there and its first event. Seconds.
 FIRST_EVENT_S = 0.15
 #: A stream lasts about so long. One that can't begin this long before the end of a
@@ -149,11 +149,11 @@
         while True:
             candidates = self.untried()
             if not candidates:
-                return Refusal(Reason.NO_BACKEND, attempts.COME_BACK_S)
+                return Refusal(Reason.NO_BACKEND, attempts.DEFAULT_RETRY_AFTER_S)
             found = self._choose(candidates) or self._none_free(candidates)
             if found is not None:
                 return found
-            await asyncio.sleep(LOOK_AGAIN_S)
+            await asyncio.sleep(RECHECK_S)
 
     def _none_free(self, candidates: list[Backend]) -> Refusal | None:
         """Why none of the backend servers takes the call, or None to wait for room
@@ -164,7 +164,7 @@
         ]
         room = self._context.server_admission.room(free)
         if room is None:
-            return Refusal(Reason.OVERLOADED, attempts.COME_BACK_S)
+            return Refusal(Reason.OVERLOADED, attempts.DEFAULT_RETRY_AFTER_S)
         due = min(self._call.next_event_due(self._progress), self._call.deadline)
         begins = self._awaited is None and now + room.in_s < due - FIRST_EVENT_S
         if begins and room.known:
@@ -173,7 +173,11 @@
         if self._awaited is not None and room.known and now < due - FIRST_EVENT_S:
             return None
         detail = f"{room.instance} has room in {room.in_s:.2f} s"
-        return Refusal(Reason.LIMITED, max(room.in_s, attempts.COME_BACK_S), detail)
+        return Refusal(
+            Reason.BACKEND_LIMITED,
+            max(room.in_s, attempts.DEFAULT_RETRY_AFTER_S),
+            detail,
+        )
 
     def _wait_no_more(self) -> None:
         room, self._awaited = self._awaited, None
@@ -193,7 +197,7 @@
             while found is None:
                 found = self._engine_now(began)
                 if found is None:
-                    await context.knowledge.changed.wait(LOOK_AGAIN_S)
+                    await context.knowledge.changed.wait(RECHECK_S)
             return found
         finally:
             demand.end_waiting(began, ask.model, self._weight, due)
@@ -227,7 +231,7 @@
         if with_adapter:
             return self._none_free(with_adapter)
         if now > self._call.first_event_due - FIRST_EVENT_S:
-            return Refusal(Reason.OVERLOADED, attempts.COME_BACK_S)
+            return Refusal(Reason.OVERLOADED, attempts.DEFAULT_RETRY_AFTER_S)
         return self._await_adapter(now, began, holders)
 
     def _await_adapter(
@@ -237,7 +241,7 @@
         self._miss_adapter(now)
         able = [backend for backend in holders if backend.takes_orders(now)]
         if not able:
-            return self._refuse_cold(now, attempts.COME_BACK_S)
+            return self._refuse_cold(now, attempts.DEFAULT_RETRY_AFTER_S)
         soonest = min(_free_in(backend) for backend in able)
         if now + soonest > self._call.first_event_due - FIRST_EVENT_S:
             return self._refuse_cold(now, soonest)
@@ -252,7 +256,7 @@
         next long load as soon as this one ends."""
         due = self._context.engines.plans.due_adapters(self._call.service)
         due.refused(now, self._call.ask, come_back_s)
-        return Refusal(Reason.COLD, come_back_s)
+        return Refusal(Reason.MODEL_NOT_LOADED, come_back_s)
 
     def _miss_adapter(self, now: float) -> None:
         if self._missed_adapter:
@@ -265,8 +269,10 @@
         call, ask = self._call, self._call.ask
         engines = self._context.engines
         admission = self._context.quarantine.load_admission(ask.model)
-        if admission.standing is Standing.QUARANTINED:
-            return Refusal(Reason.COLD, admission.again_s, "its load ends engines")
+        if admission.decision is AdmissionDecision.QUARANTINED:
+            return Refusal(
+                Reason.MODEL_NOT_LOADED, admission.retry_in_s, "its load ends engines"
+            )
         planned = engines.plans.plan_for(call.service, ask.model)
         due = (
             min(self._call.next_event_due(self._progress), call.deadline)
@@ -281,14 +287,14 @@
             return None
         come_back = UNPLANNED_S if ready_in is None else ready_in
         detail = "no engine can load it" if ready_in is None else ""
-        come_back = max(come_back, attempts.COME_BACK_S)
+        come_back = max(come_back, attempts.DEFAULT_RETRY_AFTER_S)
         returning = self._context.service(call.service).returning
         back_in_s = returning.expected_in_s(call, now, come_back)
         demand = engines.plans.demand(call.service)
         demand.refused(now, ask.model, come_back, self._weight, back_in_s)
         engines.plans.due_adapters(call.service).refused(now, ask, come_back)
         plan = self._plan_seen(now, planned)
-        return Refusal(Reason.COLD, come_back, detail, plan)
+        return Refusal(Reason.MODEL_NOT_LOADED, come_back, detail, plan)
 
     def _plan_seen(self, now: float, planned: PlannedLoad | None) -> PlanSeen:
         call = self._call
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from bambootiller_core.gateway.calls import Call, ModelAsk
+from bambootiller_core.gateway.calls import Call, ModelRequest
 from bambootiller_core.gateway.config import GatewayConfig
 from bambootiller_core.gateway.fleet import Registered
 from bambootiller_core.gateway.order_messages import (
@@ -38,7 +38,7 @@
     headers: tuple[Header, ...]
     request_id: str
     deadline_s: float | None = None
-    ask: ModelAsk | None = None
+    ask: ModelRequest | None = None
     resume_after: int | None = None
     key: bytes | None = field(default=None, repr=False)
     tokens: int | None = None
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -15,14 +15,14 @@
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller.gateway.knowledge import Knowledge
 from bambootiller_core.gateway.calls import Call
-from bambootiller_core.gateway.crash_evidence import fate_of
+from bambootiller_core.gateway.crash_evidence import crash_verdict
 from bambootiller_core.gateway.crash_ledger import (
     ADMITTED,
     Admission,
+    AdmissionDecision,
     CrashLedger,
-    Fate,
+    CrashVerdict,
     LostRun,
-    Standing,
     part_name,
 )
 from bambootiller_core.gateway.fleet import Backend
@@ -53,7 +53,7 @@
     Example::
 
         quarantine.run_lost(call, backend, progressed=False)
-        if quarantine.admission(call).standing is Standing.QUARANTINED: ...
+        if quarantine.admission(call).standing is AdmissionDecision.QUARANTINED: ...
     """
 
     def __init__(
@@ -124,7 +124,7 @@
 
     def admits(self, call: Call) -> bool:
         """Whether the call may be sent at once."""
-        return self.admission(call).standing is Standing.ADMITTED
+        return self.admission(call).decision is AdmissionDecision.ADMITTED
 
     def suspects(self, call: Call) -> bool:
         """Whether runs of the request were lost and nothing has explained them yet."""
@@ -133,14 +133,14 @@
     def fill(self, update: Update, outgoing: Outgoing, own: bool) -> None:
         """Put into a message what its receiver hasn't been told yet; ``own`` leaves out
         what others told, unless the receiver hasn't been told anything."""
-        untold = outgoing.untold("quarantine", self._ledger.version, own)
-        if untold is None:
+        update_filter = outgoing.update_filter("quarantine", self._ledger.version, own)
+        if update_filter is None:
             return
-        news = self._ledger.news(untold)
+        pending_updates = self._ledger.pending_updates(update_filter)
         now = self._clock()
-        for run in news.runs:
+        for run in pending_updates.runs:
             wire.add_lost_run(update, run, now)
-        update.sound.extend(news.sound)
+        update.sound.extend(pending_updates.sound)
 
     def take(self, update: Update, outgoing: Outgoing) -> None:
         """Take in what a peer tells."""
@@ -179,13 +179,13 @@
             return
         fleet = self._knowledge.fleet
 
-        def fate(run: LostRun, before: Fate) -> Fate:
-            return fate_of(now, run, before, fleet)
+        def verdict(run: LostRun, before: CrashVerdict) -> CrashVerdict:
+            return crash_verdict(now, run, before, fleet)
 
-        for found in self._ledger.settle(now, fate):
+        for found in self._ledger.settle(now, verdict):
             name = found.fingerprint
             self._events.emit(RequestQuarantined(name, found.crashes, found.backends))
-            if self._listener is not None and self._ledger.lost_one(name):
+            if self._listener is not None and self._ledger.has_local_lost_run(name):
                 self._listener(name, self._ledger.lost_runs(name))
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/quotas.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quotas.py
@@ -8,7 +8,7 @@
 from bambootiller.gateway import wire
 from bambootiller.gateway.allowances import Allowances, Shortage
 from bambootiller.gateway.knowledge import Knowledge
-from bambootiller_core.gateway.attempts import COME_BACK_S, Reason, Refusal
+from bambootiller_core.gateway.attempts import DEFAULT_RETRY_AFTER_S, Reason, Refusal
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.config import GatewayConfig
 from bambootiller_core.gateway.log_lines import QuotaSeen
@@ -95,7 +95,7 @@
         if shortage is Shortage.NO_ROOM and limit is not None:
             own_s = account.room_in_s(now, limit, call.cost)
             told_s = allowances.room_in_s(name) or math.inf
-            room_in_s = max(COME_BACK_S, min(own_s, told_s))
+            room_in_s = max(DEFAULT_RETRY_AFTER_S, min(own_s, told_s))
             # All of the limit may be held by entries that the allocator doesn't hear
             # yet.
             if room_in_s < wire.MOST_ROOM_S:
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -12,7 +12,7 @@
 from bambootiller.gateway.connection_pool import CannotConnect, PoolExhausted
 from bambootiller.gateway.crash_isolation import CrashIsolation
 from bambootiller.gateway.failover import Failover, FailoverTarget, StayReason
-from bambootiller.gateway.placement import LOOK_AGAIN_S, Placement
+from bambootiller.gateway.placement import RECHECK_S, Placement
 from bambootiller.gateway.ports import AnswerHead, Incoming
 from bambootiller.gateway.quotas import Admission
 from bambootiller.gateway.relay_context import RelayContext
@@ -20,9 +20,9 @@
 from bambootiller.gateway.silence import SilenceDetector, SilenceTimeout
 from bambootiller_core.gateway import attempts
 from bambootiller_core.gateway.attempts import (
+    AttemptOutcome,
     CutOff,
     Decision,
-    Ended,
     Refusal,
     SendAgain,
 )
@@ -147,7 +147,7 @@
 
     def _unplaced(self, refusal: Refusal) -> Refusal:
         """The final answer of a call that is sent nowhere from now on."""
-        if self._progress.passed_on or self._progress.may_have_run:
+        if self._progress.forwarded or self._progress.may_have_run:
             decision = attempts.give_up(self._progress)
             return self._finish(decision, refusal.reason.value)
         return refusal
@@ -157,11 +157,13 @@
         """Whether the next attempt has gone out already."""
         return self._prepared is not None and self._prepared.attempt is not None
 
-    def _after(self, ended: Ended) -> Decision:
+    def _after(self, ended: AttemptOutcome) -> Decision:
         progress = self._progress
         if self._sent:
-            return SendAgain(progress.passed_on, costs_budget=True)
-        decision = attempts.after(self._call, progress, ended, self._context.clock())
+            return SendAgain(progress.forwarded, costs_budget=True)
+        decision = attempts.next_action(
+            self._call, progress, ended, self._context.clock()
+        )
         if isinstance(decision, SendAgain) and not self._may_spend(decision):
             return attempts.give_up(progress)
         return decision
@@ -179,24 +181,28 @@
 
     async def _attempt(
         self, backend: Backend, prepared: FailoverTarget | None
-    ) -> Ended | None:
+    ) -> AttemptOutcome | None:
         """Send the call to one backend server, unless it has gone out already; None if
         the answer was passed on whole."""
         attempt = prepared.attempt if prepared else None
         if attempt is None:
             conn = prepared.conn if prepared else await self._connect(backend)
             if conn is None:
-                return Ended.NOT_SENT
+                return AttemptOutcome.NOT_SENT
             attempt = self._sender.send(backend, conn)
             self._placement.sent()
         answered = False
         try:
             ended = await self._exchange(attempt)
-            answered = ended in (None, Ended.REFUSED)
+            answered = ended in (None, AttemptOutcome.REFUSED)
             return ended
         except ConnectionLost as exc:
             self._sender.lost(attempt, exc)
-            return Ended.BROKEN if self._progress.passed_on else Ended.UNKNOWN
+            return (
+                AttemptOutcome.BROKEN
+                if self._progress.forwarded
+                else AttemptOutcome.UNKNOWN
+            )
         except asyncio.CancelledError:
             # Its time is over, or its caller left, while an engine was gone silently.
             if backend.engine is not None and backend.engine.silent:
@@ -221,7 +227,7 @@
             progress.tried.append(backend.incarnation)
             return None
 
-    async def _exchange(self, attempt: Attempt) -> Ended | None:
+    async def _exchange(self, attempt: Attempt) -> AttemptOutcome | None:
         context = self._context
         silence_s = self._silence_s(context.clock())
         if silence_s is None:
@@ -233,7 +239,7 @@
         finally:
             self._watch.stop()
 
-    async def _answer(self, attempt: Attempt) -> Ended | None:
+    async def _answer(self, attempt: Attempt) -> AttemptOutcome | None:
         conn, sender = attempt.conn, self._sender
         head = await self._next(attempt, lambda: conn.head(sender.is_stray))
         if sender.is_refusal(attempt, head):
@@ -241,7 +247,7 @@
             with contextlib.suppress(ConnectionLost, TimeoutError):
                 async with asyncio.timeout(REFUSAL_S):
                     await _read_refusal(conn)
-            return Ended.REFUSED
+            return AttemptOutcome.REFUSED
         await self._pass_on(attempt, head)
         if 200 <= head.status < 300:
             self._context.quarantine.completed(self._call)
@@ -276,13 +282,13 @@
             self._watch.again()
         else:
             # A place, a connection or the budget may be there in a moment.
-            self._watch.look_again(LOOK_AGAIN_S)
+            self._watch.look_again(RECHECK_S)
         return True
 
     def _is_given_up(self, backend: Backend) -> bool:
         """Whether nothing will come of waiting. An answer that has begun isn't given
         up for a belief: an agent that has ended says nothing of its engine."""
-        return not self._progress.passed_on and backend.lost(self._context.clock())
+        return not self._progress.forwarded and backend.lost(self._context.clock())
 
     def _silence_s(self, now: float) -> float | None:
         """How long the backend server may be silent before the call goes elsewhere."""
@@ -291,8 +297,8 @@
         if left_attempts < 1 or not call.may_rerun:
             return None
         if call.is_stream:
-            patience = call.route.patience_s * SILENCE_SHARE
-            return max(patience, call.route.longest_pause_s * SILENCE_PAUSES)
+            patience = call.route.event_timeout_s * SILENCE_SHARE
+            return max(patience, call.route.max_event_gap_s * SILENCE_PAUSES)
         return max(0.05, (call.deadline - now) * 0.5)
 
     async def _pass_on(self, attempt: Attempt, head: AnswerHead) -> None:
@@ -320,7 +326,7 @@
         """Pass on an answer that is too large to be collected."""
         self.report.part_passed_on(self._context.clock())
         await self._start(head)
-        self._progress.passed_on = True
+        self._progress.forwarded = True
         try:
             while data is not None:
                 await self._send(
@@ -366,7 +372,7 @@
             raise ConnectionLost(
                 "the stream ended in the middle of an event", True, True
             )
-        if not progress.passed_on:
+        if not progress.forwarded:
             await self._start(head)
         await self._send({"type": "http.response.body", "body": b""})
 
@@ -384,11 +390,11 @@
         # Noted only now: where one of them is out of order none is passed on, and the
         # caller still needs those before it.
         progress.last_event = newest
-        progress.passed_at = now = self._context.clock()
+        progress.forwarded_at = now = self._context.clock()
         self.report.part_passed_on(now)
-        if not progress.passed_on:
+        if not progress.forwarded:
             await self._start(head)
-            progress.passed_on = True
+            progress.forwarded = True
         data = b"".join([event.data for event in events])
         await self._send(
             {"type": "http.response.body", "body": data, "more_body": True}
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -4,7 +4,7 @@
 
 from bambootiller.gateway.relay_context import RelayContext
 from bambootiller_core.gateway import log_lines as lines
-from bambootiller_core.gateway.attempts import Decision, Ended
+from bambootiller_core.gateway.attempts import AttemptOutcome, Decision
 from bambootiller_core.gateway.calls import Call, Progress
 from bambootiller_core.gateway.fleet import Backend
 
@@ -81,7 +81,7 @@
         )
 
     def attempt_failed(
-        self, backend: Backend, ended: Ended, then: Decision, sent: bool
+        self, backend: Backend, ended: AttemptOutcome, then: Decision, sent: bool
     ) -> None:
         """An attempt ended without a whole answer, and ``then`` is done; ``sent`` if
         the next one has gone out already."""
--- a/packages/bambootiller/src/bambootiller/gateway/server_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_limits.py
@@ -75,11 +75,13 @@
     def fill(self, update: Update, outgoing: Outgoing, own: bool) -> None:
         """Put into a message what its receiver hasn't been told yet; ``own`` leaves out
         what others told, unless the receiver hasn't been told anything."""
-        untold = outgoing.untold("server limits", self._limits.version, own)
-        if untold is None:
+        update_filter = outgoing.update_filter(
+            "server limits", self._limits.version, own
+        )
+        if update_filter is None:
             return
         now = self._clock()
-        for limit in self._limits.unsent(untold):
+        for limit in self._limits.unsent(update_filter):
             wire.add_server_limit(update, limit, now)
 
     def take(self, update: Update, outgoing: Outgoing) -> None:
--- a/tests/adapter/cover/test_documents.py
+++ b/tests/adapter/cover/test_documents.py
@@ -77,7 +77,7 @@
         route = config.match("classes.example", "/a/b")
         self.assertIs(route.kind, CallKind.STREAM)
         self.assertEqual((route.timeout_s, route.target_s), (12.0, 0.25))
-        self.assertEqual(route.longest_pause_s, 0.2)
+        self.assertEqual(route.max_event_gap_s, 0.2)
         self.assertTrue(route.resumable)
         self.assertEqual(route.pick_service(0.5), "llm")
         self.assertEqual((config.version, config.revision), (7, 9))
--- a/tests/adapter/cover/test_key_changes.py
+++ b/tests/adapter/cover/test_key_changes.py
@@ -31,7 +31,7 @@
         self.assertIs(self.refusal((FIRST, ("k-2",))), Reason.UNKNOWN_KEY)
 
     async def test_one_that_another_customer_holds_ends_it_too(self):
-        self.assertIs(self.refusal((SECOND, (KEY,))), Reason.KEY_CHANGED)
+        self.assertIs(self.refusal((SECOND, (KEY,))), Reason.KEY_CHANGED_HANDS)
 
     async def test_a_call_without_a_key_is_not_judged(self):
         self.assertIsNone(self.refusal((FIRST, ("k-2",)), call=samples.call()))
--- a/tests/gateway/common/samples.py
+++ b/tests/gateway/common/samples.py
@@ -1,7 +1,7 @@
 """Small configurations, backend servers and calls for tests of the gateway."""
 
 from bambootiller.gateway.allowances import Allowances
-from bambootiller_core.gateway.calls import Call, ModelAsk
+from bambootiller_core.gateway.calls import Call, ModelRequest
 from bambootiller_core.gateway.config import (
     CallKind,
     CallLimits,
@@ -71,14 +71,14 @@
 
 def call(route_=None, service="plain", now=0.0, deadline=10.0, ask=None, **fields):
     chosen = route_ or route()
-    first_event_due = now + (chosen.patience_s or deadline)
+    first_event_due = now + (chosen.event_timeout_s or deadline)
     return Call(
         "r-1", chosen, service, now, now + deadline, first_event_due, ask, **fields
     )
 
 
 def ask(model="tutor", adapter="", prefix=()):
-    return ModelAsk(model, adapter, prefix=tuple(prefix))
+    return ModelRequest(model, adapter, prefix=tuple(prefix))
 
 
 def refused(plan=None, route="r", reason="overloaded"):
--- a/tests/gateway/cover/test_attempts.py
+++ b/tests/gateway/cover/test_attempts.py
@@ -3,22 +3,22 @@
 import unittest
 
 from bambootiller_core.gateway.attempts import (
+    AttemptOutcome,
     CutOff,
-    Ended,
     Reason,
     Refusal,
     SendAgain,
-    after,
     give_up,
+    next_action,
 )
 from bambootiller_core.gateway.calls import Progress
 from bambootiller_core.gateway.config import CallKind
 from tests.gateway.common import samples
 
 
-def decide(kind, ended, progress, now=1.0, **fields):
+def decide(kind, outcome, progress, now=1.0, **fields):
     route = samples.route(kind, max_attempts=fields.pop("max_attempts", 2), **fields)
-    return after(samples.call(route), progress, ended, now)
+    return next_action(samples.call(route), progress, outcome, now)
 
 
 def sent(**fields):
@@ -28,15 +28,17 @@
 class TestNotRun(unittest.TestCase):
     def test_a_promise_not_to_have_run_lets_any_call_be_sent_again(self):
         for kind in CallKind:
-            decision = decide(kind, Ended.REFUSED, sent())
+            decision = decide(kind, AttemptOutcome.REFUSED, sent())
             self.assertEqual(decision, SendAgain(False, True), kind)
 
     def test_a_connection_that_was_never_made_costs_no_budget(self):
-        decision = decide(CallKind.NON_IDEMPOTENT, Ended.NOT_SENT, sent())
+        decision = decide(CallKind.NON_IDEMPOTENT, AttemptOutcome.NOT_SENT, sent())
         self.assertEqual(decision, SendAgain(False, False))
 
     def test_the_limit_of_attempts_is_kept(self):
-        decision = decide(CallKind.IDEMPOTENT, Ended.REFUSED, sent(), max_attempts=1)
+        decision = decide(
+            CallKind.IDEMPOTENT, AttemptOutcome.REFUSED, sent(), max_attempts=1
+        )
         self.assertEqual(decision.reason, Reason.REFUSED_BY_BACKEND)
         self.assertEqual(decision.status, 503)
         self.assertIsNotNone(decision.come_back_s)
@@ -50,47 +52,53 @@
         counted as one of its two attempts.
         """
         progress = Progress(tried=["b1", "b2"], sends=1)
-        decision = decide(CallKind.NON_IDEMPOTENT, Ended.REFUSED, progress)
+        decision = decide(CallKind.NON_IDEMPOTENT, AttemptOutcome.REFUSED, progress)
         self.assertEqual(decision, SendAgain(False, True))
 
 
 class TestMayHaveRun(unittest.TestCase):
     def test_a_non_idempotent_call_is_never_sent_again(self):
         decision = decide(
-            CallKind.NON_IDEMPOTENT, Ended.UNKNOWN, sent(may_have_run=True)
+            CallKind.NON_IDEMPOTENT, AttemptOutcome.UNKNOWN, sent(may_have_run=True)
         )
         self.assertEqual(decision, Refusal(Reason.OUTCOME_UNKNOWN))
         self.assertEqual(decision.status, 502)
 
     def test_nor_is_a_stream_that_cannot_be_resumed(self):
-        decision = decide(CallKind.STREAM, Ended.UNKNOWN, sent(may_have_run=True))
+        decision = decide(
+            CallKind.STREAM, AttemptOutcome.UNKNOWN, sent(may_have_run=True)
+        )
         self.assertEqual(decision.status, 502)
 
     def test_an_idempotent_call_is_sent_again(self):
         progress = sent(may_have_run=True)
-        decision = decide(CallKind.IDEMPOTENT, Ended.UNKNOWN, progress)
+        decision = decide(CallKind.IDEMPOTENT, AttemptOutcome.UNKNOWN, progress)
         self.assertEqual(decision, SendAgain(False, True))
 
     def test_a_call_refused_elsewhere_keeps_the_doubt_of_its_first_attempt(self):
         progress = Progress(tried=["b1", "b2"], sends=2, may_have_run=True)
-        decision = decide(CallKind.IDEMPOTENT, Ended.REFUSED, progress)
+        decision = decide(CallKind.IDEMPOTENT, AttemptOutcome.REFUSED, progress)
         self.assertEqual(decision.reason, Reason.OUTCOME_UNKNOWN)
 
 
 class TestBrokenStreams(unittest.TestCase):
     def test_a_resumable_one_goes_on_behind_its_last_event(self):
-        progress = sent(may_have_run=True, passed_on=True, last_event=4)
-        decision = decide(CallKind.STREAM, Ended.BROKEN, progress, resumable=True)
+        progress = sent(may_have_run=True, forwarded=True, last_event=4)
+        decision = decide(
+            CallKind.STREAM, AttemptOutcome.BROKEN, progress, resumable=True
+        )
         self.assertEqual(decision, SendAgain(True, True))
 
     def test_another_is_cut_so_that_it_does_not_look_whole(self):
-        progress = sent(may_have_run=True, passed_on=True, last_event=4)
-        decision = decide(CallKind.STREAM, Ended.BROKEN, progress)
+        progress = sent(may_have_run=True, forwarded=True, last_event=4)
+        decision = decide(CallKind.STREAM, AttemptOutcome.BROKEN, progress)
         self.assertEqual(decision, CutOff())
 
     def test_without_a_numbered_event_nobody_knows_where_to_go_on(self):
-        progress = sent(may_have_run=True, passed_on=True)
-        decision = decide(CallKind.STREAM, Ended.BROKEN, progress, resumable=True)
+        progress = sent(may_have_run=True, forwarded=True)
+        decision = decide(
+            CallKind.STREAM, AttemptOutcome.BROKEN, progress, resumable=True
+        )
         self.assertEqual(decision, CutOff())
 
 
@@ -107,5 +115,7 @@
 
     def test_no_attempt_begins_that_has_no_time_left(self):
         progress = sent(may_have_run=True)
-        decision = decide(CallKind.IDEMPOTENT, Ended.UNKNOWN, progress, now=9.99)
+        decision = decide(
+            CallKind.IDEMPOTENT, AttemptOutcome.UNKNOWN, progress, now=9.99
+        )
         self.assertEqual(decision.reason, Reason.OUTCOME_UNKNOWN)
--- a/tests/gateway/cover/test_config.py
+++ b/tests/gateway/cover/test_config.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bambootiller_core.gateway.config import CallKind, ServiceShare, newer
+from bambootiller_core.gateway.config import CallKind, ServiceShare, is_newer
 from tests.gateway.common import samples
 
 
@@ -47,19 +47,19 @@
 
 class TestPatience(unittest.TestCase):
     def test_a_stream_is_left_after_the_longest_of_three_times(self):
-        route = samples.route(CallKind.STREAM, target_s=2.5, longest_pause_s=0.2)
-        self.assertEqual(route.patience_s, 10.0)
-        route = samples.route(CallKind.STREAM, target_s=0.25, longest_pause_s=0.2)
-        self.assertEqual(route.patience_s, 2.0)
+        route = samples.route(CallKind.STREAM, target_s=2.5, max_event_gap_s=0.2)
+        self.assertEqual(route.event_timeout_s, 10.0)
+        route = samples.route(CallKind.STREAM, target_s=0.25, max_event_gap_s=0.2)
+        self.assertEqual(route.event_timeout_s, 2.0)
 
     def test_other_calls_have_none(self):
-        self.assertIsNone(samples.route().patience_s)
+        self.assertIsNone(samples.route().event_timeout_s)
 
 
 class TestNewer(unittest.TestCase):
     def test_only_a_later_revision_replaces_what_is_in_force(self):
         held = samples.config(version=7, revision=20)
-        self.assertTrue(newer(None, held))
-        self.assertTrue(newer(held, samples.config(version=9, revision=21)))
-        self.assertFalse(newer(held, samples.config(version=9, revision=20)))
-        self.assertFalse(newer(held, samples.config(version=6, revision=12)))
+        self.assertTrue(is_newer(None, held))
+        self.assertTrue(is_newer(held, samples.config(version=9, revision=21)))
+        self.assertFalse(is_newer(held, samples.config(version=9, revision=20)))
+        self.assertFalse(is_newer(held, samples.config(version=6, revision=12)))
--- a/tests/gateway/cover/test_crash_ledger.py
+++ b/tests/gateway/cover/test_crash_ledger.py
@@ -2,22 +2,26 @@
 
 import unittest
 
-from bambootiller_core.gateway.crash_evidence import ANSWERS_S, LISTED_S, fate_of
+from bambootiller_core.gateway.crash_evidence import (
+    AGENT_DETECTION_S,
+    REGISTRY_DETECTION_S,
+    crash_verdict,
+)
 from bambootiller_core.gateway.crash_ledger import (
-    KEPT_S,
-    MOST_REQUESTS,
+    MAX_REQUESTS,
     QUARANTINE_S,
-    SOUND_PART_S,
-    TURN_S,
+    RETENTION_S,
+    SOUND_PART_TTL_S,
+    STAGGER_S,
+    AdmissionDecision,
     CrashLedger,
-    Fate,
+    CrashVerdict,
     LostRun,
-    Standing,
     part_name,
 )
 from bambootiller_core.gateway.fleet import Fleet
 from bambootiller_core.gateway.incarnation import Incarnation
-from bambootiller_core.gateway.telling import Untold
+from bambootiller_core.gateway.update_filter import UpdateFilter
 from tests.gateway.common.samples import engine_state, registered
 
 
@@ -27,7 +31,7 @@
 
 
 def crashed(run, before):
-    return Fate.CRASHED
+    return CrashVerdict.CRASHED
 
 
 class Case(unittest.TestCase):
@@ -42,12 +46,16 @@
             self.ledger.run_lost(lost(name, number, name in progressed, at))
         return self.ledger.settle(at, crashed)
 
-    def standing(self, name, now=100.0):
-        return self.ledger.admission(now, name).standing
+    def decision(self, name, now=100.0):
+        return self.ledger.admission(now, name).decision
 
     def assert_quarantined(self, *names):
         known = set(self.ledger._runs)
-        found = {name for name in known if self.standing(name) is Standing.QUARANTINED}
+        found = {
+            name
+            for name in known
+            if self.decision(name) is AdmissionDecision.QUARANTINED
+        }
         self.assertEqual(found, set(names))
 
 
@@ -68,25 +76,27 @@
     def test_ends_a_while_after_the_last_crash(self):
         for number in range(3):
             self.crash(number, "p")
-        self.assertIs(self.standing("p", QUARANTINE_S), Standing.QUARANTINED)
-        left_s = self.ledger.admission(2.0, "p").again_s
+        self.assertIs(self.decision("p", QUARANTINE_S), AdmissionDecision.QUARANTINED)
+        left_s = self.ledger.admission(2.0, "p").retry_in_s
         self.assertEqual(left_s, QUARANTINE_S)
-        self.assertIs(self.standing("p", 2.0 + QUARANTINE_S), Standing.ADMITTED)
+        self.assertIs(
+            self.decision("p", 2.0 + QUARANTINE_S), AdmissionDecision.ADMITTED
+        )
 
     def test_is_forgotten_with_its_crashes(self):
         for number in range(3):
             self.crash(number, "p")
-        self.ledger.forget(KEPT_S + 3)
+        self.ledger.forget(RETENTION_S + 3)
         self.assertTrue(self.ledger.is_empty)
         self.assertEqual(self.ledger.quarantined_count, 0)
 
     def test_the_least_suspicious_request_makes_room(self):
         for number in range(3):
             self.crash(number, "p")
-        for number in range(MOST_REQUESTS + 10):
+        for number in range(MAX_REQUESTS + 10):
             self.crash(100 + number, f"s{number}")
         self.assert_quarantined("p")
-        self.assertEqual(len(self.ledger._runs), MOST_REQUESTS)
+        self.assertEqual(len(self.ledger._runs), MAX_REQUESTS)
 
 
 class TestSoundRequests(Case):
@@ -127,33 +137,33 @@
     def test_a_run_that_was_lost_where_the_backend_server_goes_on_does_not_count(self):
         for number in range(3):
             self.ledger.run_lost(lost("s", number))
-        self.assertIs(self.standing("s"), Standing.WAITS)
-        self.ledger.settle(1.0, lambda run, before: Fate.SURVIVED)
+        self.assertIs(self.decision("s"), AdmissionDecision.DEFERRED)
+        self.ledger.settle(1.0, lambda run, before: CrashVerdict.SURVIVED)
         self.assertTrue(self.ledger.is_empty)
-        self.assertIs(self.standing("s"), Standing.ADMITTED)
+        self.assertIs(self.decision("s"), AdmissionDecision.ADMITTED)
 
 
 class TestTurns(Case):
     def test_requests_that_share_two_crashes_run_one_after_the_other(self):
         for number in range(2):
             self.crash(number, "a", "b", "c", at=0.0)
-        waits = [self.ledger.admission(0.0, name).again_s for name in "abc"]
-        self.assertEqual(waits, [0.0, TURN_S, 2 * TURN_S])
-        self.assertIs(self.standing("c", 2 * TURN_S), Standing.ADMITTED)
+        waits = [self.ledger.admission(0.0, name).retry_in_s for name in "abc"]
+        self.assertEqual(waits, [0.0, STAGGER_S, 2 * STAGGER_S])
+        self.assertIs(self.decision("c", 2 * STAGGER_S), AdmissionDecision.ADMITTED)
 
     def test_requests_of_different_crashes_do_not_wait_for_each_other(self):
         for number in range(2):
             self.crash(number, "a", at=0.0)
             self.crash(10 + number, "b", at=0.0)
-        self.assertIs(self.standing("b", 0.0), Standing.ADMITTED)
+        self.assertIs(self.decision("b", 0.0), AdmissionDecision.ADMITTED)
 
     def test_the_third_crash_is_settled_before_a_further_run(self):
         for number in range(2):
             self.crash(number, "p")
         self.ledger.run_lost(lost("p", 2, at=1.0))
-        self.assertIs(self.standing("p"), Standing.WAITS)
+        self.assertIs(self.decision("p"), AdmissionDecision.DEFERRED)
         self.ledger.settle(1.0, crashed)
-        self.assertIs(self.standing("p"), Standing.QUARANTINED)
+        self.assertIs(self.decision("p"), AdmissionDecision.QUARANTINED)
 
 
 class TestNews(Case):
@@ -166,34 +176,45 @@
         self.assertEqual(self.names(1, False, "e2"), ["q"])
 
     def names(self, *which):
-        return [run.fingerprint for run in self.ledger.news(Untold(*which)).runs]
+        return [
+            run.fingerprint
+            for run in self.ledger.pending_updates(UpdateFilter(*which)).runs
+        ]
 
     def test_two_processes_that_tell_each_other_agree(self):
         other = CrashLedger()
         for number in range(2):
             self.crash(number, "p")
         other.run_lost(lost("p", 2))
-        for run in self.ledger.news(Untold(0, False, "b")).runs:
+        for run in self.ledger.pending_updates(UpdateFilter(0, False, "b")).runs:
             other.run_lost(run, "a")
-        for run in other.news(Untold(0, False, "a")).runs:
+        for run in other.pending_updates(UpdateFilter(0, False, "a")).runs:
             self.ledger.run_lost(run, "b")
         for ledger in (self.ledger, other):
             ledger.settle(1.0, crashed)
-            standing = ledger.admission(9.0, "p").standing
-            self.assertIs(standing, Standing.QUARANTINED)
+            decision = ledger.admission(9.0, "p").decision
+            self.assertIs(decision, AdmissionDecision.QUARANTINED)
 
     def test_who_is_told_of_a_sound_request_tells_others(self):
         self.crash(1, "s")
         self.ledger.completed("s", source="e1")
-        self.assertEqual(self.ledger.news(Untold(0, False, "e2")).sound, ("s",))
-        self.assertEqual(self.ledger.news(Untold(0, False, "e1")).sound, ())
+        self.assertEqual(
+            self.ledger.pending_updates(UpdateFilter(0, False, "e2")).sound, ("s",)
+        )
+        self.assertEqual(
+            self.ledger.pending_updates(UpdateFilter(0, False, "e1")).sound, ()
+        )
         self.assertTrue(self.ledger.is_empty)
 
     def test_who_knows_better_answers_a_suspicion(self):
         self.ledger.completed("s")
-        self.assertEqual(self.ledger.news(Untold(0, False, "e1")).sound, ())
+        self.assertEqual(
+            self.ledger.pending_updates(UpdateFilter(0, False, "e1")).sound, ()
+        )
         self.ledger.run_lost(lost("s", 1), source="e1")
-        self.assertEqual(self.ledger.news(Untold(0, False, "e1")).sound, ("s",))
+        self.assertEqual(
+            self.ledger.pending_updates(UpdateFilter(0, False, "e1")).sound, ("s",)
+        )
 
 
 class TestFate(unittest.TestCase):
@@ -204,10 +225,10 @@
         self.fleet = Fleet()
         self.fleet.registry_changed(0.0, registered("b1", started_ms=started_ms))
         self.run_ = LostRun("p", Incarnation("b1", started_ms), False, 10.0)
-        self.before = Fate.OPEN
+        self.before = CrashVerdict.UNDECIDED
 
-    def fate(self, now):
-        self.before = fate_of(now, self.run_, self.before, self.fleet)
+    def verdict(self, now):
+        self.before = crash_verdict(now, self.run_, self.before, self.fleet)
         return self.before
 
     def agent_says(self, now, **fields):
@@ -216,37 +237,37 @@
 
     def test_another_start_or_none_means_that_it_ended(self):
         self.begin()
-        self.assertIs(self.fate(10.0), Fate.OPEN)
+        self.assertIs(self.verdict(10.0), CrashVerdict.UNDECIDED)
         self.fleet.registry_changed(11.0, registered("b1", started_ms=6))
-        self.assertIs(self.fate(11.0), Fate.CRASHED)
+        self.assertIs(self.verdict(11.0), CrashVerdict.CRASHED)
         self.fleet.registry_removed(12.0, "b1")
-        self.assertIs(self.fate(12.0), Fate.CRASHED)
+        self.assertIs(self.verdict(12.0), CrashVerdict.CRASHED)
 
     def test_an_engine_that_answers_again_in_the_same_start_was_only_busy(self):
         self.begin()
         self.agent_says(10.1, silent=True)
-        self.assertIs(self.fate(10.1), Fate.CRASHED)
+        self.assertIs(self.verdict(10.1), CrashVerdict.CRASHED)
         self.agent_says(10.5, silent=False)
-        self.assertIs(self.fate(10.5), Fate.OPEN)
-        self.agent_says(10.1 + ANSWERS_S)
-        self.assertIs(self.fate(10.1 + ANSWERS_S), Fate.SURVIVED)
+        self.assertIs(self.verdict(10.5), CrashVerdict.UNDECIDED)
+        self.agent_says(10.1 + AGENT_DETECTION_S)
+        self.assertIs(self.verdict(10.1 + AGENT_DETECTION_S), CrashVerdict.SURVIVED)
 
     def test_one_that_answers_again_in_an_unknown_start_has_ended(self):
         self.begin(started_ms=None)
         self.agent_says(10.1, silent=True)
-        self.assertIs(self.fate(10.1), Fate.CRASHED)
+        self.assertIs(self.verdict(10.1), CrashVerdict.CRASHED)
         self.agent_says(13.6, silent=False)
-        self.assertIs(self.fate(13.6), Fate.CRASHED)
+        self.assertIs(self.verdict(13.6), CrashVerdict.CRASHED)
 
     def test_what_the_agent_said_before_the_run_was_lost_proves_nothing(self):
         self.begin()
         self.agent_says(10.0)
-        self.assertIs(self.fate(10.1 + ANSWERS_S), Fate.OPEN)
+        self.assertIs(self.verdict(10.1 + AGENT_DETECTION_S), CrashVerdict.UNDECIDED)
 
     def test_without_an_agent_the_registration_has_to_outlive_its_heartbeats(self):
         self.begin()
-        self.assertIs(self.fate(10.0 + LISTED_S), Fate.OPEN)
-        self.assertIs(self.fate(10.1 + LISTED_S), Fate.SURVIVED)
+        self.assertIs(self.verdict(10.0 + REGISTRY_DETECTION_S), CrashVerdict.UNDECIDED)
+        self.assertIs(self.verdict(10.1 + REGISTRY_DETECTION_S), CrashVerdict.SURVIVED)
 
 
 BAD, NEIGHBOUR, COMMON = map(part_name, ("bad", "neighbour", "common"))
@@ -256,25 +277,25 @@
     """Requests of which no two are alike were each at their first crash, whatever part
     they had in common."""
 
-    def call_standing(self, *names, now=100.0):
-        return self.ledger.admission(now, *names).standing
+    def call_decision(self, *names, now=100.0):
+        return self.ledger.admission(now, *names).decision
 
     def test_the_part_that_all_share_is_quarantined(self):
         self.ledger.completed(COMMON, now=0.0)
         for number in range(3):
             self.crash(number, f"r{number}", COMMON, BAD)
         self.assert_quarantined(BAD)
-        kept_out = self.call_standing("another", COMMON, BAD)
-        self.assertIs(kept_out, Standing.QUARANTINED)
-        self.assertIs(self.call_standing("another", COMMON), Standing.ADMITTED)
+        kept_out = self.call_decision("another", COMMON, BAD)
+        self.assertIs(kept_out, AdmissionDecision.QUARANTINED)
+        self.assertIs(self.call_decision("another", COMMON), AdmissionDecision.ADMITTED)
 
     def test_a_part_is_sound_as_long_as_requests_with_it_complete(self):
         self.ledger.completed(BAD, now=0.0)
         for number in range(3):
-            self.crash(number, BAD, at=SOUND_PART_S - 1 + number)
+            self.crash(number, BAD, at=SOUND_PART_TTL_S - 1 + number)
         self.assert_quarantined()
         for number in range(3, 5):
-            self.crash(number, BAD, at=SOUND_PART_S + number)
+            self.crash(number, BAD, at=SOUND_PART_TTL_S + number)
         self.assert_quarantined(BAD)
 
     def test_one_that_completes_after_all_is_cleared(self):
@@ -287,34 +308,34 @@
         for number in range(3):
             self.crash(number, "p", BAD)
         self.assert_quarantined("p")
-        self.assertIs(self.call_standing("another", BAD), Standing.ADMITTED)
+        self.assertIs(self.call_decision("another", BAD), AdmissionDecision.ADMITTED)
         self.crash(3, "another", BAD)
         self.assert_quarantined(BAD)
 
     def test_of_two_that_come_together_a_request_with_one_of_them_tells(self):
         for number in range(3):
             self.crash(number, f"r{number}", BAD, NEIGHBOUR)
-        both = self.call_standing("r9", BAD, NEIGHBOUR)
-        self.assertIs(both, Standing.QUARANTINED)
+        both = self.call_decision("r9", BAD, NEIGHBOUR)
+        self.assertIs(both, AdmissionDecision.QUARANTINED)
         for part in (BAD, NEIGHBOUR):
-            self.assertIs(self.call_standing("r9", part), Standing.ADMITTED)
+            self.assertIs(self.call_decision("r9", part), AdmissionDecision.ADMITTED)
         self.ledger.completed(NEIGHBOUR, now=10.0)
         self.assert_quarantined(BAD)
-        self.assertIs(self.call_standing("r9", BAD), Standing.QUARANTINED)
+        self.assertIs(self.call_decision("r9", BAD), AdmissionDecision.QUARANTINED)
 
     def test_and_one_that_ends_another_tells_too(self):
         for number in range(3):
             self.crash(number, f"r{number}", BAD, NEIGHBOUR)
         self.crash(3, "r9", BAD)
-        self.assertIs(self.call_standing("r9", BAD), Standing.QUARANTINED)
-        self.assertIs(self.call_standing("r9", NEIGHBOUR), Standing.ADMITTED)
+        self.assertIs(self.call_decision("r9", BAD), AdmissionDecision.QUARANTINED)
+        self.assertIs(self.call_decision("r9", NEIGHBOUR), AdmissionDecision.ADMITTED)
 
     def test_one_that_brings_events_first_is_kept_out_after_six_crashes(self):
         for number in range(5):
             self.crash(number, BAD, progressed=(BAD,))
         self.assert_quarantined()
         self.crash(5, BAD, progressed=(BAD,))
-        self.assertIs(self.call_standing("r9", BAD), Standing.QUARANTINED)
+        self.assertIs(self.call_decision("r9", BAD), AdmissionDecision.QUARANTINED)
 
     def test_several_at_once_are_told_apart(self):
         bad = [part_name(f"bad{number}") for number in range(5)]
--- a/tests/gateway/cover/test_named_limits.py
+++ b/tests/gateway/cover/test_named_limits.py
@@ -7,7 +7,7 @@
     ReportedLimit,
     ReportedLimits,
 )
-from bambootiller_core.gateway.telling import Untold
+from bambootiller_core.gateway.update_filter import UpdateFilter
 
 
 class TestNamedLimits(unittest.TestCase):
@@ -37,18 +37,18 @@
     def test_news_leave_out_what_the_peer_told(self):
         self.say(1.9, 10.0)
         self.say(0.5, 10.0, "a1", "i-2")
-        everything = self.limits.unsent(Untold(0, False, "a2"))
+        everything = self.limits.unsent(UpdateFilter(0, False, "a2"))
         self.assertEqual({item.instance for item in everything}, {"i-1", "i-2"})
-        for_teller = self.limits.unsent(Untold(0, False, "a1"))
+        for_teller = self.limits.unsent(UpdateFilter(0, False, "a1"))
         self.assertEqual([item.instance for item in for_teller], ["i-1"])
-        since = Untold(self.limits.version, False, "a2")
+        since = UpdateFilter(self.limits.version, False, "a2")
         self.assertEqual(self.limits.unsent(since), [])
 
     def test_a_peer_with_an_earlier_word_is_told_the_later_one(self):
         self.say(1.9, 10.0, "a1")
         version = self.limits.version
         self.assertFalse(self.say(None, 9.0, "a1"))
-        unsent = self.limits.unsent(Untold(version, True, "a1"))
+        unsent = self.limits.unsent(UpdateFilter(version, True, "a1"))
         self.assertEqual([item.per_s for item in unsent], [1.9])
 
     def test_a_limit_lasts_as_long_as_its_backend_server_is_known(self):
--- a/tests/gateway/cover/test_quarantine_record.py
+++ b/tests/gateway/cover/test_quarantine_record.py
@@ -3,7 +3,7 @@
 import unittest
 
 from bambootiller_core.gateway import quarantine_record
-from bambootiller_core.gateway.crash_ledger import KEPT_S, LostRun
+from bambootiller_core.gateway.crash_ledger import RETENTION_S, LostRun
 from bambootiller_core.gateway.incarnation import Incarnation
 
 KEY = quarantine_record.key_of("f1")
@@ -29,7 +29,7 @@
 
     def test_old_runs_count_no_more(self):
         value = quarantine_record.encode(RUNS, now=100.0, unix_s=5000.0)
-        later = 5000.0 + KEPT_S
+        later = 5000.0 + RETENTION_S
         self.assertEqual(quarantine_record.decode(KEY, value, 7.0, later), ())
 
     def test_anything_else_is_refused_with_what_it_was(self):
--- a/tests/gateway/cover/test_returning.py
+++ b/tests/gateway/cover/test_returning.py
@@ -5,7 +5,7 @@
 
 from bambootiller.gateway.placement import Placement
 from bambootiller_core.gateway.calls import Progress
-from bambootiller_core.gateway.crash_ledger import Standing
+from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.demand import DUE_BACK_LATE_S, Demand
 from bambootiller_core.gateway.residency import PlannedLoad
 from bambootiller_core.gateway.returning import Returning
@@ -80,7 +80,9 @@
         demand, context = Demand(), mock.Mock()
         context.clock.return_value = 5.0
         context.knowledge.fleet.of_service.return_value = []
-        context.quarantine.load_admission.return_value.standing = Standing.ADMITTED
+        context.quarantine.load_admission.return_value.decision = (
+            AdmissionDecision.ADMITTED
+        )
         context.is_starting.return_value = False
         context.stop_deadline = None
         context.engines.plans.plan_for.return_value = PlannedLoad(
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -62,7 +62,7 @@
         self.sent += 1
 
     poke = soon
-    untold = Outgoing.untold
+    update_filter = Outgoing.update_filter
 
 
 class Streams:
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -5,8 +5,8 @@
 
 from bambootiller.gateway.placement import UNPLANNED_S, Placement
 from bambootiller_core.gateway.attempts import Refusal
-from bambootiller_core.gateway.calls import ModelAsk, Progress
-from bambootiller_core.gateway.crash_ledger import Standing
+from bambootiller_core.gateway.calls import ModelRequest, Progress
+from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.demand import Demand
 from bambootiller_core.gateway.due_adapters import DueAdapters
 from bambootiller_core.gateway.engine_state import Loading
@@ -132,7 +132,9 @@
         context = mock.Mock()
         context.clock.return_value = 5.0
         context.knowledge.fleet.of_service.return_value = []
-        context.quarantine.load_admission.return_value.standing = Standing.ADMITTED
+        context.quarantine.load_admission.return_value.decision = (
+            AdmissionDecision.ADMITTED
+        )
         context.is_starting.return_value = False
         context.stop_deadline = None
         context.engines.plans.plan_for.return_value = planned
@@ -155,7 +157,7 @@
 
     def setUp(self):
         self.due = DueAdapters()
-        self.due.refused(1.0, ModelAsk("tutor", "physics"), come_back_s=6.0)
+        self.due.refused(1.0, ModelRequest("tutor", "physics"), come_back_s=6.0)
 
     def wished(self, now, *states):
         backends = [samples.backend(state.instance, now, state) for state in states]
