--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -154,7 +154,7 @@
         """For how long this process has heard nothing of the agent. Seconds."""
         return self.running_time(now) - self.heard_at
 
-    def unreached(self, now: float) -> None:
+    def mark_unreachable(self, now: float) -> None:
         """No connection was made to it, or a call there met silence."""
         self.unreached_at = now
 
--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -27,16 +27,16 @@
         self._context = context
         self._progress = progress
         self._ask = call.ask
-        self._unread = call.ask is not None
+        self._prompt_unread = call.ask is not None
         self.backend = backend
         self.conn = conn
         #: The running time at which it went out, and the time by the clock.
-        self.sent_at = context.running_time()
+        self.sent_running_time = context.running_time()
         self.sent_at_clock = context.clock()
-        self._ran_before = progress.may_have_run
+        self._may_have_run_before = progress.may_have_run
         self._last_event = progress.last_event
-        backend.call_sent(*self._names())
-        if self._unread:
+        backend.call_sent(*self._model_and_adapter())
+        if self._prompt_unread:
             backend.prompt_sent()
         progress.tried.append(backend.incarnation)
         progress.sends += 1
@@ -47,27 +47,27 @@
         """Whether it has brought an event."""
         return self._progress.last_event != self._last_event
 
-    def not_run(self) -> None:
+    def mark_not_run(self) -> None:
         """The backend server promises that it hasn't run the call."""
-        self._progress.may_have_run = self._ran_before
+        self._progress.may_have_run = self._may_have_run_before
 
     def prompt_read(self) -> None:
         """The first event has come, or the attempt has ended."""
-        if self._unread:
-            self._unread = False
+        if self._prompt_unread:
+            self._prompt_unread = False
             self.backend.prompt_read()
 
     def end(self, answered: bool) -> None:
         """Nothing more is read; unless it was ``answered`` the connection is closed."""
         self.prompt_read()
-        self.backend.call_ended(*self._names())
+        self.backend.call_ended(*self._model_and_adapter())
         pool = self._context.pool(self.backend)
         if answered:
             pool.release(self.conn, self._context.clock())
         else:
             pool.discard(self.conn)
 
-    def _names(self) -> tuple[str, str]:
+    def _model_and_adapter(self) -> tuple[str, str]:
         if self._ask is None:
             return "", ""
         return self._ask.model, self._ask.adapter
@@ -105,10 +105,12 @@
         context, call = self._context, self._call
         if self._progress.may_have_run:
             context.quotas.ran_again(call)
-        headers = context.dialect.outgoing(
+        headers = context.dialect.request_headers(
             self._incoming, call, backend.instance, self.resume_after()
         )
-        headers.append(context.dialect.time_left(call.deadline - context.clock()))
+        headers.append(
+            context.dialect.time_left_header(call.deadline - context.clock())
+        )
         head = self._incoming.head(headers, self._body)
         attempt = Attempt(context, call, self._progress, backend, conn)
         conn.send(head, self._body)
@@ -130,25 +132,25 @@
         Raises :class:`ConnectionLost` if the answer is of no use.
         """
         context, call, backend = self._context, self._call, attempt.backend
-        verdict = context.dialect.classify(call, head)
-        self._note_limit(attempt, head, verdict)
-        if verdict is AnswerKind.USELESS:
+        answer_kind = context.dialect.classify(call, head)
+        self._record_limit(attempt, head, answer_kind)
+        if answer_kind is AnswerKind.USELESS:
             raise ConnectionLost(f"useless answer of status {head.status}", False, True)
-        if verdict not in (AnswerKind.NOT_RUN, AnswerKind.MISDIRECTED):
+        if answer_kind not in (AnswerKind.NOT_RUN, AnswerKind.MISDIRECTED):
             if self._progress.forwarded and not 200 <= head.status < 300:
                 # The caller has the head of another answer already.
                 raise ConnectionLost(
                     f"status {head.status} in the middle of a stream", False, True
                 )
             return False
-        attempt.not_run()
-        if verdict is AnswerKind.MISDIRECTED and call.ask is not None:
+        attempt.mark_not_run()
+        if answer_kind is AnswerKind.MISDIRECTED and call.ask is not None:
             backend.denies(context.clock(), call.ask.model, call.ask.adapter)
         self.failed(backend)
         return True
 
-    def _note_limit(
-        self, attempt: Attempt, head: AnswerHead, verdict: AnswerKind
+    def _record_limit(
+        self, attempt: Attempt, head: AnswerHead, answer_kind: AnswerKind
     ) -> None:
         """Note what limit an answer names. That it names none counts only where the
         call was served: what else answers may not know."""
@@ -156,12 +158,12 @@
         limit = self._context.dialect.limit(head)
         if isinstance(limit, Unreadable):
             limits.unreadable(backend, limit.detail)
-        elif verdict is AnswerKind.MISDIRECTED:
+        elif answer_kind is AnswerKind.MISDIRECTED:
             # It may come from another backend server.
             return
         elif limit is not None:
             limits.named(backend, limit)
-        elif verdict is AnswerKind.ANSWER and 200 <= head.status < 300:
+        elif answer_kind is AnswerKind.ANSWER and 200 <= head.status < 300:
             limits.named_none(backend, attempt.sent_at_clock)
 
     def lost(self, attempt: Attempt, exc: ConnectionLost) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/connection_pool.py
+++ b/packages/bambootiller/src/bambootiller/gateway/connection_pool.py
@@ -17,7 +17,7 @@
 from bambootiller.gateway.silence import RunningClock, wait_running_time
 
 #: A connection is made or given up within this time. Seconds.
-CONNECT_S = 0.8
+CONNECT_TIMEOUT_S = 0.8
 
 
 class CannotConnect(Exception):
@@ -32,16 +32,16 @@
 class ConnectionPool:
     """The kept connections to one backend server.
 
-    ``most`` bounds this process's connections, idle ones included, because a backend
+    ``max_open`` bounds this process's connections, idle ones included, because a backend
     server resets those beyond what it takes from all callers together.
     """
 
-    def __init__(self, address: str, most: int, running_time: RunningClock) -> None:
+    def __init__(self, address: str, max_open: int, running_time: RunningClock) -> None:
         self._running_time = running_time
         host, _, port = address.rpartition(":")
         self._host = host
         self._port = int(port)
-        self._most = most
+        self._max_open = max_open
         self._idle: deque[BackendConnection] = deque()
         self.open = 0
 
@@ -57,11 +57,11 @@
             if conn.fresh(now):
                 return conn
             self._drop(conn)
-        if self.open >= self._most:
+        if self.open >= self._max_open:
             raise PoolExhausted(f"{self.open} connections are open, the most allowed")
         self.open += 1
         try:
-            return await self._connect(min(CONNECT_S, timeout_s))
+            return await self._connect(min(CONNECT_TIMEOUT_S, timeout_s))
         except BaseException:
             self.open -= 1
             raise
@@ -73,7 +73,7 @@
         else:
             self.open -= 1
 
-    def unused(self, conn: BackendConnection, now: float) -> None:
+    def release_unused(self, conn: BackendConnection, now: float) -> None:
         """Give a connection back on which nothing was sent; a kept one is no younger
         for that."""
         if not conn.reused:
--- a/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
@@ -17,7 +17,7 @@
 
 #: A call is held no longer than this, and no more than this part of the time that it
 #: has left: a caller that would be refused in the end had better know at once. Seconds.
-LONGEST_HOLD_S = 2.5
+MAX_HOLD_S = 2.5
 HOLD_SHARE = 0.5
 
 
@@ -44,7 +44,7 @@
         if admission.decision is AdmissionDecision.ADMITTED:
             return None
         began = self._context.clock()
-        give_up_at = began + self._longest_hold_s(began)
+        give_up_at = began + self._max_hold_s(began)
         while admission.decision is not AdmissionDecision.ADMITTED:
             now = self._context.clock()
             if admission.decision is AdmissionDecision.QUARANTINED:
@@ -59,9 +59,9 @@
     def _admission(self) -> Admission:
         return self._context.quarantine.admission(self._call)
 
-    def _longest_hold_s(self, now: float) -> float:
+    def _max_hold_s(self, now: float) -> float:
         due = min(self._call.deadline, self._call.next_event_due(self._progress))
-        return max(0.0, min(LONGEST_HOLD_S, (due - now) * HOLD_SHARE))
+        return max(0.0, min(MAX_HOLD_S, (due - now) * HOLD_SHARE))
 
 
 def _refusal(reason: Reason, admission: Admission) -> Refusal:
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -26,7 +26,7 @@
 from bambootiller.gateway.ports import Platform
 from bambootiller.gateway.quarantine_records import QuarantineRecords
 from bambootiller.gateway.quotas import Quotas
-from bambootiller.gateway.relay_context import STARTING_S, RelayContext
+from bambootiller.gateway.relay_context import STARTUP_GRACE_S, RelayContext
 from bambootiller.gateway.server_admission import ServerAdmission
 from bambootiller.gateway.stall_monitor import StallMonitor
 from bambootiller.rpc import bambootiller_pb2_grpc as api
@@ -38,15 +38,15 @@
 
 #: A leaving entry takes new calls for this long: the balancer has to miss its readiness
 #: twice, a second apart, before it sends no new connections. Seconds.
-LAG_S = 2.6
+READINESS_LAG_S = 2.6
 #: Kept at the end of a planned stop, for answers to reach their callers. Seconds.
-TELL_S = 0.4
+STOP_MARGIN_S = 0.4
 #: The stop goes on until no call has come for so long: a caller that just connected,
 #: or been answered, sends its next call within a round trip. Seconds.
-QUIET_S = 0.3
-SWEEP_S = 0.5
+QUIET_PERIOD_S = 0.3
+SWEEP_INTERVAL_S = 0.5
 #: How often metrics show the shares of quotas anew. Seconds.
-SHARES_S = 1.0
+QUOTA_METRICS_INTERVAL_S = 1.0
 
 log = logs.logger("gateway.entry")
 
@@ -76,13 +76,13 @@
         self,
         app: Application,
         platform: Platform,
-        places: EntryAddresses,
+        addresses: EntryAddresses,
         events: EventLog,
         meters: Meters,
     ) -> None:
         self._app = app
         self._platform = platform
-        self._places = places
+        self._addresses = addresses
         self._events = events
         self._stall_monitor = StallMonitor(app, events)
         running_time_at = self._stall_monitor.running_time_at
@@ -91,11 +91,11 @@
         self._exchanger = Exchanger(
             app.instance, self.knowledge, events, app.channels, running_time
         )
-        began = app.now()
+        started_at = app.now()
         allowances = Allowances(
             app.instance,
             self._exchanger.is_open,
-            lambda: app.now() - began < STARTING_S,
+            lambda: app.now() - started_at < STARTUP_GRACE_S,
         )
         self._quotas = Quotas(self.knowledge, lambda: platform.bounds.quota, allowances)
         self._customers = CustomerAudit(events)
@@ -104,7 +104,7 @@
             self.knowledge,
             self._exchanger,
             events,
-            places.agent_port,
+            addresses.agent_port,
             allowances,
         )
         limits = self._engines.server_limits
@@ -131,26 +131,28 @@
             self._context, own_pages, self.is_ready, lambda: self._leaving
         )
         self._overload = Overload()
-        self._stall_monitor.on_tick(self._ticked)
+        self._stall_monitor.on_tick(self._on_tick)
         protocol = limited_protocol(
             self._limits, self._head_refused, lambda: self._leaving
         )
-        for_callers = limited_protocol(
+        caller_protocol = limited_protocol(
             self._limits,
             self._head_refused,
             lambda: self._leaving,
-            self._turns_away,
+            self._sheds_connection,
+        )
+        self._caller_server = HttpServer(
+            self._front, addresses.callers, caller_protocol
         )
-        self._callers = HttpServer(self._front, places.callers, for_callers)
         #: One port may serve both.
-        self._balancer = (
-            HttpServer(self._front, places.ready, protocol)
-            if places.ready != places.callers
-            else self._callers
+        self._readiness_server = (
+            HttpServer(self._front, addresses.ready, protocol)
+            if addresses.ready != addresses.callers
+            else self._caller_server
         )
         self._leaving = False
         self._meters = meters
-        self._add_levels(meters)
+        self._add_gauges(meters)
         app.add_servicer(self._register)
 
     async def prepare(self) -> None:
@@ -174,28 +176,35 @@
         for server in self._servers():
             server.bind()
             app.spawn(f"http port {server.port}", server.serve())
-        app.http_port = self._callers.port
+        app.http_port = self._caller_server.port
         self._engines.start()
         self._quotas.start(app.timers, app.now())
         self.knowledge.on_config(self._customers.configured)
         self._records.start()
-        app.timers.every("gateway sweep", SWEEP_S, app.now(), self._context.sweep)
-        app.timers.every("quota shares", SHARES_S, app.now(), self._show_shares)
-        for peer in self._places.peers:
+        app.timers.every(
+            "gateway sweep", SWEEP_INTERVAL_S, app.now(), self._context.sweep
+        )
+        app.timers.every(
+            "quota shares",
+            QUOTA_METRICS_INTERVAL_S,
+            app.now(),
+            self._update_quota_metrics,
+        )
+        for peer in self._addresses.peers:
             stream = self._exchanger.keep_open(
-                str(peer), _nothing, _ignore, to_entry=True
+                str(peer), _send_nothing, _ignore_update, to_entry=True
             )
             app.spawn(f"peer {peer}", stream)
         self._events.emit(lines.Started("entry", app.settings.zone))
 
-    def _show_shares(self, now: float) -> None:
+    def _update_quota_metrics(self, now: float) -> None:
         self._meters.shares(self._quotas.shares())
 
     def _limits(self) -> CallLimits:
         config = self.knowledge.config
         return config.limits if config is not None else CallLimits()
 
-    def _head_refused(self, why: HeadRefusal) -> None:
+    def _head_refused(self, refusal: HeadRefusal) -> None:
         config = self.knowledge.config
         line = lines.Refused(
             request=None,
@@ -203,8 +212,8 @@
             service=None,
             kind=None,
             model=None,
-            reason=why.reason,
-            status=why.status,
+            reason=refusal.reason,
+            status=refusal.status,
             come_back_s=None,
             held_ms=0,
             detail="",
@@ -212,14 +221,14 @@
         )
         self._events.emit(line)
 
-    def _ticked(self, late_s: float) -> None:
+    def _on_tick(self, late_s: float) -> None:
         before = self._overload.share
         self._overload.tick(late_s)
         if bool(before) != bool(self._overload.share):
             begins = not before
             self._events.emit(lines.Overloaded(begins, round(late_s, 3)))
 
-    def _turns_away(self) -> bool:
+    def _sheds_connection(self) -> bool:
         return self._app.rng.random() < self._overload.share
 
     def is_ready(self) -> bool:
@@ -231,9 +240,9 @@
         if not any(True for _ in self.knowledge.fleet):
             return False
         # It would send on what the other entries have found to end engines.
-        return not self._context.is_starting() or self._knows_quarantines()
+        return not self._context.is_starting() or self._has_quarantine_state()
 
-    def _knows_quarantines(self) -> bool:
+    def _has_quarantine_state(self) -> bool:
         return self._records.known and self._engines.has_heard_collectors()
 
     async def drain(self, seconds: float) -> None:
@@ -241,52 +250,54 @@
         app = self._app
         end = app.now() + seconds
         self._leaving = True
-        self._context.stop_deadline = end - TELL_S
+        self._context.stop_deadline = end - STOP_MARGIN_S
         self._events.emit(lines.Stopping("entry", self._front.under_way))
-        await asyncio.sleep(min(LAG_S, seconds / 2))
-        await self._callers.close_listener()
+        await asyncio.sleep(min(READINESS_LAG_S, seconds / 2))
+        await self._caller_server.close_listener()
         try:
-            async with asyncio.timeout_at(end - TELL_S):
-                await self._quiet()
+            async with asyncio.timeout_at(end - STOP_MARGIN_S):
+                await self._wait_until_quiet()
         except TimeoutError:
             if self._front.under_way:
                 self._events.emit(lines.CutAtStop(self._front.under_way))
 
-    async def _quiet(self) -> None:
+    async def _wait_until_quiet(self) -> None:
         """Wait until no call is under way and none has come for a moment.
 
         A caller that connected just before the port closed, or whose answer was the
         last to end, may be sending its next call: ending at once would lose it.
         """
         front = self._front
-        taken = None
-        while taken != front.taken:
+        accepted = None
+        while accepted != front.accepted:
             await front.idle.wait()
-            taken = front.taken
-            await asyncio.sleep(QUIET_S)
+            accepted = front.accepted
+            await asyncio.sleep(QUIET_PERIOD_S)
 
     async def stop(self) -> None:
         """Close the connections and the ports."""
         self._engines.stop()
         for server in self._servers():
-            await server.stop(TELL_S)
+            await server.stop(STOP_MARGIN_S)
         self._events.emit(lines.Stopped("entry"))
 
     def _servers(self) -> tuple[HttpServer, ...]:
-        if self._balancer is self._callers:
-            return (self._callers,)
-        return (self._callers, self._balancer)
+        if self._readiness_server is self._caller_server:
+            return (self._caller_server,)
+        return (self._caller_server, self._readiness_server)
 
-    def _add_levels(self, meters: Meters) -> None:
+    def _add_gauges(self, meters: Meters) -> None:
         front, context, engines = self._front, self._context, self._engines
         meters.level("calls_under_way", "Calls taken in", lambda: front.under_way)
         meters.level(
             "second_attempts_left",
             "Second attempts that the tightest budget of a service allows now",
-            context.least_budget,
+            context.min_retry_budget,
         )
         meters.level(
-            "backend_connections", "Connections to backend servers", context.open_count
+            "backend_connections",
+            "Connections to backend servers",
+            context.connection_count,
         )
         meters.level(
             "entries_known", "Entries heard", lambda: len(engines.plans.entries)
@@ -325,7 +336,9 @@
         meters.level("engine_streams", "Streams to agents", engines.stream_count)
 
     def _register(self, server: object) -> None:
-        servicer = ResidencyServicer(self._exchanger, _nothing, _ignore, to_entry=True)
+        servicer = ResidencyServicer(
+            self._exchanger, _send_nothing, _ignore_update, to_entry=True
+        )
         api.add_ResidencyServicer_to_server(servicer, server)
 
     def _new_budget(self) -> RetryBudget:
@@ -335,9 +348,9 @@
         )
 
 
-def _nothing(update: Update, outgoing: Outgoing) -> None:
+def _send_nothing(update: Update, outgoing: Outgoing) -> None:
     """Entries tell each other documents only."""
 
 
-def _ignore(update: Update, outgoing: Outgoing) -> None:
+def _ignore_update(update: Update, outgoing: Outgoing) -> None:
     """Documents are taken in by the exchange itself."""
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -220,7 +220,7 @@
         self.heard_at = running_time()
         self.silent = False
 
-    def note_silence(self, seconds: float) -> None:
+    def signal_silence(self, seconds: float) -> None:
         """Give the stream up."""
         self.silent = True
         self._call.cancel()
--- a/packages/bambootiller/src/bambootiller/gateway/failover.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -13,7 +13,7 @@
 from bambootiller.gateway.ports import AnswerHead
 from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.reporting import CallReport
-from bambootiller.gateway.silence import LEAST_WAIT_S
+from bambootiller.gateway.silence import MIN_TIMER_S
 from bambootiller_core.gateway import attempts
 from bambootiller_core.gateway.attempts import AttemptOutcome, SendAgain
 from bambootiller_core.gateway.calls import Call, Progress
@@ -21,13 +21,13 @@
 
 #: While a connection is being made, the silent one is looked at this often. Seconds;
 #: what it says meanwhile is passed on so much later at most.
-NEWS_S = 0.02
+SILENT_POLL_S = 0.02
 #: A backend server that the call was sent to may say for this long that it doesn't run
 #: it. Seconds of running time.
-REFUSES_S = 0.25
+REFUSAL_WAIT_S = 0.25
 #: Then the silent one is left, by the clock: no two may work on one call for 0.4 s,
 #: whether this process runs or not. Seconds.
-LEFT_BY_S = 0.3
+MAX_OVERLAP_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,137 +88,142 @@
         self._sender = sender
         self._report = report
 
-    async def prepare(
+    async def find_target(
         self, silent: Attempt, detail: str
     ) -> FailoverTarget | StayReason:
         """Where the call goes next, or why it stays with the ``silent`` attempt."""
-        heard = silent.conn.arrivals
+        seen_count = silent.conn.progress_count
         while True:
-            prepared = await self._connected(silent.conn, heard)
-            if isinstance(prepared, StayReason):
-                return prepared
-            hindrance = self._hindrance(silent.conn, heard)
-            if hindrance is not None:
-                self.give_back(prepared)
-                return hindrance
+            target = await self._connect_first(silent.conn, seen_count)
+            if isinstance(target, StayReason):
+                return target
+            reason = self._stay_reason(silent.conn, seen_count)
+            if reason is not None:
+                self.release_target(target)
+                return reason
             if self._context.quarantine.suspects(self._call):
-                return prepared
-            found = await self._sent(prepared, silent.conn, heard)
+                return target
+            found = await self._send_unless_refused(target, silent.conn, seen_count)
             if found not in (StayReason.REFUSED, StayReason.FAILED):
                 return found
-            told = f"{detail}; then sent to {prepared.backend.instance}"
-            self._report.silence_borne(silent.backend, told, found.value)
+            full_detail = f"{detail}; then sent to {target.backend.instance}"
+            self._report.silence_borne(silent.backend, full_detail, found.value)
 
-    def _hindrance(self, silent: BackendConnection, heard: int) -> StayReason | None:
+    def _stay_reason(
+        self, silent: BackendConnection, seen_count: int
+    ) -> StayReason | None:
         """Why the call isn't sent, though a connection is up; pays for it if it is."""
-        if silent.has_news(heard):
+        if silent.has_changed_since(seen_count):
             return StayReason.SPOKE
         if not self._context.quarantine.admits(self._call):
             return StayReason.KEPT_APART
         budget = self._context.service(self._call.service).budget
         return None if budget.take(self._context.clock()) else StayReason.BUDGET
 
-    async def _sent(
-        self, prepared: FailoverTarget, silent: BackendConnection, heard: int
+    async def _send_unless_refused(
+        self, target: FailoverTarget, silent: BackendConnection, seen_count: int
     ) -> FailoverTarget | StayReason:
         """Send the call, and see whether it is refused there; the silent one goes on
         meanwhile."""
-        attempt = self._sender.send(prepared.backend, prepared.conn)
-        goes_on = answered = False
+        attempt = self._sender.send(target.backend, target.conn)
+        keep_attempt = answered = False
         try:
-            found = await self._head_or_news(attempt, silent, heard)
+            found = await self._head_unless_resumed(attempt, silent, seen_count)
             if found is None:
-                spoke = silent.has_news(heard) and silent.loss is None
-                goes_on = not spoke
+                spoke = silent.has_changed_since(seen_count) and silent.loss is None
+                keep_attempt = not spoke
             elif self._sender.is_refusal(attempt, found):
                 answered = True
                 return StayReason.REFUSED
             else:
-                goes_on = True
+                keep_attempt = True
         except ConnectionLost as exc:
             self._sender.lost(attempt, exc)
             return StayReason.FAILED
         finally:
-            if not goes_on:
+            if not keep_attempt:
                 attempt.end(answered)
-        if not goes_on:
+        if not keep_attempt:
             return StayReason.SPOKE
-        return FailoverTarget(prepared.backend, prepared.conn, attempt)
+        return FailoverTarget(target.backend, target.conn, attempt)
 
-    async def _head_or_news(
-        self, attempt: Attempt, silent: BackendConnection, heard: int
+    async def _head_unless_resumed(
+        self, attempt: Attempt, silent: BackendConnection, seen_count: int
     ) -> AnswerHead | None:
         """The head of the answer, unless the time for it ends or the silent one speaks
         first. The head stays with the connection."""
         running_time, clock = self._context.running_time, self._context.clock
-        end, latest = attempt.sent_at + REFUSES_S, clock() + LEFT_BY_S
-        reading = asyncio.ensure_future(attempt.conn.head(self._sender.is_stray))
+        end, latest = (
+            attempt.sent_running_time + REFUSAL_WAIT_S,
+            clock() + MAX_OVERLAP_S,
+        )
+        head_task = asyncio.ensure_future(attempt.conn.head(self._sender.is_stray))
         try:
-            while not reading.done() and not silent.has_news(heard):
+            while not head_task.done() and not silent.has_changed_since(seen_count):
                 left_s = min(end - running_time(), latest - clock())
                 if left_s <= 0:
                     break
-                wait_s = max(LEAST_WAIT_S, min(NEWS_S, left_s))
-                await asyncio.wait((reading,), timeout=wait_s)
-            return reading.result() if reading.done() else None
+                wait_s = max(MIN_TIMER_S, min(SILENT_POLL_S, left_s))
+                await asyncio.wait((head_task,), timeout=wait_s)
+            return head_task.result() if head_task.done() else None
         finally:
-            if not reading.done():
-                reading.cancel()
-                await asyncio.wait((reading,))
+            if not head_task.done():
+                head_task.cancel()
+                await asyncio.wait((head_task,))
 
-    async def _connected(
-        self, silent: BackendConnection, heard: int
+    async def _connect_first(
+        self, silent: BackendConnection, seen_count: int
     ) -> FailoverTarget | StayReason:
         """A connection to the first of the others that takes one."""
         failed = False
         while True:
-            backend = self._backend()
+            backend = self._choose_backend()
             if isinstance(backend, StayReason):
                 return StayReason.NO_CONNECTION if failed else backend
-            conn = await self._connect_unless_news(backend, silent, heard)
+            conn = await self._connect_unless_resumed(backend, silent, seen_count)
             if conn is not None:
                 return FailoverTarget(backend, conn)
-            if silent.has_news(heard):
+            if silent.has_changed_since(seen_count):
                 return StayReason.SPOKE
             failed = True
 
-    async def _connect_unless_news(
-        self, backend: Backend, silent: BackendConnection, heard: int
+    async def _connect_unless_resumed(
+        self, backend: Backend, silent: BackendConnection, seen_count: int
     ) -> BackendConnection | None:
         """A connection, unless the silent one speaks first: what it says would wait
         for as long as a connection may take."""
-        connecting = asyncio.ensure_future(self._connect(backend))
+        connect_task = asyncio.ensure_future(self._connect(backend))
         conn = None
         try:
-            while not connecting.done() and not silent.has_news(heard):
-                await asyncio.wait((connecting,), timeout=NEWS_S)
-            conn = connecting.result() if connecting.done() else None
+            while not connect_task.done() and not silent.has_changed_since(seen_count):
+                await asyncio.wait((connect_task,), timeout=SILENT_POLL_S)
+            conn = connect_task.result() if connect_task.done() else None
             return conn
         finally:
-            if not connecting.done():
-                connecting.cancel()
-                await asyncio.wait((connecting,))
+            if not connect_task.done():
+                connect_task.cancel()
+                await asyncio.wait((connect_task,))
             if conn is None:
-                self._give_back_late(backend, connecting)
+                self._release_late(backend, connect_task)
 
-    def _give_back_late(
-        self, backend: Backend, connecting: asyncio.Future[BackendConnection | None]
+    def _release_late(
+        self, backend: Backend, connect_task: asyncio.Future[BackendConnection | None]
     ) -> None:
         """A connection may have come up as its call went away."""
-        if connecting.cancelled() or connecting.exception() is not None:
+        if connect_task.cancelled() or connect_task.exception() is not None:
             return
-        if connecting.result() is not None:
-            self.give_back(FailoverTarget(backend, connecting.result()))
+        if connect_task.result() is not None:
+            self.release_target(FailoverTarget(backend, connect_task.result()))
 
-    def give_back(self, prepared: FailoverTarget) -> None:
+    def release_target(self, target: FailoverTarget) -> None:
         """The call doesn't go there."""
-        if prepared.attempt is not None:
-            prepared.attempt.end(answered=False)
+        if target.attempt is not None:
+            target.attempt.end(answered=False)
             return
-        pool = self._context.pool(prepared.backend)
-        pool.unused(prepared.conn, self._context.clock())
+        pool = self._context.pool(target.backend)
+        pool.release_unused(target.conn, self._context.clock())
 
-    def _backend(self) -> Backend | StayReason:
+    def _choose_backend(self) -> Backend | StayReason:
         now = self._context.clock()
         ended = (
             AttemptOutcome.BROKEN
@@ -233,7 +238,7 @@
         service = self._context.service(self._call.service)
         if service.budget.remaining(now) < 1.0:
             return StayReason.BUDGET
-        backend = self._placement.another()
+        backend = self._placement.find_alternative()
         if backend is None or service.health.avoided(now, backend.incarnation):
             return StayReason.NO_PLACE
         return backend
@@ -244,6 +249,6 @@
             pool = self._context.pool(backend)
             return await pool.acquire(now, self._call.deadline - now)
         except CannotConnect as exc:
-            self._context.unreached(self._call.service, backend)
+            self._context.mark_unreachable(self._call.service, backend)
             self._report.cannot_connect(backend, str(exc))
             return None
--- a/packages/bambootiller/src/bambootiller/gateway/http_front.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_front.py
@@ -28,9 +28,9 @@
 
 #: The time given to a call for which neither its caller nor the operator set one.
 #: Seconds.
-DEFAULT_DEADLINE_S = 60.0
+DEFAULT_TIMEOUT_S = 60.0
 #: This long before the end of a planned stop no call is taken any more. Seconds.
-LAST_CALLS_S = 4.0
+REFUSE_BEFORE_STOP_S = 4.0
 #: An answer is due this much before the caller's deadline, so that it arrives in time
 #: over the network. Seconds.
 ANSWER_MARGIN_S = 0.03
@@ -64,7 +64,7 @@
         self._is_leaving = is_leaving
         self.under_way = 0
         #: Calls taken in since the start.
-        self.taken = 0
+        self.accepted = 0
         self.idle = asyncio.Event()
         self.idle.set()
 
@@ -78,7 +78,7 @@
             await self._pages(scope, receive, send)
             return
         self.under_way += 1
-        self.taken += 1
+        self.accepted += 1
         self.idle.clear()
         try:
             await self._serve(scope, receive, send)
@@ -114,16 +114,16 @@
             return
         # Read anew: a configuration may have come into force while the body came.
         config = context.knowledge.config
-        call = self._call(config, incoming, arrived, body)
+        call = self._build_call(config, incoming, arrived, body)
         if isinstance(call, Refusal):
             await self._refuse(send, incoming, call, arrived)
             return
-        if self._takes_no_more():
+        if self._is_stop_imminent():
             refusal = Refusal(Reason.LEAVING, DEFAULT_RETRY_AFTER_S)
             await self._refuse(send, incoming, refusal, arrived, call)
             return
-        closing = self._closing(send)
-        relay = Relay(context, incoming, call, body, closing)
+        closing_send = self._with_connection_close(send)
+        relay = Relay(context, incoming, call, body, closing_send)
         refusal = await self._run(relay, call, receive)
         if refusal is not None:
             await self._refuse(send, incoming, refusal, arrived, call)
@@ -135,9 +135,11 @@
         leave the caller's work half done, and nobody could tell how far.
         """
         running = asyncio.ensure_future(relay.run())
-        watching = asyncio.ensure_future(_gone(receive))
+        disconnect_watch = asyncio.ensure_future(_wait_for_disconnect(receive))
         try:
-            await asyncio.wait((running, watching), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                (running, disconnect_watch), return_when=asyncio.FIRST_COMPLETED
+            )
             if not running.done() and not (call.may_rerun or call.is_stream):
                 await asyncio.wait((running,))
             if running.done():
@@ -145,12 +147,12 @@
             relay.report.caller_gone()
             raise CallerGone
         finally:
-            watching.cancel()
+            disconnect_watch.cancel()
             if not running.done():
                 running.cancel()
                 await asyncio.wait((running,))
 
-    def _takes_no_more(self) -> bool:
+    def _is_stop_imminent(self) -> bool:
         """Whether a planned stop has come so far that a new call could be cut.
 
         Callers reuse kept connections for seconds after the balancer has stopped
@@ -159,10 +161,10 @@
         stop_deadline = self._context.stop_deadline
         return (
             stop_deadline is not None
-            and self._context.clock() > stop_deadline - LAST_CALLS_S
+            and self._context.clock() > stop_deadline - REFUSE_BEFORE_STOP_S
         )
 
-    def _call(
+    def _build_call(
         self, config: GatewayConfig, incoming: Incoming, arrived: float, body: bytes
     ) -> Call | Refusal:
         route = config.match(incoming.host, incoming.path)
@@ -182,9 +184,9 @@
             route=route,
             service=service,
             arrived=arrived,
-            deadline=arrived + _time_s(route, incoming),
+            deadline=arrived + _time_limit_s(route, incoming),
             first_event_due=arrived
-            + (route.event_timeout_s or _time_s(route, incoming)),
+            + (route.event_timeout_s or _time_limit_s(route, incoming)),
             ask=incoming.ask if has_engine else None,
             resume_after=incoming.resume_after,
             fingerprint=fingerprint(
@@ -196,13 +198,13 @@
             tokens=incoming.tokens,
         )
 
-    def _closing(self, send: Send) -> Send:
-        async def sending(message: dict[str, Any]) -> None:
+    def _with_connection_close(self, send: Send) -> Send:
+        async def wrapped_send(message: dict[str, Any]) -> None:
             if message["type"] == "http.response.start" and self._is_leaving():
                 message["headers"].append((b"connection", b"close"))
             await send(message)
 
-        return sending
+        return wrapped_send
 
     async def _refuse(
         self,
@@ -228,7 +230,7 @@
             detail=refusal.detail,
             config_version=config.version if config else None,
             plan=refusal.plan,
-            fingerprint=_deciding_fingerprint(refusal, call),
+            fingerprint=_crash_fingerprint(refusal, call),
             adapter=(call.ask.adapter or None) if call and call.ask else None,
             customer=call.customer.name if call and call.customer else None,
             cost=call.cost or None if call else None,
@@ -236,19 +238,19 @@
         )
         context.events.emit(line)
         body = refusal.reason.value.encode()
-        headers = context.dialect.refused(known, refusal.come_back_s)
+        headers = context.dialect.refusal_headers(known, refusal.come_back_s)
         if refusal.reason is Reason.UNKNOWN_KEY:
             headers.append((b"www-authenticate", b"Bearer"))
         headers.append((b"content-length", b"%d" % len(body)))
-        sending = self._closing(send)
-        await sending(
+        wrapped_send = self._with_connection_close(send)
+        await wrapped_send(
             {
                 "type": "http.response.start",
                 "status": refusal.status,
                 "headers": headers,
             }
         )
-        await sending({"type": "http.response.body", "body": body})
+        await wrapped_send({"type": "http.response.body", "body": body})
 
 
 class ReadyPage:
@@ -271,8 +273,8 @@
     return app
 
 
-def _time_s(route: Route, incoming: Incoming) -> float:
-    times = [DEFAULT_DEADLINE_S]
+def _time_limit_s(route: Route, incoming: Incoming) -> float:
+    times = [DEFAULT_TIMEOUT_S]
     if incoming.deadline_s is not None:
         times.append(incoming.deadline_s - ANSWER_MARGIN_S)
     if route.timeout_s is not None:
@@ -280,19 +282,19 @@
     return max(0.0, min(times))
 
 
-def _deciding_fingerprint(refusal: Refusal, call: Call | None) -> str | None:
+def _crash_fingerprint(refusal: Refusal, call: Call | None) -> str | None:
     because_of_crashes = (Reason.QUARANTINED, Reason.KEPT_APART)
     if call is None or refusal.reason not in because_of_crashes:
         return None
     return call.fingerprint
 
 
-async def _gone(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         continue
 
 
-async def _read_body(receive: Receive, most: int) -> bytes:
+async def _read_body(receive: Receive, max_bytes: int) -> bytes:
     parts = []
     size = 0
     while True:
@@ -301,7 +303,7 @@
             raise CallerGone
         data = event.get("body", b"")
         size += len(data)
-        if size > most:
+        if size > max_bytes:
             raise BodyTooLarge
         parts.append(data)
         if not event.get("more_body", False):
--- a/packages/bambootiller/src/bambootiller/gateway/http_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_limits.py
@@ -21,9 +21,9 @@
 from bambootiller_core.gateway.config import CallLimits
 
 #: Each header costs its name, its value, a colon, a space and the line's end.
-HEADER_FRAMING = 4
+HEADER_FRAMING_BYTES = 4
 #: An idle connection is kept for so many times as long as callers may leave it idle.
-KEPT_LONGER = 1.1
+KEEP_ALIVE_FACTOR = 1.1
 #: After a refusal, what still comes is read and dropped for so long. Seconds.
 LINGER_S = 1.0
 
@@ -40,25 +40,25 @@
 TOO_LARGE = HeadRefusal("head_too_large", 431, "Request Header Fields Too Large")
 TOO_SLOW = HeadRefusal("head_too_slow", 408, "Request Timeout")
 
-Refused = Callable[[HeadRefusal], None]
+OnHeadRefused = Callable[[HeadRefusal], None]
 
 
 def limited_protocol(
     limits: Callable[[], CallLimits],
-    refused: Refused,
+    refused: OnHeadRefused,
     leaving: Callable[[], bool],
-    turns_away: Callable[[], bool] = lambda: False,
+    sheds_connection: Callable[[], bool] = lambda: False,
 ) -> type[HttpToolsProtocol]:
     """The server's protocol with the limits that are in force when a head comes;
     ``refused`` is told of each head that is left. While ``leaving`` holds, each
-    connection is closed with the answer on it; one for which ``turns_away`` holds when
+    connection is closed with the answer on it; one for which ``sheds_connection`` holds when
     it comes is closed unread."""
 
     class LimitedProtocol(_LimitedProtocol):
         get_limits = staticmethod(limits)
         on_refused = staticmethod(refused)
         is_leaving = staticmethod(leaving)
-        closes_unread = staticmethod(turns_away)
+        closes_unread = staticmethod(sheds_connection)
 
     return LimitedProtocol
 
@@ -67,7 +67,7 @@
     """One connection of a caller."""
 
     get_limits: Callable[[], CallLimits]
-    on_refused: Refused
+    on_refused: OnHeadRefused
     is_leaving: Callable[[], bool]
     closes_unread: Callable[[], bool]
 
@@ -75,11 +75,11 @@
         """A caller has connected, and is due to send something."""
         super().connection_made(transport)
         self._head_bytes = 0
-        self._reads_head = False
+        self._reading_head = False
         self._in_message = False
         self._refused = False
-        self._due: asyncio.TimerHandle | None = None
-        self._expect(self.get_limits().idle_timeout_s)
+        self._timer: asyncio.TimerHandle | None = None
+        self._set_timeout(self.get_limits().idle_timeout_s)
         if self.closes_unread():
             # Whatever comes on it is dropped unread.
             self._refused = True
@@ -87,7 +87,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection is down."""
-        self._expect(None)
+        self._set_timeout(None)
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
@@ -95,9 +95,9 @@
         if self._refused:
             return
         # Behind the end of another request, how much of them is head isn't known.
-        counts = self._reads_head or not self._in_message
+        counts = self._reading_head or not self._in_message
         super().data_received(data)
-        if not self._reads_head or not counts:
+        if not self._reading_head or not counts:
             return
         self._head_bytes += len(data)
         if self._head_bytes > self.get_limits().max_header_bytes:
@@ -105,17 +105,18 @@
 
     def on_message_begin(self) -> None:
         """A request begins."""
-        self._reads_head = self._in_message = True
+        self._reading_head = self._in_message = True
         self._head_bytes = 0
-        self._expect(self.get_limits().header_timeout_s)
+        self._set_timeout(self.get_limits().header_timeout_s)
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
         """A head is whole."""
-        self._reads_head = False
-        self._expect(None)
+        self._reading_head = False
+        self._set_timeout(None)
         size = len(self.url) + sum(
-            len(name) + len(value) + HEADER_FRAMING for name, value in self.headers
+            len(name) + len(value) + HEADER_FRAMING_BYTES
+            for name, value in self.headers
         )
         if size > self.get_limits().max_header_bytes:
             self._refuse(TOO_LARGE)
@@ -131,7 +132,7 @@
     def on_response_complete(self) -> None:
         """An answer is whole. Callers may use a connection again for most of the time
         that they were told it is kept; closed sooner, a call could cross the close."""
-        kept_s = self.get_limits().idle_timeout_s * KEPT_LONGER
+        kept_s = self.get_limits().idle_timeout_s * KEEP_ALIVE_FACTOR
         self.timeout_keep_alive = max(self.timeout_keep_alive, kept_s)
         super().on_response_complete()
         if self.is_leaving():
@@ -145,34 +146,34 @@
         if not self._refused:
             super().on_body(body)
 
-    def _expect(self, seconds: float | None) -> None:
-        if self._due is not None:
-            self._due.cancel()
-            self._due = None
+    def _set_timeout(self, seconds: float | None) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         if seconds is not None:
-            self._due = self.loop.call_later(seconds, self._late)
+            self._timer = self.loop.call_later(seconds, self._on_timeout)
 
-    def _late(self) -> None:
-        self._due = None
+    def _on_timeout(self) -> None:
+        self._timer = None
         if self._in_message:
             self._refuse(TOO_SLOW)
         else:
             self.transport.close()
 
-    def _refuse(self, why: HeadRefusal) -> None:
+    def _refuse(self, refusal: HeadRefusal) -> None:
         """Answer with a status that promises that nothing has run, and close."""
         if self._refused:
             return
         self._refused = True
-        self._expect(None)
-        self.on_refused(why)
+        self._set_timeout(None)
+        self.on_refused(refusal)
         if self.cycle is not None and not self.cycle.response_complete:
             # An answer to an earlier request is on its way; another in its middle
             # would spoil it.
             self.transport.close()
             return
         head = (
-            f"HTTP/1.1 {why.status} {why.phrase}",
+            f"HTTP/1.1 {refusal.status} {refusal.phrase}",
             "content-length: 0",
             "connection: close",
         )
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -19,14 +19,14 @@
 #: A call that waits for a model looks again at least this often. Seconds.
 RECHECK_S = 0.1
 #: What a stream needs between its model being there and its first event. Seconds.
-FIRST_EVENT_S = 0.15
+FIRST_EVENT_MARGIN_S = 0.15
 #: A stream lasts about so long. One that can't begin this long before the end of a
 #: planned stop is refused, because it would be cut. Seconds.
-STREAM_S = 3.0
+TYPICAL_STREAM_S = 3.0
 #: When to come back for a model that no engine can load for now. Seconds.
-UNPLANNED_S = 6.0
+UNPLANNED_RETRY_S = 6.0
 #: An adapter that hasn't come after this time is sought at another engine. Seconds.
-ADAPTER_S = 0.4
+ADAPTER_TURN_S = 0.4
 
 
 class Placement:
@@ -49,9 +49,9 @@
         self._missed_adapter = False
         #: What lets the call be sent to the backend server that was found.
         self._permit: Permit | None = None
-        self._asked_at: set[str] = set()
+        self._requested_instances: set[str] = set()
         #: The room under a named limit that the call waits for.
-        self._awaited: Room | None = None
+        self._awaited_room: Room | None = None
 
     def ask(self) -> None:
         """Count the call in the demand for its model."""
@@ -68,10 +68,10 @@
         try:
             while True:
                 found = await self._find()
-                if isinstance(found, Refusal) or await self._permitted(found):
+                if isinstance(found, Refusal) or await self._take_permit(found):
                     return found
         finally:
-            self._wait_no_more()
+            self._stop_waiting()
 
     def sent(self) -> None:
         """The call was sent to the backend server that was found."""
@@ -87,33 +87,33 @@
 
     async def _find(self) -> Backend | Refusal:
         if self._call.ask is None:
-            return await self._plain_place()
-        return await self._engine_place()
+            return await self._place_plain()
+        return await self._place_on_engine()
 
-    async def _permitted(self, backend: Backend) -> bool:
+    async def _take_permit(self, backend: Backend) -> bool:
         admission = self._context.server_admission
         if not admission.is_limited(backend):
             return True
-        if backend.instance not in self._asked_at:
-            self._asked_at.add(backend.instance)
+        if backend.instance not in self._requested_instances:
+            self._requested_instances.add(backend.instance)
             admission.asked(backend)
         self._permit = await admission.permit(backend)
         return self._permit is not None
 
-    def another(self) -> Backend | None:
+    def find_alternative(self) -> Backend | None:
         """A backend server that the call wasn't sent to and that can take it now.
 
         None that names a limit: the call would wait for a permit while its own is
         silent.
         """
         ask, now = self._call.ask, self._context.clock()
-        able = [
+        eligible = [
             backend
             for backend in self.untried()
             if (ask is None or backend.serves(now, ask.model, ask.adapter))
             and not self._context.server_admission.is_limited(backend)
         ]
-        return self._choose(able)
+        return self._choose(eligible)
 
     def untried(self) -> list[Backend]:
         """The backend servers of the service that the call hasn't been sent to."""
@@ -130,32 +130,32 @@
 
     def _choose(self, candidates: list[Backend]) -> Backend | None:
         context = self._context
-        open_ones = [
+        admissible = [
             backend
             for backend in candidates
             if not context.server_admission.is_closed(backend)
         ]
-        self.candidates = len(open_ones)
+        self.candidates = len(admissible)
         return selection.choose(
             context.clock(),
             self._call,
-            open_ones,
+            admissible,
             self._health,
             context.zone,
             context.rng,
         )
 
-    async def _plain_place(self) -> Backend | Refusal:
+    async def _place_plain(self) -> Backend | Refusal:
         while True:
             candidates = self.untried()
             if not candidates:
                 return Refusal(Reason.NO_BACKEND, attempts.DEFAULT_RETRY_AFTER_S)
-            found = self._choose(candidates) or self._none_free(candidates)
+            found = self._choose(candidates) or self._refuse_or_wait(candidates)
             if found is not None:
                 return found
             await asyncio.sleep(RECHECK_S)
 
-    def _none_free(self, candidates: list[Backend]) -> Refusal | None:
+    def _refuse_or_wait(self, candidates: list[Backend]) -> Refusal | None:
         """Why none of the backend servers takes the call, or None to wait for room
         under the limit that one of them names."""
         now = self._context.clock()
@@ -166,11 +166,17 @@
         if room is None:
             return Refusal(Reason.OVERLOADED, attempts.DEFAULT_RETRY_AFTER_S)
         due = min(self._call.next_event_due(self._progress), self._call.deadline)
-        begins = self._awaited is None and now + room.in_s < due - FIRST_EVENT_S
+        begins = (
+            self._awaited_room is None and now + room.in_s < due - FIRST_EVENT_MARGIN_S
+        )
         if begins and room.known:
-            self._awaited = room
+            self._awaited_room = room
             self._context.server_admission.begin_waiting(room)
-        if self._awaited is not None and room.known and now < due - FIRST_EVENT_S:
+        if (
+            self._awaited_room is not None
+            and room.known
+            and now < due - FIRST_EVENT_MARGIN_S
+        ):
             return None
         detail = f"{room.instance} has room in {room.in_s:.2f} s"
         return Refusal(
@@ -179,23 +185,23 @@
             detail,
         )
 
-    def _wait_no_more(self) -> None:
-        room, self._awaited = self._awaited, None
+    def _stop_waiting(self) -> None:
+        room, self._awaited_room = self._awaited_room, None
         if room is not None:
             self._context.server_admission.end_waiting(room)
 
-    async def _engine_place(self) -> Backend | Refusal:
+    async def _place_on_engine(self) -> Backend | Refusal:
         """An engine that holds the model and the adapter, waiting for one if need
         be."""
         context, ask = self._context, self._call.ask
         demand = context.engines.plans.demand(self._call.service)
         began = context.clock()
-        due = self._call.arrived + self._call.route.target_s - FIRST_EVENT_S
+        due = self._call.arrived + self._call.route.target_s - FIRST_EVENT_MARGIN_S
         demand.begin_waiting(began, ask.model, self._weight, due)
         found = None
         try:
             while found is None:
-                found = self._engine_now(began)
+                found = self._try_engines(began)
                 if found is None:
                     await context.knowledge.changed.wait(RECHECK_S)
             return found
@@ -204,7 +210,7 @@
             if not isinstance(found, Backend):
                 demand.unserved(began, ask.model, self._weight)
 
-    def _engine_now(self, began: float) -> Backend | Refusal | None:
+    def _try_engines(self, began: float) -> Backend | Refusal | None:
         """An engine, a refusal, or None to wait."""
         ask, now = self._call.ask, self._context.clock()
         untried = self.untried()
@@ -229,8 +235,8 @@
         if chosen is not None:
             return chosen
         if with_adapter:
-            return self._none_free(with_adapter)
-        if now > self._call.first_event_due - FIRST_EVENT_S:
+            return self._refuse_or_wait(with_adapter)
+        if now > self._call.first_event_due - FIRST_EVENT_MARGIN_S:
             return Refusal(Reason.OVERLOADED, attempts.DEFAULT_RETRY_AFTER_S)
         return self._await_adapter(now, began, holders)
 
@@ -238,17 +244,21 @@
         self, now: float, began: float, holders: list[Backend]
     ) -> Refusal | None:
         ask = self._call.ask
-        self._miss_adapter(now)
-        able = [backend for backend in holders if backend.takes_orders(now)]
-        if not able:
+        self._record_adapter_miss(now)
+        eligible = [backend for backend in holders if backend.takes_orders(now)]
+        if not eligible:
             return self._refuse_cold(now, attempts.DEFAULT_RETRY_AFTER_S)
-        soonest = min(_free_in(backend) for backend in able)
-        if now + soonest > self._call.first_event_due - FIRST_EVENT_S:
+        soonest = min(_accepts_order_in_s(backend) for backend in eligible)
+        if now + soonest > self._call.first_event_due - FIRST_EVENT_MARGIN_S:
             return self._refuse_cold(now, soonest)
-        able = [backend for backend in able if _free_in(backend) <= soonest + ADAPTER_S]
-        able.sort(key=lambda backend: -selection.home_weight(ask, backend.instance))
-        turn = int((now - began) / ADAPTER_S) % len(able)
-        self._context.engines.wish(able[turn], Wish(ask.model, ask.adapter))
+        eligible = [
+            backend
+            for backend in eligible
+            if _accepts_order_in_s(backend) <= soonest + ADAPTER_TURN_S
+        ]
+        eligible.sort(key=lambda backend: -selection.home_weight(ask, backend.instance))
+        turn = int((now - began) / ADAPTER_TURN_S) % len(eligible)
+        self._context.engines.wish(eligible[turn], Wish(ask.model, ask.adapter))
         return None
 
     def _refuse_cold(self, now: float, come_back_s: float) -> Refusal:
@@ -258,7 +268,7 @@
         due.refused(now, self._call.ask, come_back_s)
         return Refusal(Reason.MODEL_NOT_LOADED, come_back_s)
 
-    def _miss_adapter(self, now: float) -> None:
+    def _record_adapter_miss(self, now: float) -> None:
         if self._missed_adapter:
             return
         self._missed_adapter = True
@@ -276,22 +286,22 @@
         planned = engines.plans.plan_for(call.service, ask.model)
         due = (
             min(self._call.next_event_due(self._progress), call.deadline)
-            - FIRST_EVENT_S
+            - FIRST_EVENT_MARGIN_S
         )
         if self._context.stop_deadline is not None:
-            due = min(due, self._context.stop_deadline - STREAM_S)
+            due = min(due, self._context.stop_deadline - TYPICAL_STREAM_S)
         ready_in = planned.ready_in_s if planned is not None else None
         if ready_in is not None and now + ready_in < due:
             return None
         if ready_in is None and self._context.is_starting() and now < due:
             return None
-        come_back = UNPLANNED_S if ready_in is None else ready_in
+        come_back = UNPLANNED_RETRY_S if ready_in is None else ready_in
         detail = "no engine can load it" if ready_in is None else ""
         come_back = max(come_back, attempts.DEFAULT_RETRY_AFTER_S)
         returning = self._context.service(call.service).returning
-        back_in_s = returning.expected_in_s(call, now, come_back)
+        returns_in_s = returning.expected_in_s(call, now, come_back)
         demand = engines.plans.demand(call.service)
-        demand.refused(now, ask.model, come_back, self._weight, back_in_s)
+        demand.refused(now, ask.model, come_back, self._weight, returns_in_s)
         engines.plans.due_adapters(call.service).refused(now, ask, come_back)
         plan = self._plan_seen(now, planned)
         return Refusal(Reason.MODEL_NOT_LOADED, come_back, detail, plan)
@@ -328,7 +338,7 @@
         )
 
 
-def _free_in(backend: Backend) -> float:
+def _accepts_order_in_s(backend: Backend) -> float:
     """When the engine takes an order for an adapter. Seconds."""
     loading = backend.engine.loading if backend.engine is not None else None
     return 0.0 if loading is None else loading.left_s
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -93,12 +93,12 @@
     def read(self, scope: dict[str, Any]) -> Incoming | Unreadable:
         """Read the head of a request."""
 
-    def outgoing(
+    def request_headers(
         self, incoming: Incoming, call: Call, instance: str, resume_after: int | None
     ) -> list[Header]:
         """The headers for a backend server, without the time left and the framing."""
 
-    def time_left(self, seconds: float) -> Header:
+    def time_left_header(self, seconds: float) -> Header:
         """The header that tells a backend server how long it has."""
 
     def classify(self, call: Call, head: AnswerHead) -> AnswerKind:
@@ -111,7 +111,7 @@
     def response_headers(self, head: AnswerHead) -> list[Header]:
         """The headers of an answer that go to the caller."""
 
-    def refused(self, incoming: Incoming | None, come_back_s: float | None):
+    def refusal_headers(self, incoming: Incoming | None, come_back_s: float | None):
         """The headers of the gateway's own answer."""
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -38,17 +38,17 @@
 
 #: A stream that may be resumed is sent elsewhere when nothing has come for this part of
 #: the caller's patience, or for the longest pause times this factor, whichever is more.
-SILENCE_SHARE = 0.35
-SILENCE_PAUSES = 3.0
+SILENCE_PATIENCE_SHARE = 0.35
+SILENCE_PAUSE_FACTOR = 3.0
 
 
 #: An answer up to this size is collected before its first byte goes out; a larger one
 #: is passed on as it comes, so that one without an end takes no more memory. Bytes.
-MOST_COLLECTED = 1 << 20
+MAX_COLLECTED_BYTES = 1 << 20
 #: What is read behind the head of a backend server's refusal, and for how long, so that
 #: the connection can be used again. Bytes and seconds.
-REFUSAL_BYTES = 64 * 1024
-REFUSAL_S = 0.2
+MAX_REFUSAL_BYTES = 64 * 1024
+REFUSAL_READ_TIMEOUT_S = 0.2
 
 
 class AnswerTruncated(Exception):
@@ -88,10 +88,10 @@
             context, call, self._progress, self.report
         )
         #: Where the call goes on, found while its attempt before was still running.
-        self._prepared: FailoverTarget | None = None
-        self._watch: SilenceDetector | None = None
+        self._target: FailoverTarget | None = None
+        self._silence_detector: SilenceDetector | None = None
         self._admission: Admission | None = None
-        self._stayed: StayReason | None = None
+        self._last_stay_reason: StayReason | None = None
 
     async def run(self) -> Refusal | None:
         """Serve the call; returns the gateway's own final answer if there is to be one.
@@ -107,8 +107,8 @@
             return self._finish(decision, "timed out")
         finally:
             self._placement.release()
-            if self._prepared is not None:
-                self._failover.give_back(self._prepared)
+            if self._target is not None:
+                self._failover.release_target(self._target)
             if self._admission is not None:
                 self._admission.close(self._progress.may_have_run)
 
@@ -121,31 +121,31 @@
         if self._call.ask is not None:
             self._placement.ask()
         while True:
-            sent = self._sent
-            kept_out = None if sent else await self._crash_isolation.wait()
-            if kept_out is not None:
-                return self._unplaced(kept_out)
-            prepared, self._prepared = self._prepared, None
-            found = prepared.backend if prepared else await self._placement.place()
+            sent = self._next_is_sent
+            isolation_refusal = None if sent else await self._crash_isolation.wait()
+            if isolation_refusal is not None:
+                return self._refuse_unplaced(isolation_refusal)
+            target, self._target = self._target, None
+            found = target.backend if target else await self._placement.place()
             if not isinstance(found, Refusal) and not sent:
                 found = self._context.key_refusal(self._call) or found
             if isinstance(found, Refusal):
-                self._prepared = prepared
-                return self._unplaced(found)
+                self._target = target
+                return self._refuse_unplaced(found)
             if not sent and not self._context.quarantine.admits(self._call):
                 # Its request ended a backend server while the call was being placed.
-                self._prepared = prepared
+                self._target = target
                 continue
             self.report.chosen(found, self._placement.candidates)
-            ended = await self._attempt(found, prepared)
+            ended = await self._attempt(found, target)
             if ended is None:
                 return None
-            decision = self._after(ended)
-            self.report.attempt_failed(found, ended, decision, self._sent)
+            decision = self._decide_next(ended)
+            self.report.attempt_failed(found, ended, decision, self._next_is_sent)
             if not isinstance(decision, SendAgain):
                 return self._finish(decision, ended.value)
 
-    def _unplaced(self, refusal: Refusal) -> Refusal:
+    def _refuse_unplaced(self, refusal: Refusal) -> Refusal:
         """The final answer of a call that is sent nowhere from now on."""
         if self._progress.forwarded or self._progress.may_have_run:
             decision = attempts.give_up(self._progress)
@@ -153,23 +153,23 @@
         return refusal
 
     @property
-    def _sent(self) -> bool:
+    def _next_is_sent(self) -> bool:
         """Whether the next attempt has gone out already."""
-        return self._prepared is not None and self._prepared.attempt is not None
+        return self._target is not None and self._target.attempt is not None
 
-    def _after(self, ended: AttemptOutcome) -> Decision:
+    def _decide_next(self, ended: AttemptOutcome) -> Decision:
         progress = self._progress
-        if self._sent:
+        if self._next_is_sent:
             return SendAgain(progress.forwarded, costs_budget=True)
         decision = attempts.next_action(
             self._call, progress, ended, self._context.clock()
         )
-        if isinstance(decision, SendAgain) and not self._may_spend(decision):
+        if isinstance(decision, SendAgain) and not self._may_retry(decision):
             return attempts.give_up(progress)
         return decision
 
-    def _may_spend(self, decision: SendAgain) -> bool:
-        if not decision.costs_budget or self._prepared is not None:
+    def _may_retry(self, decision: SendAgain) -> bool:
+        if not decision.costs_budget or self._target is not None:
             return True
         return self._service.budget.take(self._context.clock())
 
@@ -180,20 +180,20 @@
         return decision
 
     async def _attempt(
-        self, backend: Backend, prepared: FailoverTarget | None
+        self, backend: Backend, target: FailoverTarget | None
     ) -> AttemptOutcome | None:
         """Send the call to one backend server, unless it has gone out already; None if
         the answer was passed on whole."""
-        attempt = prepared.attempt if prepared else None
+        attempt = target.attempt if target else None
         if attempt is None:
-            conn = prepared.conn if prepared else await self._connect(backend)
+            conn = target.conn if target else await self._connect(backend)
             if conn is None:
                 return AttemptOutcome.NOT_SENT
             attempt = self._sender.send(backend, conn)
             self._placement.sent()
         answered = False
         try:
-            ended = await self._exchange(attempt)
+            ended = await self._exchange_watched(attempt)
             answered = ended in (None, AttemptOutcome.REFUSED)
             return ended
         except ConnectionLost as exc:
@@ -222,161 +222,171 @@
             return await pool.acquire(now, self._call.deadline - now, fresh=again)
         except CannotConnect as exc:
             if not isinstance(exc, PoolExhausted):
-                context.unreached(self._call.service, backend)
+                context.mark_unreachable(self._call.service, backend)
             self.report.cannot_connect(backend, str(exc))
             progress.tried.append(backend.incarnation)
             return None
 
-    async def _exchange(self, attempt: Attempt) -> AttemptOutcome | None:
+    async def _exchange_watched(self, attempt: Attempt) -> AttemptOutcome | None:
         context = self._context
-        silence_s = self._silence_s(context.clock())
-        if silence_s is None:
-            return await self._answer(attempt)
-        self._watch = SilenceDetector(attempt.conn, silence_s, context.running_time)
-        self._watch.look_again(silence_s - (context.running_time() - attempt.sent_at))
+        silence_timeout_s = self._silence_timeout_s(context.clock())
+        if silence_timeout_s is None:
+            return await self._handle_answer(attempt)
+        self._silence_detector = SilenceDetector(
+            attempt.conn, silence_timeout_s, context.running_time
+        )
+        self._silence_detector.recheck_in(
+            silence_timeout_s - (context.running_time() - attempt.sent_running_time)
+        )
         try:
-            return await self._answer(attempt)
+            return await self._handle_answer(attempt)
         finally:
-            self._watch.stop()
+            self._silence_detector.stop()
 
-    async def _answer(self, attempt: Attempt) -> AttemptOutcome | None:
+    async def _handle_answer(self, attempt: Attempt) -> AttemptOutcome | None:
         conn, sender = attempt.conn, self._sender
-        head = await self._next(attempt, lambda: conn.head(sender.is_stray))
+        head = await self._read_or_fail_over(
+            attempt, lambda: conn.head(sender.is_stray)
+        )
         if sender.is_refusal(attempt, head):
             # The head promises that the call hasn't run, whatever follows it.
             with contextlib.suppress(ConnectionLost, TimeoutError):
-                async with asyncio.timeout(REFUSAL_S):
-                    await _read_refusal(conn)
+                async with asyncio.timeout(REFUSAL_READ_TIMEOUT_S):
+                    await _drain_refusal(conn)
             return AttemptOutcome.REFUSED
-        await self._pass_on(attempt, head)
+        await self._forward_answer(attempt, head)
         if 200 <= head.status < 300:
             self._context.quarantine.completed(self._call)
         self.report.answered(attempt.backend, head.status)
         return None
 
-    async def _next(self, attempt: Attempt, read: Callable[[], Awaitable[Any]]) -> Any:
+    async def _read_or_fail_over(
+        self, attempt: Attempt, read: Callable[[], Awaitable[Any]]
+    ) -> Any:
         """Await ``read()``; a silent backend server is left if the call can go on
         elsewhere, or if it is lost."""
         while True:
             try:
                 return await read()
             except SilenceTimeout as exc:
-                if not await self._stays(attempt, str(exc)):
+                if not await self._stays_on_backend(attempt, str(exc)):
                     lost = attempt.conn.loss or ConnectionLost(str(exc), False, False)
                     raise lost from exc
 
-    async def _stays(self, attempt: Attempt, detail: str) -> bool:
+    async def _stays_on_backend(self, attempt: Attempt, detail: str) -> bool:
         """Whether the call stays with its silent backend server for now."""
         backend = attempt.backend
-        backend.unreached(self._context.clock())
-        found = await self._failover.prepare(attempt, detail)
+        backend.mark_unreachable(self._context.clock())
+        found = await self._failover.find_target(attempt, detail)
         if isinstance(found, FailoverTarget):
-            self._prepared = found
+            self._target = found
             return False
-        if found is not StayReason.SPOKE and self._is_given_up(backend):
+        if found is not StayReason.SPOKE and self._is_lost(backend):
             return False
-        if found is not self._stayed:
-            self._stayed = found
+        if found is not self._last_stay_reason:
+            self._last_stay_reason = found
             self.report.silence_borne(backend, detail, found.value)
         if found in (StayReason.SPOKE, StayReason.ATTEMPTS):
-            self._watch.again()
+            self._silence_detector.again()
         else:
             # A place, a connection or the budget may be there in a moment.
-            self._watch.look_again(RECHECK_S)
+            self._silence_detector.recheck_in(RECHECK_S)
         return True
 
-    def _is_given_up(self, backend: Backend) -> bool:
+    def _is_lost(self, backend: Backend) -> bool:
         """Whether nothing will come of waiting. An answer that has begun isn't given
         up for a belief: an agent that has ended says nothing of its engine."""
         return not self._progress.forwarded and backend.lost(self._context.clock())
 
-    def _silence_s(self, now: float) -> float | None:
+    def _silence_timeout_s(self, now: float) -> float | None:
         """How long the backend server may be silent before the call goes elsewhere."""
         call = self._call
         left_attempts = call.route.max_attempts - self._progress.sends
         if left_attempts < 1 or not call.may_rerun:
             return None
         if call.is_stream:
-            patience = call.route.event_timeout_s * SILENCE_SHARE
-            return max(patience, call.route.max_event_gap_s * SILENCE_PAUSES)
+            patience = call.route.event_timeout_s * SILENCE_PATIENCE_SHARE
+            return max(patience, call.route.max_event_gap_s * SILENCE_PAUSE_FACTOR)
         return max(0.05, (call.deadline - now) * 0.5)
 
-    async def _pass_on(self, attempt: Attempt, head: AnswerHead) -> None:
+    async def _forward_answer(self, attempt: Attempt, head: AnswerHead) -> None:
         is_events = self._call.is_stream and 200 <= head.status < 300
         if is_events:
-            await self._pass_events(attempt, head)
+            await self._forward_event_stream(attempt, head)
             return
         # Collected before the first byte goes out: an answer that breaks off on the way
         # can then still be replaced by one of another backend server.
         parts, size = [], 0
-        while (data := await self._next(attempt, attempt.conn.chunk)) is not None:
+        while (
+            data := await self._read_or_fail_over(attempt, attempt.conn.chunk)
+        ) is not None:
             parts.append(data)
             size += len(data)
-            if size > MOST_COLLECTED:
-                await self._pass_large(attempt, head, b"".join(parts))
+            if size > MAX_COLLECTED_BYTES:
+                await self._forward_large_answer(attempt, head, b"".join(parts))
                 return
-        self._judge(attempt, head)
+        self._record_health(attempt, head)
         self.report.part_passed_on(self._context.clock())
-        await self._start(head)
+        await self._send_head(head)
         await self._send({"type": "http.response.body", "body": b"".join(parts)})
 
-    async def _pass_large(
+    async def _forward_large_answer(
         self, attempt: Attempt, head: AnswerHead, data: bytes | None
     ) -> None:
         """Pass on an answer that is too large to be collected."""
         self.report.part_passed_on(self._context.clock())
-        await self._start(head)
+        await self._send_head(head)
         self._progress.forwarded = True
         try:
             while data is not None:
                 await self._send(
                     {"type": "http.response.body", "body": data, "more_body": True}
                 )
-                data = await self._next(attempt, attempt.conn.chunk)
+                data = await self._read_or_fail_over(attempt, attempt.conn.chunk)
         except asyncio.CancelledError:
             if self._context.clock() >= self._call.deadline:
                 # Its body has no end.
                 self._sender.failed(attempt.backend)
             raise
-        self._judge(attempt, head)
+        self._record_health(attempt, head)
         await self._send({"type": "http.response.body", "body": b""})
 
-    def _judge(self, attempt: Attempt, head: AnswerHead) -> None:
+    def _record_health(self, attempt: Attempt, head: AnswerHead) -> None:
         backend, now = attempt.backend, self._context.clock()
-        latency_s = self._context.running_time() - attempt.sent_at
+        latency_s = self._context.running_time() - attempt.sent_running_time
         if head.status >= 500:
             self._service.health.failed(now, backend.incarnation)
         else:
             self._service.health.succeeded(now, backend.incarnation, latency_s)
         self._context.review_health(self._call.service, backend.incarnation)
 
-    async def _pass_events(self, attempt: Attempt, head: AnswerHead) -> None:
+    async def _forward_event_stream(self, attempt: Attempt, head: AnswerHead) -> None:
         progress = self._progress
         splitter = EventSplitter()
         first = True
         while True:
-            data = await self._next(attempt, attempt.conn.chunk)
+            data = await self._read_or_fail_over(attempt, attempt.conn.chunk)
             if data is None:
                 break
             events = splitter.feed(data)
             if not events:
                 continue
-            if any(_has_no_end(event) for event in events):
+            if any(_is_endless(event) for event in events):
                 raise ConnectionLost("an event without an end", False, True)
             if first:
                 first = False
                 attempt.prompt_read()
-                self._judge(attempt, head)
-            await self._pass_whole(head, events)
+                self._record_health(attempt, head)
+            await self._forward_events(head, events)
         if splitter.rest:
             raise ConnectionLost(
                 "the stream ended in the middle of an event", True, True
             )
         if not progress.forwarded:
-            await self._start(head)
+            await self._send_head(head)
         await self._send({"type": "http.response.body", "body": b""})
 
-    async def _pass_whole(self, head: AnswerHead, events: list[Event]) -> None:
+    async def _forward_events(self, head: AnswerHead, events: list[Event]) -> None:
         progress = self._progress
         last, newest = self._sender.resume_after(), progress.last_event
         for event in events:
@@ -393,14 +403,14 @@
         progress.forwarded_at = now = self._context.clock()
         self.report.part_passed_on(now)
         if not progress.forwarded:
-            await self._start(head)
+            await self._send_head(head)
             progress.forwarded = True
         data = b"".join([event.data for event in events])
         await self._send(
             {"type": "http.response.body", "body": data, "more_body": True}
         )
 
-    async def _start(self, head: AnswerHead) -> None:
+    async def _send_head(self, head: AnswerHead) -> None:
         await self._send(
             {
                 "type": "http.response.start",
@@ -410,11 +420,11 @@
         )
 
 
-def _has_no_end(event: Event) -> bool:
+def _is_endless(event: Event) -> bool:
     return len(event.data) > LARGEST_EVENT_BYTES and event.number is None
 
 
-async def _read_refusal(conn: BackendConnection) -> None:
+async def _drain_refusal(conn: BackendConnection) -> None:
     size = 0
-    while size <= REFUSAL_BYTES and (data := await conn.chunk()) is not None:
+    while size <= MAX_REFUSAL_BYTES and (data := await conn.chunk()) is not None:
         size += len(data)
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -27,17 +27,17 @@
 from bambootiller_core.gateway.service_levels import ServiceLevels
 
 #: Connections to one backend server where the configuration sets no limit.
-MOST_CONNECTIONS = 256
+DEFAULT_MAX_CONNECTIONS = 256
 #: A new entry has heard all agents that it can reach after this time. Seconds.
-STARTING_S = 1.5
+STARTUP_GRACE_S = 1.5
 #: No entry has fewer than this, however many share the limit.
-LEAST_CONNECTIONS = 8
+MIN_CONNECTIONS = 8
 #: An entry that gets most callers for a while may have so many connections for each
 #: call that a backend server serves at once, more than it sends it: those that are
 #: being made count too.
-CONNECTIONS_A_SLOT = 2
+CONNECTIONS_PER_SLOT = 2
 #: But no more than this part of what the backend server takes.
-ONE_ENTRY_SHARE = 0.5
+MAX_ENTRY_SHARE = 0.5
 
 
 @dataclass(slots=True)
@@ -82,7 +82,7 @@
         self.clock = clock
         self.running_time = running_time
         self._new_budget = new_budget
-        self.began = clock()
+        self.started_at = clock()
         #: When a planned stop cuts what still runs; None while none has begun.
         self.stop_deadline: float | None = None
         self._services: dict[str, ServiceState] = {}
@@ -91,7 +91,7 @@
     def is_starting(self) -> bool:
         """Whether this process has only just begun: it may not have heard the agents
         yet, and knows less than a moment later."""
-        return self.clock() - self.began < STARTING_S
+        return self.clock() - self.started_at < STARTUP_GRACE_S
 
     def service(self, name: str) -> ServiceState:
         """What is kept for a service."""
@@ -103,25 +103,25 @@
         )
         return found
 
-    def unreached(self, service: str, backend: Backend) -> None:
+    def mark_unreachable(self, service: str, backend: Backend) -> None:
         """No connection to a backend server could be made."""
         now = self.clock()
-        backend.unreached(now)
+        backend.mark_unreachable(now)
         self.service(service).health.unreachable(now, backend.incarnation)
         self.review_health(service, backend.incarnation)
 
     def review_health(self, service: str, server: Incarnation) -> None:
         """Say so if a backend server is judged otherwise from now on."""
-        judged = self.service(service).health.review(self.clock(), server)
-        if judged is None:
+        change = self.service(service).health.review(self.clock(), server)
+        if change is None:
             return
-        latency_s = judged.latency_s
+        latency_s = change.latency_s
         line = BackendJudged(
             backend=server.instance,
             service=service,
-            standing=judged.standing.value,
-            before=judged.before.value,
-            failure_rate=round(judged.failure_rate, 3),
+            standing=change.standing.value,
+            before=change.before.value,
+            failure_rate=round(change.failure_rate, 3),
             latency_ms=None if latency_s is None else round(latency_s * 1000),
         )
         self.events.emit(line)
@@ -144,18 +144,18 @@
         same address doesn't answer on those of the one before."""
         found = self._pools.get(backend.incarnation)
         if found is None:
-            most = self._most_connections(backend)
-            found = ConnectionPool(backend.registered.address, most, self.running_time)
+            limit = self._connection_limit(backend)
+            found = ConnectionPool(backend.registered.address, limit, self.running_time)
             self._pools[backend.incarnation] = found
         return found
 
-    def least_budget(self) -> float:
+    def min_retry_budget(self) -> float:
         """The second attempts that the tightest budget of a service allows now."""
         now = self.clock()
         remaining = (state.budget.remaining(now) for state in self._services.values())
         return min(remaining, default=0.0)
 
-    def open_count(self) -> int:
+    def connection_count(self) -> int:
         """The connections to backend servers, idle ones included."""
         return sum(pool.open for pool in self._pools.values())
 
@@ -170,12 +170,12 @@
         for state in self._services.values():
             state.health.forget_ended(lives)
 
-    def _most_connections(self, backend: Backend) -> int:
+    def _connection_limit(self, backend: Backend) -> int:
         config = self.knowledge.config
         service = config.services.get(backend.registered.service) if config else None
         if service is None or service.max_connections is None:
-            return MOST_CONNECTIONS
-        most = service.max_connections
-        share = most // max(2, len(self.engines.plans.entries))
-        wanted = CONNECTIONS_A_SLOT * backend.registered.slots
-        return max(LEAST_CONNECTIONS, share, min(wanted, int(ONE_ENTRY_SHARE * most)))
+            return DEFAULT_MAX_CONNECTIONS
+        limit = service.max_connections
+        share = limit // max(2, len(self.engines.plans.entries))
+        wanted = CONNECTIONS_PER_SLOT * backend.registered.slots
+        return max(MIN_CONNECTIONS, share, min(wanted, int(MAX_ENTRY_SHARE * limit)))
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -17,20 +17,20 @@
 from bambootiller_core.gateway.quota_account import QuotaCharge
 from bambootiller_core.gateway.reported_limits import limit_name, shared_limits
 
-KIND = "backend servers"
+LIMIT_KIND = "backend servers"
 #: What a call costs of a limit.
-CALL = 1.0
+CALL_COST = 1.0
 #: A call waits no longer than this for the allocator's answer: another backend server
 #: may take it. Seconds.
-ANSWER_S = 0.2
+ALLOCATOR_TIMEOUT_S = 0.2
 #: Where there is no room the allocator is asked again after this time at the latest, as
 #: others may ask for less by then. Seconds.
-PAUSE_S = 2.0
+MAX_PAUSE_S = 2.0
 #: The same where no allocator has answered, and when to come back then. Seconds.
-UNKNOWN_S = 0.5
-COME_BACK_S = 1.0
+NO_ALLOCATOR_PAUSE_S = 0.5
+NO_ALLOCATOR_COME_BACK_S = 1.0
 #: A backend server that had no room counts as short of it for so long. Seconds.
-SHORT_S = 3.0
+SHORTAGE_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,11 +82,11 @@
         self._allowances = allowances
         self._clock = clock
         self._waiting: Counter[str] = Counter()
-        limits.on_change(self._changed)
+        limits.on_change(self._limits_changed)
 
-    def _changed(self) -> None:
+    def _limits_changed(self) -> None:
         limits = shared_limits(self._limits.in_force())
-        self._allowances.limited(KIND, limits, PAUSE_S)
+        self._allowances.limited(LIMIT_KIND, limits, MAX_PAUSE_S)
 
     def is_limited(self, backend: Backend) -> bool:
         """Whether the backend server names a limit."""
@@ -96,24 +96,24 @@
         """Whether there is no use in trying for a permit now."""
         if not self.is_limited(backend):
             return False
-        return self._allowances.dry_s(limit_name(backend.instance), CALL) > 0
+        return self._allowances.dry_s(limit_name(backend.instance), CALL_COST) > 0
 
     def asked(self, backend: Backend) -> None:
         """A call would go to the backend server, if it may."""
         if self.is_limited(backend):
-            self._allowances.record_demand(limit_name(backend.instance), CALL)
+            self._allowances.record_demand(limit_name(backend.instance), CALL_COST)
 
     async def permit(self, backend: Backend) -> Permit | None:
         """What lets a call be sent there now."""
         name = limit_name(backend.instance)
-        found = await self._allowances.obtain(name, CALL, ANSWER_S)
+        found = await self._allowances.obtain(name, CALL_COST, ALLOCATOR_TIMEOUT_S)
         if isinstance(found, QuotaCharge):
             return Permit(self._allowances, name, found)
-        backend.short_until = self._clock() + SHORT_S
+        backend.short_until = self._clock() + SHORTAGE_S
         if found is Shortage.UNKNOWN:
-            self._allowances.pause(name, UNKNOWN_S)
+            self._allowances.pause(name, NO_ALLOCATOR_PAUSE_S)
         else:
-            self._allowances.pause(name, ANSWER_S)
+            self._allowances.pause(name, ALLOCATOR_TIMEOUT_S)
         return None
 
     def room(self, backends: Iterable[Backend]) -> Room | None:
@@ -127,9 +127,9 @@
     def _room(self, backend: Backend) -> Room:
         allowances, name = self._allowances, limit_name(backend.instance)
         if allowances.allocator is None:
-            return Room(backend.instance, COME_BACK_S, known=False)
+            return Room(backend.instance, NO_ALLOCATOR_COME_BACK_S, known=False)
         ahead = self._waiting[backend.instance]
-        in_s = allowances.dry_s(name, CALL) + ahead * allowances.next_in_s(name)
+        in_s = allowances.dry_s(name, CALL_COST) + ahead * allowances.next_in_s(name)
         return Room(backend.instance, in_s, known=True)
 
     def begin_waiting(self, room: Room) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/silence.py
+++ b/packages/bambootiller/src/bambootiller/gateway/silence.py
@@ -12,7 +12,7 @@
 RunningClock = Callable[[], float]
 #: A timer is set no closer than this, so that a wait that is all but over doesn't turn
 #: the loop over and over. Seconds.
-LEAST_WAIT_S = 0.005
+MIN_TIMER_S = 0.005
 
 
 class SilenceTimeout(Exception):
@@ -33,7 +33,7 @@
     def awaited(self) -> bool:
         """Whether somebody waits for something to come."""
 
-    def note_silence(self, seconds: float) -> None:
+    def signal_silence(self, seconds: float) -> None:
         """Have whoever waits get :class:`SilenceTimeout`."""
 
 
@@ -58,17 +58,17 @@
         self._seconds = seconds
         self._running_time = running_time
         self._timer: asyncio.TimerHandle | None = None
-        self._since = 0.0
+        self._silent_since = 0.0
         self.again()
 
     def again(self) -> None:
         """Begin anew: what was silent so far has been told."""
-        self._since = self._running_time()
+        self._silent_since = self._running_time()
         self._arm(self._seconds)
 
-    def look_again(self, seconds: float) -> None:
+    def recheck_in(self, seconds: float) -> None:
         """Tell the silence once more, if it lasts, in ``seconds``."""
-        self._since = self._running_time() - max(0.0, self._seconds - seconds)
+        self._silent_since = self._running_time() - max(0.0, self._seconds - seconds)
         self._arm(seconds)
 
     def stop(self) -> None:
@@ -80,20 +80,20 @@
     def _arm(self, seconds: float) -> None:
         self.stop()
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(max(seconds, LEAST_WAIT_S), self._look)
+        self._timer = loop.call_later(max(seconds, MIN_TIMER_S), self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         self._timer = None
         conn = self._conn
         if not conn.awaited:
             # The caller takes its time; what comes isn't asked for meanwhile.
             self.again()
             return
-        silent_s = self._running_time() - max(self._since, conn.heard_at)
+        silent_s = self._running_time() - max(self._silent_since, conn.heard_at)
         if silent_s < self._seconds:
             self._arm(self._seconds - silent_s)
             return
-        conn.note_silence(self._seconds)
+        conn.signal_silence(self._seconds)
 
 
 async def wait_running_time(
@@ -111,7 +111,7 @@
             left_s = end - running_time()
             if left_s <= 0:
                 raise TimeoutError
-            await asyncio.wait((task,), timeout=max(left_s, LEAST_WAIT_S))
+            await asyncio.wait((task,), timeout=max(left_s, MIN_TIMER_S))
         return task.result()
     finally:
         if not task.done():
--- a/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
@@ -12,12 +12,12 @@
 
 #: StallMonitor shorter than this aren't told: they delay an event of a stream by no more
 #: than the pause that most routes allow between two. Seconds.
-TOLD_S = 0.1
+MIN_REPORTED_STALL_S = 0.1
 
 
 #: A call that met silence while this process stood still for so long is asked again
 #: before the silence is believed. Seconds; half of the shortest time for one.
-DOUBT_S = 0.25
+MIN_STALL_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,8 +52,8 @@
     def was_stalled(self, since: TimeReading) -> bool:
         """Whether the process stood still for a good part of the time ``since``."""
         now = self.now()
-        stood_still_s = (now.at - since.at) - (now.running_time - since.running_time)
-        return stood_still_s >= DOUBT_S
+        stalled_s = (now.at - since.at) - (now.running_time - since.running_time)
+        return stalled_s >= MIN_STALL_S
 
 
 class StallMonitor:
@@ -92,8 +92,8 @@
         return self._running.running_time(now)
 
     def _tick(self, now: float) -> None:
-        stood_still_s = self._running.tick(now)
+        stalled_s = self._running.tick(now)
         for listener in self._listeners:
-            listener(stood_still_s)
-        if stood_still_s >= TOLD_S:
-            self._events.emit(StoodStill(round(stood_still_s, 3)))
+            listener(stalled_s)
+        if stalled_s >= MIN_REPORTED_STALL_S:
+            self._events.emit(StoodStill(round(stalled_s, 3)))
--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -134,7 +134,7 @@
             ServerAdmission(limits, allowances, loop.time),
         )
         # It has been running for a while: what it doesn't know, it won't learn soon.
-        self.context.began -= 60
+        self.context.started_at -= 60
         self.leaving = False
         self.front = HttpFront(self.context, None, lambda: True, lambda: self.leaving)
         self.replicas = []
--- a/tests/adapter/cover/test_dialect.py
+++ b/tests/adapter/cover/test_dialect.py
@@ -78,12 +78,12 @@
         incoming = dialect.read(scope((b"x-model", b"tutor"), (b"accept", b"*/*")))
         route = samples.route(CallKind.STREAM, priority=1)
         call = samples.call(route, ask=samples.ask())
-        headers = dict(dialect.outgoing(incoming, call, "i-7", 4))
+        headers = dict(dialect.request_headers(incoming, call, "i-7", 4))
         self.assertEqual(headers[b"x-expected-instance"], b"i-7")
         self.assertEqual(headers[b"last-event-id"], b"4")
         self.assertEqual(headers[b"x-request-priority"], b"1")
         self.assertEqual(headers[b"accept"], b"*/*")
-        self.assertEqual(dialect.time_left(1.5), (b"x-deadline-ms", b"1500"))
+        self.assertEqual(dialect.time_left_header(1.5), (b"x-deadline-ms", b"1500"))
 
 
 class TestJudging(unittest.TestCase):
@@ -123,7 +123,7 @@
 
     def sent(self, call, *headers):
         incoming = self.read(*headers)
-        return dict(PlatformDialect().outgoing(incoming, call, "i-1", None))
+        return dict(PlatformDialect().request_headers(incoming, call, "i-1", None))
 
     def test_the_holders_name_goes_out_and_nothing_that_the_caller_says(self):
         call = samples.call(keyed=True, customer=Customer("first", priority=0))
--- a/tests/adapter/failures/test_calls.py
+++ b/tests/adapter/failures/test_calls.py
@@ -68,11 +68,11 @@
     async def test_a_model_that_nobody_can_load_is_refused_at_once(self):
         await self.llm()
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         answer = await self.bench.call(path=b"/a/x", x_model="poet")
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
-        self.assertLess(loop.time() - began, 1.0)
+        self.assertLess(loop.time() - started_at, 1.0)
 
     async def test_an_entry_that_has_just_started_waits_for_its_agents(self):
         """Symptom: all calls of the first moment after a restart are refused.
@@ -80,7 +80,7 @@
         The entry has its configuration, but no agent has said yet what it holds.
         """
         replica = await self.llm()
-        self.bench.context.began = asyncio.get_running_loop().time()
+        self.bench.context.started_at = asyncio.get_running_loop().time()
         calling = asyncio.ensure_future(self.bench.call(path=b"/a/x", x_model="poet"))
         await asyncio.sleep(0.2)
         replica.held["poet"] = set()
@@ -201,10 +201,10 @@
         replica = await self.plain()
         replica.next_replies = [lambda req: Reply(silent=True)]
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         answer = await self.bench.call(x_deadline_ms=5000)
         self.assertEqual(answer.status, 504)
-        self.assertLess(loop.time() - began, 0.6)
+        self.assertLess(loop.time() - started_at, 0.6)
 
     async def test_the_replicas_work_ends_when_the_caller_leaves(self):
         """Symptom: a replica goes on for ten seconds for a caller who has left.
@@ -394,12 +394,12 @@
 
         replica.next_replies = [crash]
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         answer = await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
         self.assertFalse(answer.status == 200 and answer.whole)
         tries = len(self.bench.events.of("cannot_connect"))
         self.assertLessEqual(tries, 2)
-        self.assertLess(loop.time() - began, 1.0)
+        self.assertLess(loop.time() - started_at, 1.0)
 
     async def test_a_second_attempt_there_uses_no_kept_connection(self):
         """Symptom: a stream is cut though the engine was back in the same moment.
@@ -443,10 +443,10 @@
         loop = asyncio.get_running_loop()
         state = samples.engine_state("i-1", (MODEL_NAME,))
         self.bench.knowledge.fleet.engine_told(loop.time() - 2.0, state)
-        began = loop.time()
+        started_at = loop.time()
         answer = await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
         self.assertEqual(answer.status, 502)
-        self.assertLess(loop.time() - began, 1.5)
+        self.assertLess(loop.time() - started_at, 1.5)
 
     async def test_with_another_holder_the_call_goes_there(self):
         replicas = [await self.llm("i-1"), await self.llm("i-2")]
--- a/tests/gateway/common/fleets.py
+++ b/tests/gateway/common/fleets.py
@@ -124,6 +124,6 @@
         if rng.random() < 0.03:
             found.engine = None
         if rng.random() < 0.1:
-            found.unreached(NOW - 0.5)
+            found.mark_unreachable(NOW - 0.5)
         backends.append(found)
     return spec, backends, wants, rng.choice((1, 2, 4))
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -54,7 +54,7 @@
         plans = EnginePlans(app, known, lambda backend, wish: True)
         plans.demand(SERVICE).asked(app.at, "m1")
         self.assertEqual(plans.own_wants(SERVICE)["m1"].holders, 1)
-        known.fleet.get("b1").unreached(app.at)
+        known.fleet.get("b1").mark_unreachable(app.at)
         app.at += AGENT_SILENT_S + 0.1
         want = plans.own_wants(SERVICE)["m1"]
         self.assertEqual((want.holders, want.copies), (0, 0))
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -141,7 +141,7 @@
         registration lapses.
         """
         backend = samples.backend("b1", 0.0, samples.engine_state("b1", ("tutor",)))
-        backend.unreached(1.0)
+        backend.mark_unreachable(1.0)
         self.assertFalse(backend.lost(1.0), "its agent spoke a second ago")
         self.assertTrue(backend.lost(2.0))
         self.assertFalse(backend.lost(5.0), "somebody has to try again")
@@ -150,7 +150,7 @@
         state = samples.engine_state("b1", ("tutor",), silent=True)
         backend = samples.backend("b1", 0.0, state)
         self.assertFalse(backend.lost(0.1), "no call has failed there")
-        backend.unreached(0.1)
+        backend.mark_unreachable(0.1)
         self.assertTrue(backend.lost(0.1))
 
     def test_an_engine_whose_agent_alone_is_silent_is_not_lost(self):
--- a/tests/gateway/cover/test_residency.py
+++ b/tests/gateway/cover/test_residency.py
@@ -102,7 +102,7 @@
         backends = [lost, engine_backend("b2")]
         wants = {"tutor": Want(2.0, 3), "poet": Want(90.0)}
         self.assertNotIn("tutor", self.plan(backends, **wants))
-        lost.unreached(NOW - 0.1)
+        lost.mark_unreachable(NOW - 0.1)
         load = self.plan(backends, **wants)["tutor"]
         self.assertEqual((load.instance, load.ask_now), ("b2", True))
 
--- a/tests/gateway/cover/test_silence.py
+++ b/tests/gateway/cover/test_silence.py
@@ -14,7 +14,7 @@
         self.heard_at = time.monotonic()
         self.told = []
 
-    def note_silence(self, seconds):
+    def signal_silence(self, seconds):
         self.told.append(seconds)
 
 
@@ -31,7 +31,7 @@
         """The next call on the connection was told of silence that nobody watched for,
         and its caller got no answer: a watch set anew had left its first timer."""
         watch = SilenceDetector(self.conn, 0.02, time.monotonic)
-        watch.look_again(0.03)
+        watch.recheck_in(0.03)
         watch.again()
         watch.stop()
         await asyncio.sleep(0.1)
--- a/tests/gateway/failures/test_connections.py
+++ b/tests/gateway/failures/test_connections.py
@@ -18,7 +18,9 @@
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
         self.pool = ConnectionPool(
-            f"127.0.0.1:{port}", most=2, running_time=asyncio.get_running_loop().time
+            f"127.0.0.1:{port}",
+            max_open=2,
+            running_time=asyncio.get_running_loop().time,
         )
 
     async def asyncTearDown(self):
@@ -109,7 +111,9 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         pool = ConnectionPool(
-            f"127.0.0.1:{port}", most=2, running_time=asyncio.get_running_loop().time
+            f"127.0.0.1:{port}",
+            max_open=2,
+            running_time=asyncio.get_running_loop().time,
         )
         conn = await pool.acquire(0.0, 1.0)
         conn.send(REQUEST, b"")
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -51,7 +51,7 @@
 
     def test_marks_against_it_are_forgotten(self):
         self.first.denies(1.0, "poet", "")
-        self.first.unreached(1.0)
+        self.first.mark_unreachable(1.0)
         second = self.restart(holdings={"poet": frozenset()})
         self.assertTrue(second.serves(1.0, "poet"))
         self.fleet.engine_told(1.0, told(SECOND_MS, silent=True))
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from bambootiller.gateway.placement import UNPLANNED_S, Placement
+from bambootiller.gateway.placement import UNPLANNED_RETRY_S, Placement
 from bambootiller_core.gateway.attempts import Refusal
 from bambootiller_core.gateway.calls import ModelRequest, Progress
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
@@ -148,7 +148,7 @@
         self.assertEqual(await self.told(planned), 26.0)
 
     async def test_without_a_plan_they_are_told_to_come_back_soon(self):
-        self.assertEqual(await self.told(None), UNPLANNED_S)
+        self.assertEqual(await self.told(None), UNPLANNED_RETRY_S)
 
 
 class TestAdaptersOfCallersDueBack(unittest.TestCase):
