--- a/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_places.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_places.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterable, Mapping
 
 from bambootiller_core.gateway.config import EngineSpec
+from bambootiller_core.gateway.model_demand import LEAST_KEEP, NO_DEMAND, Demand
 from bambootiller_core.gateway.places import LONG_LOAD_S, Place
-from bambootiller_core.gateway.want import LEAST_KEEP, NO_WANT, Want
 
 
 class AdapterPlaces:
@@ -35,15 +35,15 @@
     """
 
     def __init__(
-        self, engine: EngineSpec, places: Iterable[Place], wants: Mapping[str, Want]
+        self, engine: EngineSpec, places: Iterable[Place], demands: Mapping[str, Demand]
     ) -> None:
-        self._wants = wants
+        self._demands = demands
         self._free: Counter[str] = Counter()
         self._held: dict[str, list[str]] = {}
         self._adapters = {
             name: spec.adapters
             for name, spec in engine.models.items()
-            if spec.adapters or self._want(name).adapter_rate
+            if spec.adapters or self._demand(name).adapter_rate
         }
         for place in places:
             held = [name for name in place.held if name in self._adapters]
@@ -54,13 +54,13 @@
     def calls_kept(self, place: Place, seconds: float) -> float:
         """How many calls would wait for an adapter in vain during a load of so many
         seconds here, by those that miss one now."""
-        rates = [self._want(name).adapter_rate for name in self._last(place, seconds)]
+        rates = [self._demand(name).adapter_rate for name in self._last(place, seconds)]
         return seconds * sum(rates)
 
     def calls_at_risk(self, place: Place, seconds: float) -> float:
         """How many calls would at most, if each named one of its model's adapters."""
         rates = [
-            self._missing_share(place, name) * max(LEAST_KEEP, self._want(name).rate)
+            self._missing_share(place, name) * max(LEAST_KEEP, self._demand(name).rate)
             for name in self._last(place, seconds)
         ]
         return seconds * sum(rates)
@@ -78,8 +78,8 @@
         count = self._adapters[name]
         return max(0.0, 1.0 - len(place.held[name]) / count) if count else 0.0
 
-    def _want(self, name: str) -> Want:
-        return self._wants.get(name, NO_WANT)
+    def _demand(self, name: str) -> Demand:
+        return self._demands.get(name, NO_DEMAND)
 
     def occupy(self, place: Place, until_s: float) -> None:
         """The engine's next order can begin only then, in seconds from now."""
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/collecting.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/collecting.py
@@ -16,10 +16,10 @@
 from functools import lru_cache
 
 from bambootiller_core import rendezvous
-from bambootiller_core.gateway.demand import faded
+from bambootiller_core.gateway.demand_tracker import faded
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.fleet import AGENT_SILENT_S
-from bambootiller_core.gateway.want import Want
+from bambootiller_core.gateway.model_demand import Demand
 
 #: A rate that differs by less than this part of it from what its receiver takes it for
 #: isn't told again: it changes no decision.
@@ -51,7 +51,9 @@
     return rendezvous.ranked(f"collector of {service}", hosts)[:COLLECTORS]
 
 
-def concerning(wants: Mapping[str, Want], state: EngineState | None) -> dict[str, Want]:
+def concerning(
+    demands: Mapping[str, Demand], state: EngineState | None
+) -> dict[str, Demand]:
     """The part of the demand that one agent decides on: of the models that its engine
     holds or loads. With the wish for a load comes the demand for that model."""
     if state is None:
@@ -59,11 +61,11 @@
     names = set(state.holdings)
     if state.loading is not None:
         names.add(state.loading.model)
-    return {name: wants[name] for name in names if name in wants}
+    return {name: demands[name] for name in names if name in demands}
 
 
 def moved(
-    told: Mapping[str, Want], wants: Mapping[str, Want], elapsed_s: float = 0.0
+    told: Mapping[str, Demand], demands: Mapping[str, Demand], elapsed_s: float = 0.0
 ) -> bool:
     """Whether somebody who was told the one, so long ago, has to be told the other.
 
@@ -71,33 +73,38 @@
     calls any more takes no messages. Told as it faded, each call took two messages a
     second for a quarter of a minute, on the stream to each engine that held its model.
 
-    >>> moved({"tutor": Want(rate=1.0)}, {"tutor": Want(rate=0.95)})
+    >>> moved({"tutor": Demand(rate=1.0)}, {"tutor": Demand(rate=0.95)})
     False
-    >>> moved({"tutor": Want(rate=1.0)}, {"tutor": Want(rate=1.0)}, elapsed_s=2.0)
+    >>> moved({"tutor": Demand(rate=1.0)}, {"tutor": Demand(rate=1.0)}, elapsed_s=2.0)
     True
     """
-    if told.keys() != wants.keys():
+    if told.keys() != demands.keys():
         return True
-    return any(_moved(told[name], want, elapsed_s) for name, want in wants.items())
+    return any(
+        _moved(told[name], demand, elapsed_s) for name, demand in demands.items()
+    )
 
 
-def _moved(told: Want, want: Want, elapsed_s: float) -> bool:
+def _moved(told: Demand, demand: Demand, elapsed_s: float) -> bool:
     if (told.waiting, told.holders, told.copies) != (
-        want.waiting,
-        want.holders,
-        want.copies,
+        demand.waiting,
+        demand.holders,
+        demand.copies,
     ):
         return True
-    if want.waiting and told.oldest_s != want.oldest_s:
+    if demand.waiting and told.oldest_s != demand.oldest_s:
         return True
-    if abs(told.unserved - want.unserved) >= MOVED_CALLS:
+    if abs(told.unserved - demand.unserved) >= MOVED_CALLS:
         return True
-    if abs((told.callers or 0.0) - (want.callers or 0.0)) >= MOVED_CALLS:
+    if abs((told.callers or 0.0) - (demand.callers or 0.0)) >= MOVED_CALLS:
         return True
-    if want.unserved and abs(told.unserved_s + elapsed_s - want.unserved_s) > MOVED_S:
+    if (
+        demand.unserved
+        and abs(told.unserved_s + elapsed_s - demand.unserved_s) > MOVED_S
+    ):
         return True
     left = faded(1.0, elapsed_s)
-    rates = (told.rate, want.rate), (told.adapter_rate, want.adapter_rate)
+    rates = (told.rate, demand.rate), (told.adapter_rate, demand.adapter_rate)
     return any(_rate_moved(before * left, rate) for before, rate in rates)
 
 
@@ -115,19 +122,19 @@
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, dict[str, tuple[float, Mapping[str, Want]]]] = {}
+        self._told: dict[str, dict[str, tuple[float, Mapping[str, Demand]]]] = {}
 
     def told(
-        self, now: float, service: str, host: str, wants: Mapping[str, Want]
+        self, now: float, service: str, host: str, demands: Mapping[str, Demand]
     ) -> None:
         """Take over the sum that the collector on ``host`` tells."""
-        self._told.setdefault(service, {})[host] = (now, wants)
+        self._told.setdefault(service, {})[host] = (now, demands)
 
-    def of(self, now: float, service: str) -> dict[str, Want]:
+    def of(self, now: float, service: str) -> dict[str, Demand]:
         """The demand for each model by the collector that knows of more."""
-        merged: dict[str, Want] = {}
-        for wants in self._heard(now, service):
-            merged = greater(merged, wants)
+        merged: dict[str, Demand] = {}
+        for demands in self._heard(now, service):
+            merged = greater(merged, demands)
         return merged
 
     def waited_for(self, now: float) -> set[str]:
@@ -135,39 +142,41 @@
         return {
             model
             for service in self._told
-            for wants in self._heard(now, service)
-            for model, want in wants.items()
-            if want.waiting
+            for demands in self._heard(now, service)
+            for model, demand in demands.items()
+            if demand.waiting
         }
 
-    def _heard(self, now: float, service: str) -> list[Mapping[str, Want]]:
+    def _heard(self, now: float, service: str) -> list[Mapping[str, Demand]]:
         told = self._told.get(service, {})
         for host, (at, _) in list(told.items()):
             if now - at > AGENT_SILENT_S:
                 del told[host]
-        return [wants for _, wants in told.values()]
+        return [demands for _, demands in told.values()]
 
 
-def greater(first: Mapping[str, Want], second: Mapping[str, Want]) -> dict[str, Want]:
+def greater(
+    first: Mapping[str, Demand], second: Mapping[str, Demand]
+) -> dict[str, Demand]:
     """For each model the greater demand of the two."""
     merged = dict(first)
-    for model, want in second.items():
+    for model, demand in second.items():
         held = merged.get(model)
-        if held is None or held == want:
+        if held is None or held == demand:
             # Two collectors mostly tell the same.
-            merged[model] = want
+            merged[model] = demand
             continue
-        merged[model] = Want(
-            max(want.rate, held.rate),
-            max(want.waiting, held.waiting),
-            want.holders,
-            max(want.oldest_s, held.oldest_s),
-            want.copies,
-            sooner(want.in_time_s, held.in_time_s),
-            max(want.adapter_rate, held.adapter_rate),
-            max(want.unserved, held.unserved),
-            max(want.unserved_s, held.unserved_s),
-            most(want.callers, held.callers),
+        merged[model] = Demand(
+            max(demand.rate, held.rate),
+            max(demand.waiting, held.waiting),
+            demand.holders,
+            max(demand.oldest_s, held.oldest_s),
+            demand.copies,
+            sooner(demand.in_time_s, held.in_time_s),
+            max(demand.adapter_rate, held.adapter_rate),
+            max(demand.unserved, held.unserved),
+            max(demand.unserved_s, held.unserved_s),
+            most(demand.callers, held.callers),
         )
     return merged
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/demand_tracker.py
@@ -7,9 +7,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from bambootiller_core.gateway.want import Want
+from bambootiller_core.gateway.model_demand import Demand
 
-#: Demand fades by this factor of e in this time: long enough to see a model that is
+#: DemandTracker fades by this factor of e in this time: long enough to see a model that is
 #: asked for once in a few seconds, short enough to follow demand that moves on.
 #: Seconds.
 MEMORY_S = 5.0
@@ -41,7 +41,7 @@
     weight: float
 
 
-class Demand:
+class DemandTracker:
     """Calls a second and calls waiting, by model, each call by its weight.
 
     Example::
@@ -127,9 +127,9 @@
         counted += self._due_back(now, model)
         return max(1, round(counted)) if counted else 0
 
-    def wants(
+    def demands(
         self, now: float, holders: Mapping[str, int], copies: Mapping[str, int]
-    ) -> dict[str, Want]:
+    ) -> dict[str, Demand]:
         """The demand for each model asked for lately, with the numbers of engines that
         hold it, and that have its weights."""
         found = {}
@@ -149,7 +149,7 @@
             if holders.get(model):
                 self._unserved.pop(model, None)
             unserved = self._unserved.get(model)
-            found[model] = Want(
+            found[model] = Demand(
                 rate,
                 waiting,
                 holders.get(model, 0),
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/due_adapters.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/due_adapters.py
@@ -17,9 +17,9 @@
 from collections.abc import Collection
 
 from bambootiller_core.gateway.calls import ModelRequest
-from bambootiller_core.gateway.demand import DUE_BACK_LATE_S
+from bambootiller_core.gateway.demand_tracker import DUE_BACK_LATE_S
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.order_messages import Wish
+from bambootiller_core.gateway.order_messages import LoadRequest
 
 #: Callers come no later than this, whatever they were told: they honour a third of the
 #: time that they have left. Seconds.
@@ -43,9 +43,9 @@
         due_in_s = min(come_back_s, DUE_MOST_S) + DUE_BACK_LATE_S
         self._due.setdefault(ask.model, {})[ask.adapter] = now + due_in_s
 
-    def wishes(
+    def load_requests(
         self, now: float, backend: Backend, backends: Collection[Backend]
-    ) -> list[Wish]:
+    ) -> list[LoadRequest]:
         """Which adapters to load at the engine that has just spoken; ``backends`` are
         all engines of the service."""
         if not self._due:
@@ -57,7 +57,7 @@
             due = self._still_due(now, model)
             for adapter in due if able else ():
                 if not any(other.serves(now, model, adapter) for other in backends):
-                    found.append(Wish(model, adapter))
+                    found.append(LoadRequest(model, adapter))
         return found
 
     def _still_due(self, now: float, model: str) -> dict[str, float]:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_order.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_order.py
@@ -10,7 +10,7 @@
 from bambootiller_core import rendezvous
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.want import NO_WANT, Want
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 
 #: A model that so many calls wait for goes first, and needn't wait for a place at the
 #: store: demand has moved to it, and every second costs as many calls.
@@ -53,7 +53,7 @@
     now: float,
     known: Iterable[Backend],
     copied: Mapping[str, int],
-    wants: Mapping[str, Want],
+    demands: Mapping[str, Demand],
     under_way: Mapping[str, Coming],
 ) -> list[tuple[ModelSpec, Rank]]:
     """The models to load, the first to be served first.
@@ -66,28 +66,30 @@
     for backend in known:
         for name in backend.holdings:
             holders.setdefault(name, []).append(backend)
-    total = sum([want.rate for want in wants.values()])
+    total = sum([demand.rate for demand in demands.values()])
     ranked = []
     for name, spec in engine.models.items():
-        want = wants.get(name)
-        if want is None:
+        demand = demands.get(name)
+        if demand is None:
             if total or name in copied:
                 # Nobody asks for it: most models are like that at any time.
                 continue
-            want = NO_WANT
+            demand = NO_DEMAND
         coming = under_way.get(name)
         if coming is not None:
-            ranks = _ranks_while_coming(want, coming)
+            ranks = _ranks_while_coming(demand, coming)
         else:
-            ranks = _ranks(now, want, holders.get(name, ()), name in copied, total)
+            ranks = _ranks(now, demand, holders.get(name, ()), name in copied, total)
         ranked += [
-            (_key(rank, spec, want, name in copied), spec, rank) for rank in ranks
+            (_key(rank, spec, demand, name in copied), spec, rank) for rank in ranks
         ]
     ranked.sort(key=lambda item: item[0])
     return [(spec, rank) for _, spec, rank in ranked]
 
 
-def _key(rank: Rank, spec: ModelSpec, want: Want, copied: bool) -> tuple[float, ...]:
+def _key(
+    rank: Rank, spec: ModelSpec, demand: Demand, copied: bool
+) -> tuple[float, ...]:
     """What puts the models of one rank in order.
 
     Those first whose calls a load from a copy can still serve in time, the soonest due
@@ -105,11 +107,18 @@
     goes first: the store's next turn comes sooner.
     """
     if not copied:
-        worth = want.turn_value / spec.load_s
+        worth = demand.turn_value / spec.load_s
         return rank, True, 0.0, -worth, spec.load_s, _tie(spec.name)
-    in_time = want.in_time_s >= spec.disk_s
-    first = want.in_time_s if in_time else -want.oldest_s
-    return rank, not in_time, round(first, 1), -want.value, spec.load_s, _tie(spec.name)
+    in_time = demand.in_time_s >= spec.disk_s
+    first = demand.in_time_s if in_time else -demand.oldest_s
+    return (
+        rank,
+        not in_time,
+        round(first, 1),
+        -demand.value,
+        spec.load_s,
+        _tie(spec.name),
+    )
 
 
 @lru_cache(KEPT_WEIGHTS)
@@ -118,40 +127,40 @@
     return rendezvous.weight("fetch", name)
 
 
-def _ranks_while_coming(want: Want, coming: Coming) -> tuple[Rank, ...]:
+def _ranks_while_coming(demand: Demand, coming: Coming) -> tuple[Rank, ...]:
     """A model on its way from the store is loaded from a copy as well if many calls
     wait: the only engine with a copy may have come back since."""
-    if coming.from_store and want.waiting >= MANY_WAITING:
+    if coming.from_store and demand.waiting >= MANY_WAITING:
         return (Rank.MUCH_WAITED_FOR,)
     return ()
 
 
 def _ranks(
     now: float,
-    want: Want,
+    demand: Demand,
     holders: Sequence[Backend],
     copied: bool,
     total_rate: float,
 ) -> tuple[Rank, ...]:
     """How soon a model is to be loaded; empty if it isn't to be."""
     if not holders and not copied:
-        return _ranks_from_store(want, total_rate)
-    if not holders and want.awaited:
-        many = want.awaited >= MANY_WAITING
+        return _ranks_from_store(demand, total_rate)
+    if not holders and demand.awaited:
+        many = demand.awaited >= MANY_WAITING
         return (Rank.MUCH_WAITED_FOR if many else Rank.WAITED_FOR,)
-    if not want.rate:
+    if not demand.rate:
         return ()
-    if len(holders) == 1 and want.rate >= SECOND_COPY_SHARE * total_rate:
+    if len(holders) == 1 and demand.rate >= SECOND_COPY_SHARE * total_rate:
         return (Rank.HELD_ONCE, Rank.SECOND_COPY)
     return (Rank.SECOND_COPY,) if _crowded(holders, now) else ()
 
 
-def _ranks_from_store(want: Want, total_rate: float) -> tuple[Rank, ...]:
+def _ranks_from_store(demand: Demand, total_rate: float) -> tuple[Rank, ...]:
     """The same of a model that only the weight store can bring."""
-    if want.expected:
-        many = want.overdue >= MANY_WAITING
+    if demand.expected:
+        many = demand.overdue >= MANY_WAITING
         return (Rank.MUCH_WAITED_FOR if many else Rank.WAITED_FOR,)
-    if want.rate > 0 or want.awaited:
+    if demand.rate > 0 or demand.awaited:
         return (Rank.ASKED_FOR,)
     # While calls come, an engine that fetches a model nobody asks for is kept from
     # those that they ask for.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_orders.py
@@ -24,7 +24,7 @@
 
     ``wanted_for`` is the model that others are unloaded for; ``rate`` and ``waiting``
     are the demand of all entries for it, ``report_age_ms`` the age of the report.
-    ``wished_by`` is the entry that wished for it last, ``from_store`` whether a load
+    ``wished_by`` is the entry that load_requested for it last, ``from_store`` whether a load
     draws on the weight store."""
 
     event: ClassVar[str] = "order"
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/want.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class Demand:
     """The demand for one model, of one entry or of all."""
 
     #: Calls a second.
@@ -114,4 +114,4 @@
 
 
 #: What a model that nobody asks for is wanted.
-NO_WANT = Want()
+NO_DEMAND = Demand()
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/moving.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/moving.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass
 
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.places import (
     MOST_CUT_SHORT,
     ORDER_S,
     RUN_S,
     Place,
 )
-from bambootiller_core.gateway.want import NO_WANT, Want
 
 #: What a model is wanted of which nothing is known, but that an engine holds it.
-_HELD_ONCE = Want(holders=1)
+_HELD_ONCE = Demand(holders=1)
 
 #: A move is worth its load if the model would else come this much later. Seconds.
 WORTH_S = 2.0
@@ -46,7 +46,7 @@
     engine: EngineSpec,
     spec: ModelSpec,
     copies: Mapping[str, list[Place]],
-    wants: Mapping[str, Want],
+    demands: Mapping[str, Demand],
     coming: Mapping[str, float],
 ) -> Move | None:
     """The quickest move that makes room for ``spec`` at an engine that has a copy of
@@ -58,10 +58,10 @@
         if not at.is_free:
             continue
         seconds, _ = at.tier_seconds(spec)
-        for moved in _in_the_way(engine, spec, at, wants):
+        for moved in _in_the_way(engine, spec, at, demands):
             to, moved_in_s = None, coming.get(moved.name, float("inf"))
             if moved.name not in coming:
-                to, moved_in_s = _other_place(engine, moved, at, copies, wants)
+                to, moved_in_s = _other_place(engine, moved, at, copies, demands)
             ready = moved_in_s + RUN_S + seconds + 2 * ORDER_S
             if ready < float("inf"):
                 moves.append(Move(moved, to, at, moved_in_s, ready))
@@ -69,7 +69,7 @@
 
 
 def _in_the_way(
-    engine: EngineSpec, spec: ModelSpec, at: Place, wants: Mapping[str, Want]
+    engine: EngineSpec, spec: ModelSpec, at: Place, demands: Mapping[str, Demand]
 ) -> list[ModelSpec]:
     """The models there of which one alone would make room, and that may go once they
     are held elsewhere as well, the least wanted first."""
@@ -80,8 +80,8 @@
         held = engine.models.get(name)
         if held is None or held.size_mb + len(adapters) * held.adapter_mb < need_mb:
             continue
-        want = wants.get(name, _HELD_ONCE)
-        later = want.value_if_held_by(max(1, want.holders) + 1)
+        demand = demands.get(name, _HELD_ONCE)
+        later = demand.value_if_held_by(max(1, demand.holders) + 1)
         if later <= MOST_CUT_SHORT:
             found.append((later, name, held))
     return [held for _, _, held in sorted(found, key=lambda item: item[:2])]
@@ -92,18 +92,18 @@
     moved: ModelSpec,
     at: Place,
     copies: Mapping[str, list[Place]],
-    wants: Mapping[str, Want],
+    demands: Mapping[str, Demand],
 ) -> tuple[Place | None, float]:
     found: tuple[Place | None, float] = (None, float("inf"))
     # No call waits for it: it is held, and stays so until it is held there as well.
-    want = Want(wants.get(moved.name, NO_WANT).rate)
+    demand = Demand(demands.get(moved.name, NO_DEMAND).rate)
     for place in copies.get(moved.name, ()):
         if place is at or not place.is_free:
             continue
         seconds, _ = place.tier_seconds(moved)
         if seconds >= found[1]:
             continue
-        victims = place.victims(engine, moved, want, seconds)
+        victims = place.victims(engine, moved, demand, seconds)
         if victims is not None and not victims.busy:
             found = (place, seconds)
     return found
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
@@ -14,14 +14,14 @@
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.log_lines import Obstacles
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.places import Place
-from bambootiller_core.gateway.want import Want
 
 
 def obstacles(
     engine: EngineSpec,
     spec: ModelSpec,
-    want: Want,
+    demand: Demand,
     known: Collection[Backend],
     places: Iterable[Place],
     adapters: AdapterPlaces,
@@ -32,9 +32,9 @@
     for place in places:
         taking += 1
         seconds, _ = place.tier_seconds(spec)
-        if place.victims(engine, spec, want, seconds) is None:
+        if place.victims(engine, spec, demand, seconds) is None:
             no_room += 1
-        elif adapters.calls_kept(place, seconds) > want.value:
+        elif adapters.calls_kept(place, seconds) > demand.value:
             kept += 1
         else:
             able += 1
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_demand.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 
 from bambootiller_core.gateway.collecting import greater, sooner
-from bambootiller_core.gateway.demand import faded
-from bambootiller_core.gateway.order_messages import Wish
-from bambootiller_core.gateway.want import NO_WANT, Want
+from bambootiller_core.gateway.demand_tracker import faded
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
+from bambootiller_core.gateway.order_messages import LoadRequest
 
 #: What an entry asked for is forgotten after this time unless it is asked for again.
 #: Seconds.
-WISH_LIFE_S = 0.25
+LOAD_REQUEST_TTL_S = 0.25
 #: An entry's figures of use count for this long after it fell silent: its calls may
 #: still be running here. Seconds.
 USE_LIFE_S = 3.0
@@ -39,7 +39,7 @@
 
     told_at: float
     heard_at: float
-    wants: Mapping[str, Want]
+    demands: Mapping[str, Demand]
     in_use: Mapping[str, int]
 
 
@@ -48,42 +48,47 @@
 
     Example::
 
-        say.wished(now, Wish("tutor"))
+        say.wished(now, LoadRequest("tutor"))
         say.told(now, "entry-1", wants, in_use)
         first = say.wishes()[0]
     """
 
     def __init__(self) -> None:
-        self._wishes: dict[tuple[str, str], tuple[Wish, float]] = {}
-        self._wished_by: dict[tuple[str, str], str] = {}
+        self._load_requests: dict[tuple[str, str], tuple[LoadRequest, float]] = {}
+        self._requested_by: dict[tuple[str, str], str] = {}
         self._entries: dict[str, _EntryUse] = {}
         self._used_at: dict[tuple[str, str], float] = {}
         #: Until when models that have come stay.
         self._stays_until: dict[str, float] = {}
         #: The sum over all entries; None once one of them has spoken since.
-        self._wants: dict[str, Want] | None = None
+        self._demands: dict[str, Demand] | None = None
         self._summed_at = _NEVER
         self._now = _NEVER
 
-    def wished(self, now: float, wish: Wish, entry: str = "") -> None:
+    def load_requested(
+        self, now: float, load_request: LoadRequest, entry: str = ""
+    ) -> None:
         """An entry has calls that need the model or adapter."""
         self._go_on_to(now)
-        self._wants = None
-        self._wishes[(wish.model, wish.adapter)] = (wish, now)
-        self._wished_by[(wish.model, wish.adapter)] = entry
-        self._used_at[(wish.model, wish.adapter)] = now
+        self._demands = None
+        self._load_requests[(load_request.model, load_request.adapter)] = (
+            load_request,
+            now,
+        )
+        self._requested_by[(load_request.model, load_request.adapter)] = entry
+        self._used_at[(load_request.model, load_request.adapter)] = now
 
     def told(
         self,
         now: float,
         entry: str,
-        wants: Mapping[str, Want],
+        demands: Mapping[str, Demand],
         in_use: Mapping[str, int],
     ) -> None:
         """An entry's demand over all engines, and its calls here, by model."""
         self._go_on_to(now)
-        self._wants = None
-        self._entries[entry] = _EntryUse(now, now, wants, in_use)
+        self._demands = None
+        self._entries[entry] = _EntryUse(now, now, demands, in_use)
 
     def heard(self, now: float, entry: str) -> bool:
         """An entry has nothing new to say; False if what it said before is forgotten,
@@ -109,73 +114,83 @@
     def forget(self, now: float) -> None:
         """Drop what is too old to count."""
         self._go_on_to(now)
-        for key, (_, at) in list(self._wishes.items()):
-            if now - at > WISH_LIFE_S:
-                self._wants = None
-                del self._wishes[key]
-                del self._wished_by[key]
+        for key, (_, at) in list(self._load_requests.items()):
+            if now - at > LOAD_REQUEST_TTL_S:
+                self._demands = None
+                del self._load_requests[key]
+                del self._requested_by[key]
         for entry, use in list(self._entries.items()):
             if now - use.heard_at > USE_LIFE_S:
-                self._wants = None
+                self._demands = None
                 del self._entries[entry]
 
     def renew(self, now: float, model: str) -> None:
         """A wish for the model lives on: what comes of it isn't known yet, and it isn't
         repeated meanwhile."""
-        wish, at = self._wishes.get((model, ""), (None, now))
-        if wish is not None:
-            self._wishes[(model, "")] = (wish, max(at, now))
+        load_request, at = self._load_requests.get((model, ""), (None, now))
+        if load_request is not None:
+            self._load_requests[(model, "")] = (load_request, max(at, now))
 
-    def wished_by(self, model: str, adapter: str = "") -> str:
+    def requested_by(self, model: str, adapter: str = "") -> str:
         """The entry that wished for it last, empty if none does now."""
-        return self._wished_by.get((model, adapter), "")
+        return self._requested_by.get((model, adapter), "")
 
-    def wishes(self) -> list[Wish]:
+    def load_requests(self) -> list[LoadRequest]:
         """Urgent wishes first, among these the one whose calls are in time, but not
         for long, and then the one whose calls have waited longest."""
-        wants = self.wants()
-
-        def key(wish: Wish) -> tuple[float, ...]:
-            want = wants.get(wish.model, NO_WANT)
-            return wish.urgency, not want.in_time_s, want.in_time_s, -want.oldest_s
-
-        return sorted([wish for wish, _ in self._wishes.values()], key=key)
-
-    def wants(self) -> dict[str, Want]:
+        demands = self.demands()
+
+        def key(load_request: LoadRequest) -> tuple[float, ...]:
+            demand = demands.get(load_request.model, NO_DEMAND)
+            return (
+                load_request.urgency,
+                not demand.in_time_s,
+                demand.in_time_s,
+                -demand.oldest_s,
+            )
+
+        return sorted(
+            [load_request for load_request, _ in self._load_requests.values()], key=key
+        )
+
+    def demands(self) -> dict[str, Demand]:
         """The demand of all entries together, by what they say here, or by what the
         one that asks for a load knows from the collectors if that is more."""
-        if self._wants is None:
-            self._wants = self._sum()
-        return self._wants
+        if self._demands is None:
+            self._demands = self._sum()
+        return self._demands
 
     def _go_on_to(self, now: float) -> None:
         """Time goes on, and what was summed up fades."""
         self._now = max(self._now, now)
         if self._now - self._summed_at > SUM_LIFE_S:
-            self._wants = None
+            self._demands = None
 
-    def _sum(self) -> dict[str, Want]:
+    def _sum(self) -> dict[str, Demand]:
         self._summed_at = self._now
-        merged: dict[str, Want] = {}
+        merged: dict[str, Demand] = {}
         for use in self._entries.values():
             elapsed_s = self._now - use.told_at
             left = faded(1.0, elapsed_s)
-            for model, want in use.wants.items():
-                held = merged.get(model, Want())
-                merged[model] = Want(
-                    held.rate + want.rate * left,
-                    held.waiting + want.waiting,
-                    max(held.holders, want.holders),
-                    max(held.oldest_s, want.oldest_s),
-                    max(held.copies, want.copies),
-                    sooner(held.in_time_s, want.in_time_s),
-                    held.adapter_rate + want.adapter_rate * left,
-                    held.unserved + want.unserved,
-                    max(held.unserved_s, _aged(want, elapsed_s)),
-                    added(held.callers, want.callers),
+            for model, demand in use.demands.items():
+                held = merged.get(model, Demand())
+                merged[model] = Demand(
+                    held.rate + demand.rate * left,
+                    held.waiting + demand.waiting,
+                    max(held.holders, demand.holders),
+                    max(held.oldest_s, demand.oldest_s),
+                    max(held.copies, demand.copies),
+                    sooner(held.in_time_s, demand.in_time_s),
+                    held.adapter_rate + demand.adapter_rate * left,
+                    held.unserved + demand.unserved,
+                    max(held.unserved_s, _aged(demand, elapsed_s)),
+                    added(held.callers, demand.callers),
                 )
-        wished = {wish.model: wish.want for wish, _ in self._wishes.values()}
-        return greater(merged, wished)
+        load_requested = {
+            load_request.model: load_request.demand
+            for load_request, _ in self._load_requests.values()
+        }
+        return greater(merged, load_requested)
 
     def in_use(self) -> dict[str, int]:
         """The calls of all entries at this engine, by model and MODEL/ADAPTER."""
@@ -209,6 +224,6 @@
     return sum(told) if told else None
 
 
-def _aged(want: Want, elapsed_s: float) -> float:
+def _aged(demand: Demand, elapsed_s: float) -> float:
     """How long ago the first unserved call came, so long after it was told."""
-    return want.unserved_s + elapsed_s if want.unserved else 0.0
+    return demand.unserved_s + elapsed_s if demand.unserved else 0.0
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from bambootiller_core.gateway.incarnation import Incarnation
-from bambootiller_core.gateway.want import Want
+from bambootiller_core.gateway.model_demand import Demand
 
 
 class OrderKind(enum.Enum):
@@ -79,16 +79,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class LoadRequest:
     """A model, or an adapter of one, that an entry has calls for; 0 is most urgent.
-    ``want`` is the demand of all entries for the model, as the one that asks knows
+    ``demand`` is the demand of all entries for the model, as the one that asks knows
     it, ``turns`` how many loads it takes the weight store to serve; 0 if it doesn't
     say."""
 
     model: str
     adapter: str = ""
     urgency: int = 0
-    want: Want = Want()
+    demand: Demand = Demand()
     turns: int = 0
 
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -25,6 +25,7 @@
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
 from bambootiller_core.gateway.engine_state import EngineState, Loading
 from bambootiller_core.gateway.late_orders import LateOrders
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_demand import EntriesSay
 from bambootiller_core.gateway.order_memory import leaves_room, memory_used
 from bambootiller_core.gateway.order_messages import (
@@ -32,13 +33,12 @@
     EngineOrder,
     EngineReport,
     LoadEnded,
+    LoadRequest,
     OrderAnswer,
     OrderKind,
-    Wish,
 )
 from bambootiller_core.gateway.places import RUN_S, choose_victims, keep_values
 from bambootiller_core.gateway.store_permit_gate import StorePermitGate
-from bambootiller_core.gateway.want import Want
 
 #: Adapters that may be on their way to an engine at a time.
 ADAPTERS_AT_ONCE = 4
@@ -65,7 +65,7 @@
 class _Preparing:
     """A load for which other models are being unloaded."""
 
-    wish: Wish
+    load_request: LoadRequest
     since: float
 
 
@@ -110,25 +110,27 @@
         """A new configuration describes the engine."""
         self._engine = engine
 
-    def wished(self, now: float, wish: Wish, entry: str = "") -> None:
+    def load_requested(
+        self, now: float, load_request: LoadRequest, entry: str = ""
+    ) -> None:
         """An entry has calls that need the model or adapter."""
-        self._say.wished(now, wish, entry)
+        self._say.load_requested(now, load_request, entry)
 
-    def wished_by(self, order: EngineOrder) -> str:
+    def requested_by(self, order: EngineOrder) -> str:
         """The entry that wished last for what the order is for."""
         if order.wanted_for:
-            return self._say.wished_by(order.wanted_for)
-        return self._say.wished_by(order.model, order.adapter)
+            return self._say.requested_by(order.wanted_for)
+        return self._say.requested_by(order.model, order.adapter)
 
     def entry_told(
         self,
         now: float,
         entry: str,
-        wants: Mapping[str, Want],
+        demands: Mapping[str, Demand],
         in_use: Mapping[str, int],
     ) -> None:
         """An entry's demand over all engines, and its calls here, by model."""
-        self._say.told(now, entry, wants, in_use)
+        self._say.told(now, entry, demands, in_use)
 
     def entry_heard(self, now: float, entry: str) -> bool:
         """An entry has nothing new to say; False if it has to be told again."""
@@ -195,18 +197,20 @@
             # The engine turns down every order while it carries one out for a model,
             # those for adapters too.
             return None
-        wishes = self._say.wishes()
+        load_requests = self._say.load_requests()
         if self._preparing is not None:
-            order = self._for_model(now, self._preparing.wish)
+            order = self._for_model(now, self._preparing.load_request)
             if order is not None:
                 return order
             self._preparing = None
-        for wish in wishes:
-            order = self._for_adapter(now, wish) if wish.adapter else None
+        for load_request in load_requests:
+            order = (
+                self._for_adapter(now, load_request) if load_request.adapter else None
+            )
             if order is not None:
                 return order
-        for wish in wishes:
-            order = None if wish.adapter else self._for_model(now, wish)
+        for load_request in load_requests:
+            order = None if load_request.adapter else self._for_model(now, load_request)
             if order is not None:
                 return order
         return None
@@ -221,7 +225,9 @@
         order, preparing = self._unsettled, self._preparing
         if order is not None and order.kind is OrderKind.LOAD and not order.adapter:
             return not self._report.has_copy(order.model)
-        return preparing is not None and not self._report.has_copy(preparing.wish.model)
+        return preparing is not None and not self._report.has_copy(
+            preparing.load_request.model
+        )
 
     def sending(self, order: EngineOrder) -> None:
         """The order goes out now; until it is answered it may take effect."""
@@ -279,7 +285,7 @@
             queued=report.queued,
             memory_mb_used=self._memory_used(),
             orderable=not self.fenced and now >= self._misnamed_until,
-            keep_values=keep_values(holdings, self.wants()),
+            keep_values=keep_values(holdings, self.demands()),
             in_use=self._say.in_use(),
             started_ms=report.started_ms,
         )
@@ -293,7 +299,10 @@
         spec = self._engine.models.get(order.model)
         if spec is None:
             return
-        if self._preparing is not None and self._preparing.wish.model == order.model:
+        if (
+            self._preparing is not None
+            and self._preparing.load_request.model == order.model
+        ):
             self._preparing = None
         seconds, from_store = self._load_time(spec)
         self._load = _Load(order.model, now, seconds, from_store)
@@ -332,7 +341,7 @@
         """The load to come, told as if it had begun, or entries would have the model
         loaded elsewhere while others are unloaded for it here."""
         preparing = self._preparing
-        spec = preparing and self._engine.models.get(preparing.wish.model)
+        spec = preparing and self._engine.models.get(preparing.load_request.model)
         if not spec:
             return None
         seconds, from_store = self._load_time(spec)
@@ -345,26 +354,34 @@
         acquiring = self._gate.acquiring if self._gate is not None else None
         return acquiring and Loading(acquiring.model, acquiring.load_s, True)
 
-    def _for_adapter(self, now: float, wish: Wish) -> EngineOrder | None:
+    def _for_adapter(self, now: float, load_request: LoadRequest) -> EngineOrder | None:
         report = self._report
-        held = report.holdings.get(wish.model)
-        if held is None or wish.model == self._unloading or wish.adapter in held:
+        held = report.holdings.get(load_request.model)
+        if (
+            held is None
+            or load_request.model == self._unloading
+            or load_request.adapter in held
+        ):
             return None
         coming = report.adapters_coming
-        if (wish.model, wish.adapter) in coming or len(coming) >= ADAPTERS_AT_ONCE:
+        if (load_request.model, load_request.adapter) in coming or len(
+            coming
+        ) >= ADAPTERS_AT_ONCE:
             return None
-        spec = self._engine.models.get(wish.model)
+        spec = self._engine.models.get(load_request.model)
         if spec is None:
             return None
         count = sum(len(adapters) for adapters in report.holdings.values())
         slots_free = count + len(coming) < self._engine.adapter_slots
         fits = self._memory_used() + spec.adapter_mb <= self._engine.memory_mb
         if slots_free and fits:
-            return self._order(now, OrderKind.LOAD, wish.model, wish.adapter)
+            return self._order(
+                now, OrderKind.LOAD, load_request.model, load_request.adapter
+            )
         victim = self._idle_adapter(now)
         if victim is None:
             return None
-        return self._order(now, OrderKind.UNLOAD, *victim, wish.model)
+        return self._order(now, OrderKind.UNLOAD, *victim, load_request.model)
 
     def _idle_adapter(self, now: float) -> tuple[str, str] | None:
         say = self._say
@@ -381,40 +398,44 @@
         _, model, adapter = min(idle)
         return model, adapter
 
-    def _for_model(self, now: float, wish: Wish) -> EngineOrder | None:
+    def _for_model(self, now: float, load_request: LoadRequest) -> EngineOrder | None:
         report = self._report
-        spec = self._engine.models.get(wish.model)
-        if spec is None or wish.model in report.holdings:
+        spec = self._engine.models.get(load_request.model)
+        if spec is None or load_request.model in report.holdings:
             return None
         need = self._memory_used() + spec.size_mb - self._engine.memory_mb
         if need <= 0:
-            if not self._may_load(spec, wish):
+            if not self._may_load(spec, load_request):
                 return None
-            return self._order(now, OrderKind.LOAD, wish.model, "")
-        wants = self.wants()
+            return self._order(now, OrderKind.LOAD, load_request.model, "")
+        demands = self.demands()
         in_use = self._say.in_use()
-        incoming = greater(wants, {wish.model: wish.want})[wish.model]
-        if wish.urgency > WAITED_FOR:
+        incoming = greater(demands, {load_request.model: load_request.demand})[
+            load_request.model
+        ]
+        if load_request.urgency > WAITED_FOR:
             incoming = replace(incoming, waiting=0, unserved=0.0)
         elif not incoming.awaited:
             incoming = replace(incoming, waiting=1)
-        values = keep_values(report.holdings, wants)
+        values = keep_values(report.holdings, demands)
         fresh = [name for name in report.holdings if self._say.loaded_lately(now, name)]
         values.update(dict.fromkeys(fresh, float("inf")))
         seconds, _ = self._load_time(spec)
         victims = choose_victims(
             self._engine, report.holdings, need, in_use, values, incoming, seconds
         )
-        if victims is None or not self._may_load(spec, wish):
+        if victims is None or not self._may_load(spec, load_request):
             return None
         if self._preparing is None:
-            self._preparing = _Preparing(wish, now)
-        return self._order(now, OrderKind.UNLOAD, victims.models[0], "", wish.model)
+            self._preparing = _Preparing(load_request, now)
+        return self._order(
+            now, OrderKind.UNLOAD, victims.models[0], "", load_request.model
+        )
 
-    def _may_load(self, spec: ModelSpec, wish: Wish) -> bool:
+    def _may_load(self, spec: ModelSpec, load_request: LoadRequest) -> bool:
         if self._gate is None or self._report.has_copy(spec.name):
             return True
-        return self._gate.allows(spec, wish.turns)
+        return self._gate.allows(spec, load_request.turns)
 
     def _order(
         self,
@@ -440,6 +461,6 @@
         loading = self._load.model if self._load is not None else None
         return memory_used(self._engine, self._report, loading, self._unsettled)
 
-    def wants(self) -> dict[str, Want]:
+    def demands(self) -> dict[str, Demand]:
         """The demand of all entries together."""
-        return self._say.wants()
+        return self._say.demands()
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/places.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/places.py
@@ -8,7 +8,12 @@
 
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.want import COPIED_KEEP, LEAST_KEEP, NO_WANT, Want
+from bambootiller_core.gateway.model_demand import (
+    COPIED_KEEP,
+    LEAST_KEEP,
+    NO_DEMAND,
+    Demand,
+)
 
 #: An order takes this long besides the load itself. Seconds.
 ORDER_S = 0.05
@@ -86,7 +91,7 @@
         return spec.load_s, True
 
     def victims(
-        self, engine: EngineSpec, spec: ModelSpec, incoming: Want, load_s: float
+        self, engine: EngineSpec, spec: ModelSpec, incoming: Demand, load_s: float
     ) -> Victims | None:
         """Which held models make way for the model; None if that isn't worth it."""
         state = self.backend.engine
@@ -187,7 +192,7 @@
                 self._busy.append(leaver)
 
     def choose(
-        self, need_mb: float, incoming: Want, load_s: float = 0.0
+        self, need_mb: float, incoming: Demand, load_s: float = 0.0
     ) -> Victims | None:
         """Which of them make way for ``need_mb`` more than there is room for.
 
@@ -217,7 +222,7 @@
         return None
 
 
-def _keep_values_that_yield(incoming: Want, load_s: float) -> tuple[float, float]:
+def _keep_values_that_yield(incoming: Demand, load_s: float) -> tuple[float, float]:
     """The least and the most that an idle model may be worth to make way.
 
     Before anybody calls, the models that several engines hold are those that the
@@ -243,7 +248,7 @@
     need_mb: float,
     in_use: Mapping[str, int],
     keep_values: Mapping[str, float],
-    incoming: Want,
+    incoming: Demand,
     load_s: float = 0.0,
 ) -> Victims | None:
     """Which held models make way for ``need_mb`` more; None if that isn't worth it.
@@ -254,10 +259,12 @@
     return leavers.choose(need_mb, incoming, load_s)
 
 
-def keep_values(holdings: Iterable[str], wants: Mapping[str, Want]) -> dict[str, float]:
+def keep_values(
+    holdings: Iterable[str], demands: Mapping[str, Demand]
+) -> dict[str, float]:
     """How much it matters that an engine keeps each model that it holds."""
-    return {name: _keep_value(wants.get(name, NO_WANT)) for name in holdings}
+    return {name: _keep_value(demands.get(name, NO_DEMAND)) for name in holdings}
 
 
-def _keep_value(want: Want) -> float:
-    return want.value_of_one * (DUE_BACK_FACTOR if want.waiting else 1.0)
+def _keep_value(demand: Demand) -> float:
+    return demand.value_of_one * (DUE_BACK_FACTOR if demand.waiting else 1.0)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -24,6 +24,7 @@
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.load_order import MANY_WAITING, Rank, in_order
 from bambootiller_core.gateway.log_lines import Obstacles
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.moving import WORTH_S, WORTH_WAITING, find_move
 from bambootiller_core.gateway.obstacles import obstacles
 from bambootiller_core.gateway.places import (
@@ -41,7 +42,6 @@
     StartReason,
     StoreQueue,
 )
-from bambootiller_core.gateway.want import NO_WANT, Want
 
 #: What it counts, in seconds, that a long load puts one model out of reach: asked for
 #: meanwhile, it would be late by half of the load, and most aren't asked for.
@@ -138,11 +138,11 @@
         self,
         now: float,
         backends: Iterable[Backend],
-        wants: Mapping[str, Want],
+        demands: Mapping[str, Demand],
     ) -> dict[str, PlannedLoad]:
         """The loads to come, by model, the most wanted first.
 
-        ``wants`` is the demand of all entries together.
+        ``demands`` is the demand of all entries together.
 
         A model that is held somewhere doesn't appear unless a second engine shall hold
         it as well. Models that no engine has a copy of are fetched even if nobody asks
@@ -154,40 +154,40 @@
             if backend.engine is not None and not backend.lost(now)
         ]
         self._known = known
-        self._copied = copies = self._survey(now, known, wants)
+        self._copied = copies = self._survey(now, known, demands)
         plan = self._under_way(known)
         store_ends = [load.ready_in_s for load in plan.values() if load.from_store]
         store_ends += self._ends_elsewhere
         self.store_loads_under_way = len(store_ends)
-        order = in_order(self._engine, now, known, copies, wants, plan)
+        order = in_order(self._engine, now, known, copies, demands, plan)
         order = [item for item in order if item[0].size_mb <= self._engine.memory_mb]
-        queue = self._store_queue(wants, store_ends)
-        admission = StoreAdmission(queue, bool(store_ends), order, copies, wants)
+        queue = self._store_queue(demands, store_ends)
+        admission = StoreAdmission(queue, bool(store_ends), order, copies, demands)
         for spec, rank in order:
             admission.mark_planned(spec.name)
             coming = plan.get(spec.name)
             if coming is None or rank is Rank.MUCH_WAITED_FOR:
-                self._plan_one(spec, rank, coming, wants, admission, plan)
+                self._plan_one(spec, rank, coming, demands, admission, plan)
             # Otherwise it is being moved, to make room for one before it in the order.
         return plan
 
-    def awaited_from_store(self, wants: Mapping[str, Want]) -> list[str]:
+    def awaited_from_store(self, demands: Mapping[str, Demand]) -> list[str]:
         """The models that calls wait for and no engine had a copy of at the last plan,
         the most wanted first."""
         awaited = [
             name
-            for name, want in wants.items()
-            if want.awaited and name in self._engine.models and not self._copied[name]
+            for name, demand in demands.items()
+            if demand.awaited and name in self._engine.models and not self._copied[name]
         ]
-        return sorted(awaited, key=lambda name: (-wants[name].value, name))
+        return sorted(awaited, key=lambda name: (-demands[name].value, name))
 
-    def obstacles(self, model: str, want: Want) -> Obstacles | None:
+    def obstacles(self, model: str, demand: Demand) -> Obstacles | None:
         """What kept engines from loading the model at the last plan."""
         spec = self._engine.models.get(model)
         if spec is None:
             return None
         return obstacles(
-            self._engine, spec, want, self._known, self._places, self._adapters
+            self._engine, spec, demand, self._known, self._places, self._adapters
         )
 
     def _plan_one(
@@ -195,22 +195,22 @@
         spec: ModelSpec,
         rank: Rank,
         coming: PlannedLoad | None,
-        wants: Mapping[str, Want],
+        demands: Mapping[str, Demand],
         admission: StoreAdmission,
         plan: dict[str, PlannedLoad],
     ) -> None:
         """Plan the load of one model, if there is one worth it; ``coming`` is one that
         is under way."""
-        want = wants.get(spec.name, NO_WANT)
-        oversubscription = _oversubscription(spec, want)
+        demand = demands.get(spec.name, NO_DEMAND)
+        oversubscription = _oversubscription(spec, demand)
         if self._must_wait_for_store(spec, oversubscription, admission.queue):
             admitted = admission.admit(rank, coming is not None)
-            if admitted and self._has_room(spec, _as_option(rank, want)):
+            if admitted and self._has_room(spec, _as_option(rank, demand)):
                 admission.record_load(rank)
                 plan[spec.name] = _waiting_load(spec, admission.queue.add(spec.load_s))
             return
         begins, _ = admission.queue.preview(spec.load_s, oversubscription)
-        option = self._best(spec, _as_option(rank, want), begins)
+        option = self._best(spec, _as_option(rank, demand), begins)
         if option is None:
             return
         ready, waits_for_store, turn = option.ready_in_s, False, None
@@ -219,7 +219,7 @@
                 return
             if spec.name in self._copies and admission.defers_to_uncopied(spec):
                 _, ends = turn = admission.queue.preview(spec.load_s)
-                if not self._moves(spec, ends, wants, plan):
+                if not self._moves(spec, ends, demands, plan):
                     plan[spec.name] = _waiting_load(spec, turn)
                 return
             admission.record_load(rank)
@@ -229,7 +229,7 @@
             ready += ends - spec.load_s
         elif not _is_sooner(option, coming):
             return
-        if self._moves(spec, ready, wants, plan):
+        if self._moves(spec, ready, demands, plan):
             return
         plan[spec.name] = PlannedLoad(
             spec.name,
@@ -243,7 +243,7 @@
             self._occupy(option)
 
     def _store_queue(
-        self, wants: Mapping[str, Want], store_ends: Collection[float]
+        self, demands: Mapping[str, Demand], store_ends: Collection[float]
     ) -> StoreQueue:
         """The loads that draw on the weight store.
 
@@ -251,14 +251,14 @@
         serve a call in time, and one in a long load offers none of its copies until it
         ends.
         """
-        if not any([want.rate for want in wants.values()]):
+        if not any([demand.rate for demand in demands.values()]):
             return StoreQueue(self.store_loads, store_ends)
         most = max(1, len(self._places) // LONG_LOADS_PART)
         allow_probe = self._allows_probe and self.store_loads < most
         return StoreQueue(min(self.store_loads, most), store_ends, allow_probe)
 
     def _survey(
-        self, now: float, known: list[Backend], wants: Mapping[str, Want]
+        self, now: float, known: list[Backend], demands: Mapping[str, Demand]
     ) -> Counter[str]:
         """Note what holds for all models of a plan; returns how many engines have
         copies of each."""
@@ -270,7 +270,7 @@
         self._places = [
             self._place(backend) for backend in known if backend.takes_orders(now)
         ]
-        self._adapters = AdapterPlaces(self._engine, self._places, wants)
+        self._adapters = AdapterPlaces(self._engine, self._places, demands)
         self._copies = copies_of(self._places)
         once = {name for name, count in copies.items() if count == 1}
         for place in self._places:
@@ -297,17 +297,17 @@
         self,
         spec: ModelSpec,
         ready_in_s: float,
-        wants: Mapping[str, Want],
+        demands: Mapping[str, Demand],
         plan: dict[str, PlannedLoad],
     ) -> bool:
         """Plan to make room for an awaited model at its copy by moving another, if
         that is much sooner than ``ready_in_s``."""
-        if wants.get(spec.name, NO_WANT).waiting < WORTH_WAITING:
+        if demands.get(spec.name, NO_DEMAND).waiting < WORTH_WAITING:
             return False
         coming = {
             load.model: load.ready_in_s for load in plan.values() if not load.from_store
         }
-        move = find_move(self._engine, spec, self._copies, wants, coming)
+        move = find_move(self._engine, spec, self._copies, demands, coming)
         if move is None or move.ready_in_s + WORTH_S > ready_in_s:
             return False
         if move.to is not None:
@@ -348,17 +348,19 @@
             return False
         return not queue.can_start(spec.load_s, oversubscription)
 
-    def _has_room(self, spec: ModelSpec, want: Want) -> bool:
+    def _has_room(self, spec: ModelSpec, demand: Demand) -> bool:
         """Whether some engine could make room for a load from the store."""
         return any(
             spec.name not in place.held
             and (spec.name, place.instance) not in self._cooling_down
-            and self._adapters.calls_kept(place, spec.load_s) <= want.value
-            and place.victims(self._engine, spec, want, spec.load_s) is not None
+            and self._adapters.calls_kept(place, spec.load_s) <= demand.value
+            and place.victims(self._engine, spec, demand, spec.load_s) is not None
             for place in self._places
         )
 
-    def _best(self, spec: ModelSpec, want: Want, store_wait_s: float) -> _Option | None:
+    def _best(
+        self, spec: ModelSpec, demand: Demand, store_wait_s: float
+    ) -> _Option | None:
         """Where a load of the model is over first, as far as that tells; one from the
         weight store has to wait for its turn."""
         best: _Option | None = None
@@ -376,9 +378,9 @@
                 # Before the costlier questions: half of all engines end here.
                 continue
             calls_kept = self._adapters.calls_kept(place, seconds)
-            if calls_kept > want.value:
+            if calls_kept > demand.value:
                 continue
-            victims = place.victims(self._engine, spec, want, seconds)
+            victims = place.victims(self._engine, spec, demand, seconds)
             if victims is None:
                 continue
             ready += victims.wait_s
@@ -420,12 +422,12 @@
     return coming is None or option.ready_in_s + WORTH_S <= coming.ready_in_s
 
 
-def _oversubscription(spec: ModelSpec, want: Want) -> Oversubscription:
-    if want.waiting >= MANY_WAITING:
+def _oversubscription(spec: ModelSpec, demand: Demand) -> Oversubscription:
+    if demand.waiting >= MANY_WAITING:
         return Oversubscription.MAY_OVERSUBSCRIBE
-    if max(want.waiting, want.expected) >= TRIED_FOR:
+    if max(demand.waiting, demand.expected) >= TRIED_FOR:
         return Oversubscription.MAY_PROBE
-    if want.expected and want.unserved_s >= TRIED_AFTER_LOADS * spec.load_s:
+    if demand.expected and demand.unserved_s >= TRIED_AFTER_LOADS * spec.load_s:
         return Oversubscription.MAY_PROBE
     return Oversubscription.MUST_QUEUE
 
@@ -441,12 +443,12 @@
     return rendezvous.weight(model, instance)
 
 
-def _as_option(rank: Rank, want: Want) -> Want:
+def _as_option(rank: Rank, demand: Demand) -> Demand:
     """The demand that one more engine would serve: of a model that is held already,
     what that engine would add."""
-    if rank is not Rank.SECOND_COPY or want.holders <= 1:
-        return want
-    return replace(want, rate=want.rate / (want.holders + 1) ** 2, waiting=0)
+    if rank is not Rank.SECOND_COPY or demand.holders <= 1:
+        return demand
+    return replace(demand, rate=demand.rate / (demand.holders + 1) ** 2, waiting=0)
 
 
 def _told_left_s(backend: Backend) -> float:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_admission.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_admission.py
@@ -10,8 +10,8 @@
 
 from bambootiller_core.gateway.config import ModelSpec
 from bambootiller_core.gateway.load_order import Rank
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.store_queue import StoreQueue
-from bambootiller_core.gateway.want import NO_WANT, Want
 
 #: A second copy keeps its engine from all other orders for seconds, so there is one
 #: such load at a time.
@@ -23,7 +23,7 @@
 
     ``is_busy`` tells whether any load from the store is under way, ``order`` the
     models of the plan in their order, ``copied`` those of which an engine has a copy,
-    ``wants`` the demand for them.
+    ``demands`` the demand for them.
 
     Example::
 
@@ -39,12 +39,12 @@
         is_busy: bool,
         order: Iterable[tuple[ModelSpec, Rank]],
         copied: Collection[str],
-        wants: Mapping[str, Want],
+        demands: Mapping[str, Demand],
     ) -> None:
         self.queue = queue
         self._is_busy = is_busy
         self._second_copies = 0
-        self._wants = wants
+        self._demands = demands
         self._uncopied = {
             spec.name: self._value_per_second(spec)
             for spec, rank in order
@@ -52,7 +52,7 @@
         }
 
     def _value_per_second(self, spec: ModelSpec) -> float:
-        return self._wants.get(spec.name, NO_WANT).turn_value / spec.load_s
+        return self._demands.get(spec.name, NO_DEMAND).turn_value / spec.load_s
 
     def mark_planned(self, name: str) -> None:
         """The model is planned next."""
@@ -81,7 +81,7 @@
         takes, the model is weighed like the others.
         """
         others = self._uncopied.values()
-        if self._wants.get(spec.name, NO_WANT).unserved_s >= spec.load_s:
+        if self._demands.get(spec.name, NO_DEMAND).unserved_s >= spec.load_s:
             value = self._value_per_second(spec)
             others = [other for other in others if other >= value]
         return len(others) >= max(1, self.queue.room())
--- a/packages/bambootiller-standins/src/bambootiller_standins/plancost.py
+++ b/packages/bambootiller-standins/src/bambootiller_standins/plancost.py
@@ -19,8 +19,8 @@
 
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
 from bambootiller_core.gateway.fleet import Backend, EngineState, Registered
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import Want
 
 NOW = 100.0
 #: Of all models this part is held somewhere.
@@ -31,7 +31,7 @@
 
 def fleet(
     seed: int, engines: int, models: int, wanted: int
-) -> tuple[EngineSpec, list[Backend], dict[str, Want]]:
+) -> tuple[EngineSpec, list[Backend], dict[str, Demand]]:
     """The engines' settings, the engines, and the demand for models."""
     rng = random.Random(seed)
     specs = [
@@ -42,8 +42,8 @@
     names = list(spec.models)
     held = names[: max(3, int(models * HELD_SHARE))]
     backends = [_engine(rng, number, spec, held) for number in range(engines)]
-    wants = {
-        name: Want(
+    demands = {
+        name: Demand(
             rng.uniform(0.1, 5.0),
             rng.choice((0, 0, 1, 3, 5)),
             rng.choice((0, 1, 2)),
@@ -52,7 +52,7 @@
         )
         for name in names[:wanted]
     }
-    return spec, backends, wants
+    return spec, backends, demands
 
 
 def _engine(
@@ -73,11 +73,13 @@
     return Backend(record, state, NOW)
 
 
-def plan_ms(planner: Planner, backends: list[Backend], wants: dict[str, Want]) -> float:
+def plan_ms(
+    planner: Planner, backends: list[Backend], demands: dict[str, Demand]
+) -> float:
     """The processor time of one plan, on average over some."""
     began = time.process_time()
     for _ in range(PLANS):
-        planner.plan(NOW, backends, wants)
+        planner.plan(NOW, backends, demands)
     return (time.process_time() - began) / PLANS * 1000
 
 
@@ -88,9 +90,9 @@
 @click.option("--seed", default=1, show_default=True)
 def main(engines: int, models: int, wanted: int, seed: int) -> None:
     """Measure the plan of loads."""
-    spec, backends, wants = fleet(seed, engines, models, wanted)
+    spec, backends, demands = fleet(seed, engines, models, wanted)
     planner = Planner(spec, 1)
-    rounds = [plan_ms(planner, backends, wants) for _ in range(ROUNDS)]
+    rounds = [plan_ms(planner, backends, demands) for _ in range(ROUNDS)]
     click.echo(
         f"{engines} engines, {models} models, {wanted} wanted, seed {seed}, "
         f"{ROUNDS} rounds of {PLANS} plans: a plan takes {min(rounds):.2f} ms at "
--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -30,6 +30,7 @@
 from bambootiller_core.gateway.copies import copies_changed
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.incarnation import Incarnation
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_messages import (
     EngineOrder,
     EngineReport,
@@ -40,7 +41,6 @@
 from bambootiller_core.gateway.orders import OrderBook
 from bambootiller_core.gateway.report_naming import listed_at, named
 from bambootiller_core.gateway.store_permit_gate import StorePermitGate
-from bambootiller_core.gateway.want import Want
 from bambootiller_core.ports import Committed, Compare, Found, Put
 
 #: How often the engine's report is read while nothing is going on, while an order is
@@ -100,7 +100,7 @@
             self._knowledge, events, app.now, self._exchanger.poke
         )
         self._words = AgentWords(
-            self._exchanger, events, app.now, self._wished, self._quarantine
+            self._exchanger, events, app.now, self._load_requested, self._quarantine
         )
         self._server_limits = ServerLimits(events, app.now, self._exchanger.poke)
         self._quotas = QuotaAllocation(
@@ -115,7 +115,13 @@
         self._book: OrderBook | None = None
         self._gate = StorePermitGate()
         self._turn = TurnHolder(
-            app, platform.kv, service, self._gate, events, self._wished, running_time
+            app,
+            platform.kv,
+            service,
+            self._gate,
+            events,
+            self._load_requested,
+            running_time,
         )
         self._token: int | None = None
         self._silent_since: float | None = None
@@ -180,7 +186,7 @@
         self._server_limits.take(update, outgoing)
         self._quotas.received(update, outgoing)
 
-    def _wished(self) -> None:
+    def _load_requested(self) -> None:
         """An entry wants a load; see to it now."""
         self._wake.set()
 
@@ -369,8 +375,8 @@
         book.sending(order)
         self._words.tell()
         decided = self._app.now()
-        want = book.wants().get(order.wanted_for or order.model, Want())
-        wished_by = book.wished_by(order)
+        demand = book.demands().get(order.wanted_for or order.model, Demand())
+        requested_by = book.requested_by(order)
         from_store = _draws_on_store(book.report, order)
         answer = await self._engine.order(order, instance, self._token)
         book.answered(self._app.now(), order, answer)
@@ -385,10 +391,10 @@
             self._token,
             answer.value,
             order.wanted_for,
-            round(want.rate, 2),
-            want.waiting,
+            round(demand.rate, 2),
+            demand.waiting,
             round((decided - self._reported_at) * 1000),
-            wished_by or None,
+            requested_by or None,
             from_store or None,
         )
         self._events.emit(line)
--- a/packages/bambootiller/src/bambootiller/gateway/agent_words.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent_words.py
@@ -16,8 +16,8 @@
 from bambootiller_core.gateway.collecting import planners
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.log_lines import EntryHeard
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.orders import OrderBook
-from bambootiller_core.gateway.want import NO_WANT, Want
 
 #: Entries heard within this time count. Seconds.
 ENTRY_HEARD_S = 3.0
@@ -29,14 +29,14 @@
 FIGURES_MAX_S = 0.7
 #: An entry that wished for a load is told of all changes at once for so long: it wishes
 #: anew several times a second while a call waits. Seconds.
-WISHED_S = 1.0
+LOAD_REQUESTED_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class EntryWords:
     """What an entry has said on its stream, until it says otherwise there."""
 
-    wants: Mapping[str, Want]
+    demands: Mapping[str, Demand]
     in_use: Mapping[str, int]
     collect: bool
 
@@ -56,26 +56,26 @@
         exchanger: Exchanger,
         events: EventLog,
         clock: Callable[[], float],
-        wished: Callable[[], None],
+        load_requested: Callable[[], None],
         quarantine: Quarantine,
     ) -> None:
         self._quarantine = quarantine
         self._exchanger = exchanger
         self._events = events
         self._clock = clock
-        self._wished = wished
+        self._load_requested = load_requested
         self._book: OrderBook | None = None
         self._orders = False
         self._silent = False
         self._told: EngineState | None = None
-        self._told_wants: Mapping[str, Want] = {}
+        self._told_demands: Mapping[str, Demand] = {}
         self._entries: dict[str, float] = {}
         self._collected_for: set[str] = set()
         self._saying: Update | None = None
         self._said_at = float("-inf")
         #: Something has changed that not all entries were told at once.
         self._some_untold = False
-        self._wished_at: dict[str, float] = {}
+        self._load_requested_at: dict[str, float] = {}
 
     @property
     def entry_count(self) -> int:
@@ -131,7 +131,7 @@
             self._tell_concerned(now, state, _added(before, state))
 
     def _tell_all(self, state: EngineState) -> None:
-        self._told, self._told_wants = state, self._book.wants()
+        self._told, self._told_demands = state, self._book.demands()
         self._say_anew()
 
     def _tell_concerned(
@@ -144,10 +144,10 @@
         seeing_to_loads = planners(tuple(sorted(self._entries)))
         for outgoing in self._exchanger.streams():
             entry = outgoing.peer
-            wished_s = now - self._wished_at.get(entry, float("-inf"))
+            load_requested_s = now - self._load_requested_at.get(entry, float("-inf"))
             if (
                 entry in seeing_to_loads
-                or wished_s < WISHED_S
+                or load_requested_s < LOAD_REQUESTED_S
                 or _asks_for(outgoing.said, added)
             ):
                 outgoing.poke()
@@ -172,21 +172,21 @@
         told_anew = update.HasField("entry")
         if told_anew:
             outgoing.said = EntryWords(
-                wire.wants_of(update.entry.demand),
+                wire.demands_of(update.entry.demand),
                 dict(update.entry.in_use),
                 update.entry.collect,
             )
         self._heard(outgoing, told_anew)
         if self._book is None or not update.wishes:
             return
-        self._wished_at[outgoing.peer] = self._clock()
+        self._load_requested_at[outgoing.peer] = self._clock()
         if outgoing.told.get("engine") is not self._said():
             # It decides on what it was told before.
             outgoing.poke()
         for message in update.wishes:
-            wish = wire.wish_of(message)
-            self._book.wished(self._clock(), wish, outgoing.peer)
-        self._wished()
+            load_request = wire.load_request_of(message)
+            self._book.load_requested(self._clock(), load_request, outgoing.peer)
+        self._load_requested()
 
     def _figures_s(self) -> float:
         """How long load figures wait for the next."""
@@ -195,7 +195,7 @@
     def _moved(self, state: EngineState) -> bool:
         if state != self._told:
             return True
-        return bool(self._collected_for) and self._book.wants() != self._told_wants
+        return bool(self._collected_for) and self._book.demands() != self._told_demands
 
     def _say_anew(self) -> None:
         self._saying = None
@@ -233,7 +233,7 @@
         saying.engine.orderable = state.orderable and self._orders
         saying.engine.silent = self._silent
         if self._collected_for:
-            saying.total_demand.extend(wire.demand_messages(self._book.wants()))
+            saying.total_demand.extend(wire.demand_messages(self._book.demands()))
         self._saying = saying
         return saying
 
@@ -242,7 +242,7 @@
             if now - at > ENTRY_HEARD_S:
                 del self._entries[entry]
                 self._collected_for.discard(entry)
-                self._wished_at.pop(entry, None)
+                self._load_requested_at.pop(entry, None)
                 self._events.emit(EntryHeard(entry, heard=False))
                 self._exchanger.soon()
 
@@ -257,7 +257,7 @@
         self._entries[entry] = at = outgoing.heard_at
         self._collect(entry, words.collect)
         if told_anew or not self._book.entry_heard(at, entry):
-            self._book.entry_told(at, entry, words.wants, words.in_use)
+            self._book.entry_told(at, entry, words.demands, words.in_use)
 
     def _collect(self, entry: str, collect: bool) -> None:
         if collect == (entry in self._collected_for):
@@ -323,4 +323,4 @@
 def _asks_for(said: object, models: Collection[str]) -> bool:
     if not isinstance(said, EntryWords):
         return False
-    return any(said.wants.get(model, NO_WANT).value for model in models)
+    return any(said.demands.get(model, NO_DEMAND).value for model in models)
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -16,7 +16,7 @@
 )
 from bambootiller_core.gateway.config import ServiceSpec
 from bambootiller_core.gateway.copies import copies_seen
-from bambootiller_core.gateway.demand import Demand
+from bambootiller_core.gateway.demand_tracker import DemandTracker
 from bambootiller_core.gateway.due_adapters import DueAdapters
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.initial_discovery import InitialDiscovery
@@ -26,7 +26,8 @@
     Obstacles,
     WeightStoreIdle,
 )
-from bambootiller_core.gateway.order_messages import Wish
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
+from bambootiller_core.gateway.order_messages import LoadRequest
 from bambootiller_core.gateway.places import copies_at
 from bambootiller_core.gateway.residency import PlannedLoad, Planner
 from bambootiller_core.gateway.store_concurrency import StoreConcurrency
@@ -35,7 +36,6 @@
     remaining_time,
 )
 from bambootiller_core.gateway.store_idle import StoreIdleTracker
-from bambootiller_core.gateway.want import NO_WANT, Want
 
 #: A plan no older than this is of this moment, in pauses between two plans: a call that
 #: looks at it would otherwise be quicker than the next plan.
@@ -49,7 +49,7 @@
     """The demand and the plans for all services of engines.
 
     Calls that need a model ask :meth:`plan_for` when it can be used, and say in
-    :meth:`demand` while they wait, so that the plan counts them. ``wish`` asks the
+    :meth:`demand` while they wait, so that the plan counts them. ``load_request`` asks the
     agent beside an engine for a load, ``admits`` tells whether a model may be loaded.
     """
 
@@ -57,25 +57,25 @@
         self,
         app: Application,
         knowledge: Knowledge,
-        wish: Callable[[Backend, Wish], object],
+        load_request: Callable[[Backend, LoadRequest], object],
         emit: Callable[[LogLine], None] = lambda line: None,
         admits: Callable[[str], bool] = lambda model: True,
     ) -> None:
         self._app = app
         self._knowledge = knowledge
-        self._wish = wish
+        self._request_load = load_request
         self._emit = emit
         self._admits = admits
         #: The entries that agents hear, this one among them.
         self.entries: tuple[str, ...] = ()
-        self._demand: dict[str, Demand] = {}
-        self._own: dict[str, dict[str, Want]] = {}
+        self._demand_trackers: dict[str, DemandTracker] = {}
+        self._own: dict[str, dict[str, Demand]] = {}
         self._asks = LoadAsks(
-            app.instance, knowledge.fleet, lambda: self.entries, wish, emit
+            app.instance, knowledge.fleet, lambda: self.entries, load_request, emit
         )
         self._totals = Totals()
         self._plans: dict[str, dict[str, PlannedLoad]] = {}
-        self._planned_for: dict[str, dict[str, Want]] = {}
+        self._planned_for: dict[str, dict[str, Demand]] = {}
         self._planners: dict[str, Planner] = {}
         self._store_idle: dict[str, StoreIdleTracker] = {}
         self._planned_at = float("-inf")
@@ -86,7 +86,9 @@
             self._due,
             self._awaited,
             self._any_waits,
-            lambda: not all(demand.is_idle for demand in self._demand.values()),
+            lambda: not all(
+                demand.is_idle for demand in self._demand_trackers.values()
+            ),
             lambda: knowledge.changed.count,
         )
 
@@ -98,9 +100,9 @@
         """Something that plans are made of has changed."""
         self._clock.changed(now)
 
-    def demand(self, service: str) -> Demand:
+    def demand(self, service: str) -> DemandTracker:
         """The demand for the models of a service at this entry."""
-        return self._demand.setdefault(service, Demand())
+        return self._demand_trackers.setdefault(service, DemandTracker())
 
     def due_adapters(self, service: str) -> DueAdapters:
         """The adapters that refused callers will need, at the engines of a service."""
@@ -114,32 +116,32 @@
         if due is None:
             return
         backends = self._knowledge.fleet.of_service(service)
-        for wish in due.wishes(now, backend, backends):
-            self._wish(backend, wish)
+        for load_request in due.load_requests(now, backend, backends):
+            self._request_load(backend, load_request)
 
     def totals_told(
-        self, now: float, service: str, host: str, totals: Mapping[str, Want]
+        self, now: float, service: str, host: str, totals: Mapping[str, Demand]
     ) -> None:
         """A collecting agent told the demand of all entries."""
         self._totals.told(now, service, host, totals)
 
-    def wants_of_all(self, service: str, own: dict[str, Want]) -> dict[str, Want]:
+    def total_demands(self, service: str, own: dict[str, Demand]) -> dict[str, Demand]:
         """The demand of all entries for the models of a service, as its collectors
         told it last, and not less than what this entry knows of its own."""
         return greater(self._totals.of(self._app.now(), service), own)
 
-    def own_wants(self, service: str) -> dict[str, Want]:
+    def own_demands(self, service: str) -> dict[str, Demand]:
         """This entry's demand, as agents are told it."""
-        wants = self._own.get(service)
-        return self._wants(service) if wants is None else wants
+        demands = self._own.get(service)
+        return self._demands(service) if demands is None else demands
 
     def planned(self, service: str, model: str) -> PlannedLoad | None:
         """The load of the model that is under way or planned."""
         return self._plans.get(service, {}).get(model)
 
-    def wanted(self, service: str, model: str) -> Want:
+    def wanted(self, service: str, model: str) -> Demand:
         """The demand of all entries for the model at the last plan."""
-        return self._planned_for.get(service, {}).get(model, NO_WANT)
+        return self._planned_for.get(service, {}).get(model, NO_DEMAND)
 
     def obstacles(self, service: str, model: str) -> Obstacles | None:
         """What kept engines from loading the model at the last plan."""
@@ -191,7 +193,7 @@
         """
         now = self._app.now()
         planned = self.planned(service, model)
-        counted = self._own.get(service, {}).get(model, NO_WANT).waiting
+        counted = self._own.get(service, {}).get(model, NO_DEMAND).waiting
         more = self.demand(service).waiting(now, model) > counted
         if (planned is None and more) or self._is_old(now):
             self.make(now)
@@ -209,8 +211,8 @@
             backends = self._knowledge.fleet.of_service(service.name)
             pairs += len(backends) * len(service.engine.models)
             concurrency = self._observe(now, service)
-            wants = self._refresh_wants(service.name)
-            wants_of_all = self.wants_of_all(service.name, wants)
+            demands = self._refresh_demands(service.name)
+            total_demands = self.total_demands(service.name, demands)
             known = [backend.instance for backend in backends if not backend.lost(now)]
             planner = Planner(
                 service.engine,
@@ -220,51 +222,51 @@
                 concurrency.allows_probe and self._asks.may_probe(now, service.name),
                 self._asks.cooling_down(now, service.name),
             )
-            plan = planner.plan(now, backends, self._admitted(wants_of_all))
+            plan = planner.plan(now, backends, self._admitted(total_demands))
             self._plans[service.name] = plan
-            self._planned_for[service.name] = wants_of_all
+            self._planned_for[service.name] = total_demands
             self._planners[service.name] = planner
-            self._note_idle_store(now, service.name, planner, wants_of_all)
-            loads = self._asks.from_copies(plan, wants)
+            self._note_idle_store(now, service.name, planner, total_demands)
+            loads = self._asks.from_copies(plan, demands)
             if self._knows_engines(now, service.name, backends):
                 loads += self._asks.from_store(
-                    now, service.name, planner, plan, wants_of_all
+                    now, service.name, planner, plan, total_demands
                 )
-            self._asks.ask(loads, wants, wants_of_all, planner.store_loads)
-            if plan or any(want.value for want in wants_of_all.values()):
+            self._asks.ask(loads, demands, total_demands, planner.store_loads)
+            if plan or any(demand.value for demand in total_demands.values()):
                 self._clock.has_work()
         self._clock.pause_s = pause_s(pairs)
 
-    def _admitted(self, wants: Mapping[str, Want]) -> Mapping[str, Want]:
+    def _admitted(self, demands: Mapping[str, Demand]) -> Mapping[str, Demand]:
         """The demand for models that may be loaded. One whose load isn't admitted would
         have the store's next turn in each plan, and never take it."""
         refused = [
             name
-            for name, want in wants.items()
-            if want.awaited and not self._admits(name)
+            for name, demand in demands.items()
+            if demand.awaited and not self._admits(name)
         ]
         if not refused:
-            return wants
-        return {name: want for name, want in wants.items() if name not in refused}
+            return demands
+        return {name: demand for name, demand in demands.items() if name not in refused}
 
     def _note_idle_store(
-        self, now: float, service: str, planner: Planner, wants: Mapping[str, Want]
+        self, now: float, service: str, planner: Planner, demands: Mapping[str, Demand]
     ) -> None:
         idle = self._store_idle.setdefault(service, StoreIdleTracker())
         under_way = self.store_loads_under_way(service)
-        awaited = [] if under_way else planner.awaited_from_store(wants)
+        awaited = [] if under_way else planner.awaited_from_store(demands)
         seconds = idle.observe(now, under_way, awaited)
         if seconds is None:
             return
         first = awaited[0]
-        seen = planner.obstacles(first, wants[first])
+        seen = planner.obstacles(first, demands[first])
         line = WeightStoreIdle(service, round(seconds, 2), len(awaited), first, seen)
         self._emit(line)
 
     def _is_old(self, now: float) -> bool:
         return now - self._planned_at > FRESH_PAUSES * self._clock.pause_s
 
-    def _wants(self, service: str) -> dict[str, Want]:
+    def _demands(self, service: str) -> dict[str, Demand]:
         """This entry's demand; models that engines hold are in it also if nobody asks
         for them, as agents have to know which of them other engines have as well."""
         now = self._app.now()
@@ -276,18 +278,18 @@
                 continue
             holders.update(backend.holdings.keys())
             copies.update(copies_at(backend))
-        wants = self.demand(service).wants(now, holders, copies)
+        demands = self.demand(service).demands(now, holders, copies)
         for model, count in holders.items():
-            if model not in wants:
-                wants[model] = Want(holders=count, copies=copies[model])
-        return wants
+            if model not in demands:
+                demands[model] = Demand(holders=count, copies=copies[model])
+        return demands
 
-    def _refresh_wants(self, service: str) -> dict[str, Want]:
+    def _refresh_demands(self, service: str) -> dict[str, Demand]:
         """This entry's demand as it is now, as agents are told it; the same table as
         before where nothing has changed."""
-        wants = self._wants(service)
-        if wants != self._own.get(service):
-            self._own[service] = wants
+        demands = self._demands(service)
+        if demands != self._own.get(service):
+            self._own[service] = demands
         return self._own[service]
 
     def _due(self, now: float) -> None:
@@ -303,8 +305,8 @@
         self._clock.making(now)
         self._observe_all(now)
         for service in self._engine_services():
-            wants = self._refresh_wants(service.name)
-            if any(want.value for want in wants.values()):
+            demands = self._refresh_demands(service.name)
+            if any(demand.value for demand in demands.values()):
                 self._clock.has_work()
 
     def _awaited(self, now: float) -> None:
@@ -337,10 +339,10 @@
         collectors. While a store is short of time most entries have some, and each
         would make the plan that a few act on.
         """
-        if any(demand.anyone_waits for demand in self._demand.values()):
+        if any(demand.anyone_waits for demand in self._demand_trackers.values()):
             return True
         own = self._own.values() if self._is_planner() else ()
-        return any(want.waiting for wants in own for want in wants.values())
+        return any(demand.waiting for demands in own for demand in demands.values())
 
     def _any_waits(self) -> bool:
         if self._awaits_own():
@@ -348,7 +350,7 @@
         if not self._is_planner():
             return False
         counted = self._planned_for.values()
-        return any(want.waiting for wants in counted for want in wants.values())
+        return any(demand.waiting for demands in counted for demand in demands.values())
 
     def _is_planner(self) -> bool:
         return self._app.instance in planners(self.entries)
--- a/packages/bambootiller/src/bambootiller/gateway/engine_words.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_words.py
@@ -15,31 +15,31 @@
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.incarnation import Incarnation
-from bambootiller_core.gateway.want import Want
+from bambootiller_core.gateway.model_demand import Demand
 
 
 @dataclass(slots=True)
 class Told:
     """What an agent was told last, and what it was worked out from."""
 
-    wants: Mapping[str, Want]
+    demands: Mapping[str, Demand]
     engine: EngineState | None
     collect: bool
     in_use: Mapping[str, int]
-    part: Mapping[str, Want]
+    part: Mapping[str, Demand]
     told_at: float
 
     @classmethod
     def now(
-        cls, now: float, wants: Mapping[str, Want], backend: Backend, collect: bool
+        cls, now: float, demands: Mapping[str, Demand], backend: Backend, collect: bool
     ) -> Told:
-        """What the agent beside the engine is to know, of this entry's ``wants``."""
+        """What the agent beside the engine is to know, of this entry's ``demands``."""
         in_use = dict(backend.in_flight_by_model)
-        part = _part(wants, backend.engine, collect)
-        return cls(wants, backend.engine, collect, in_use, part, now)
+        part = _part(demands, backend.engine, collect)
+        return cls(demands, backend.engine, collect, in_use, part, now)
 
     def is_outdated(
-        self, now: float, wants: Mapping[str, Want], backend: Backend, collect: bool
+        self, now: float, demands: Mapping[str, Demand], backend: Backend, collect: bool
     ) -> bool:
         """Whether the agent is to be told anew.
 
@@ -48,15 +48,15 @@
         """
         if self.in_use != backend.in_flight_by_model or self.collect != collect:
             return True
-        if self.wants is wants and self.engine is backend.engine:
+        if self.demands is demands and self.engine is backend.engine:
             return False
         if _start(self.engine) != _start(backend.engine):
             # An agent whose engine starts anew forgets the calls that it was told of.
             return True
-        part = _part(wants, backend.engine, collect)
+        part = _part(demands, backend.engine, collect)
         if moved(self.part, part, now - self.told_at):
             return True
-        self.wants, self.engine = wants, backend.engine
+        self.demands, self.engine = demands, backend.engine
         return False
 
     def message(self) -> pb.EntryFigures:
@@ -69,7 +69,7 @@
     """What an agent has said on its stream, until it says otherwise there."""
 
     state: EngineState | None = None
-    totals: Mapping[str, Want] | None = None
+    totals: Mapping[str, Demand] | None = None
     entries: tuple[str, ...] = ()
 
     @classmethod
@@ -80,7 +80,7 @@
         if update.HasField("engine"):
             words.state = wire.engine_state(update.engine, words.state)
         if update.collected or update.total_demand:
-            words.totals = wire.wants_of(update.total_demand)
+            words.totals = wire.demands_of(update.total_demand)
             words.entries = tuple(update.entries)
         return words
 
@@ -90,10 +90,10 @@
 
 
 def _part(
-    wants: Mapping[str, Want], engine: EngineState | None, collect: bool
-) -> dict[str, Want]:
-    part = concerning(wants, engine)
+    demands: Mapping[str, Demand], engine: EngineState | None, collect: bool
+) -> dict[str, Demand]:
+    part = concerning(demands, engine)
     if not collect:
         return part
-    asked = {name: want for name, want in wants.items() if want.value}
+    asked = {name: demand for name, demand in demands.items() if demand.value}
     return {**asked, **part}
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -20,7 +20,7 @@
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.fleet import AGENT_SILENT_S, Backend
 from bambootiller_core.gateway.log_lines import BackendRemoved, LogLine
-from bambootiller_core.gateway.order_messages import Wish
+from bambootiller_core.gateway.order_messages import LoadRequest
 from bambootiller_core.gateway.relaying import entry_turn
 from bambootiller_core.gateway.wakeups import wakes_waiting_calls
 
@@ -35,7 +35,7 @@
 
     task: asyncio.Task
     instance: str
-    wishes: dict[tuple[str, str], Wish] = field(default_factory=dict)
+    load_requests: dict[tuple[str, str], LoadRequest] = field(default_factory=dict)
 
 
 class Engines:
@@ -62,7 +62,7 @@
         self.quarantine = Quarantine(knowledge, events, app.now, self._tell_collectors)
         self.server_limits = ServerLimits(events, app.now, self._tell_limits)
         self.plans = EnginePlans(
-            app, knowledge, self.wish, self._emit, self._admits_load
+            app, knowledge, self.load_request, self._emit, self._admits_load
         )
         self._reached: list[tuple[str, bool, bool]] = []
 
@@ -82,15 +82,15 @@
     def _emit(self, line: LogLine) -> None:
         self._events.emit(line)
 
-    def wish(self, backend: Backend, wish: Wish) -> bool:
+    def load_request(self, backend: Backend, load_request: LoadRequest) -> bool:
         """Ask the agent beside the engine for a load; False if there is none, or if
         the load ends engines."""
-        if not wish.adapter and not self._admits_load(wish.model):
+        if not load_request.adapter and not self._admits_load(load_request.model):
             return False
         link = self._links.get(backend.registered.host)
         if link is None:
             return False
-        link.wishes[(wish.model, wish.adapter)] = wish
+        link.load_requests[(load_request.model, load_request.adapter)] = load_request
         self._exchanger.poke_at(self._address(backend.registered.host))
         return True
 
@@ -219,9 +219,9 @@
             told = self._to_tell(backend)
             outgoing.told["entry"] = told
             update.entry.CopyFrom(told.message())
-        for wish in link.wishes.values():
-            wire.add_wish(update, wish)
-        link.wishes.clear()
+        for load_request in link.load_requests.values():
+            wire.add_load_request(update, load_request)
+        link.load_requests.clear()
 
     def _tell(self, now: float) -> None:
         """Tell agents whose figures have moved."""
@@ -236,14 +236,14 @@
     def _has_news(self, backend: Backend, outgoing: Outgoing) -> bool:
         """Whether the agent is to be told anew."""
         told: Told | None = outgoing.told.get("entry")
-        wants = self.plans.own_wants(backend.registered.service)
+        demands = self.plans.own_demands(backend.registered.service)
         collects = self._collects(backend)
         now = self._app.now()
-        return told is None or told.is_outdated(now, wants, backend, collects)
+        return told is None or told.is_outdated(now, demands, backend, collects)
 
     def _to_tell(self, backend: Backend) -> Told:
-        wants = self.plans.own_wants(backend.registered.service)
-        return Told.now(self._app.now(), wants, backend, self._collects(backend))
+        demands = self.plans.own_demands(backend.registered.service)
+        return Told.now(self._app.now(), demands, backend, self._collects(backend))
 
     def _collects(self, backend: Backend) -> bool:
         registered = backend.registered
--- a/packages/bambootiller/src/bambootiller/gateway/load_asks.py
+++ b/packages/bambootiller/src/bambootiller/gateway/load_asks.py
@@ -16,11 +16,11 @@
     StoreLoadAsked,
     StoreLoadNotBegun,
 )
-from bambootiller_core.gateway.order_messages import WAITED_FOR, Wish
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
+from bambootiller_core.gateway.order_messages import WAITED_FOR, LoadRequest
 from bambootiller_core.gateway.residency import PlannedLoad, Planner
 from bambootiller_core.gateway.store_load_requests import StoreLoadRequests
 from bambootiller_core.gateway.store_queue import MAX_SLOWDOWN, StartReason
-from bambootiller_core.gateway.want import NO_WANT, Want
 
 #: The urgency of what is asked for ahead of demand.
 AHEAD = 5
@@ -28,13 +28,13 @@
 
 class LoadAsks:
     """The loads that the entry ``instance`` asks for; ``entries`` are those that agents
-    hear, ``wish`` asks the agent beside an engine, ``emit`` writes a line of the log.
+    hear, ``load_request`` asks the agent beside an engine, ``emit`` writes a line of the log.
 
     Example::
 
-        loads = asks.from_copies(plan, own_wants)
-        loads += asks.from_store(now, "llm", planner, plan, wants_of_all)
-        asks.ask(loads, own_wants, wants_of_all, planner.store_loads)
+        loads = asks.from_copies(plan, own_demands)
+        loads += asks.from_store(now, "llm", planner, plan, total_demands)
+        asks.ask(loads, own_demands, total_demands, planner.store_loads)
     """
 
     def __init__(
@@ -42,13 +42,13 @@
         instance: str,
         fleet: Fleet,
         entries: Callable[[], tuple[str, ...]],
-        wish: Callable[[Backend, Wish], object],
+        load_request: Callable[[Backend, LoadRequest], object],
         emit: Callable[[LogLine], None],
     ) -> None:
         self._instance = instance
         self._fleet = fleet
         self._entries = entries
-        self._wish = wish
+        self._request_load = load_request
         self._emit = emit
         self._store_asks: dict[str, StoreLoadRequests] = {}
 
@@ -63,7 +63,7 @@
         return self.sees_to(f"weight store of {service}")
 
     def from_copies(
-        self, plan: Mapping[str, PlannedLoad], wants: Mapping[str, Want]
+        self, plan: Mapping[str, PlannedLoad], demands: Mapping[str, Demand]
     ) -> list[PlannedLoad]:
         """The loads from copies that this entry asks for. One is over before it matters
         that others ask for it as well, so whoever has calls that wait does."""
@@ -72,7 +72,7 @@
             for load in plan.values()
             if load.ask_now
             and not load.from_store
-            and (wants.get(load.model, NO_WANT).waiting or self.sees_to(load.model))
+            and (demands.get(load.model, NO_DEMAND).waiting or self.sees_to(load.model))
         ]
 
     def cooling_down(self, now: float, service: str) -> frozenset[tuple[str, str]]:
@@ -93,7 +93,7 @@
         service: str,
         planner: Planner,
         plan: Mapping[str, PlannedLoad],
-        wants_of_all: Mapping[str, Want],
+        total_demands: Mapping[str, Demand],
     ) -> list[PlannedLoad]:
         """The loads from the weight store that this entry asks for, of the ``plan``
         that the ``planner`` has made."""
@@ -105,28 +105,30 @@
         for load in asks.expired:
             self._emit(StoreLoadNotBegun(service, load.model, load.instance))
         for load in asks.newly_requested:
-            want = wants_of_all.get(load.model, NO_WANT)
-            self._emit(_asked(service, load, planner, want))
+            demand = total_demands.get(load.model, NO_DEMAND)
+            self._emit(_asked(service, load, planner, demand))
         return chosen
 
     def ask(
         self,
         loads: Iterable[PlannedLoad],
-        wants: Mapping[str, Want],
-        wants_of_all: Mapping[str, Want],
+        demands: Mapping[str, Demand],
+        total_demands: Mapping[str, Demand],
         store_loads: int,
     ) -> None:
-        """Ask the agents; ``wants`` is the demand of this entry, ``store_loads`` how
+        """Ask the agents; ``demands`` is the demand of this entry, ``store_loads`` how
         many loads the weight store is taken to serve."""
         for load in loads:
             backend = self._fleet.get(load.instance)
             if backend is None:
                 continue
-            waiting = wants.get(load.model, NO_WANT).waiting
-            want = wants_of_all.get(load.model, NO_WANT)
-            urgency = WAITED_FOR if waiting or want.awaited else AHEAD
+            waiting = demands.get(load.model, NO_DEMAND).waiting
+            demand = total_demands.get(load.model, NO_DEMAND)
+            urgency = WAITED_FOR if waiting or demand.awaited else AHEAD
             turns = turns_for(load, store_loads)
-            self._wish(backend, Wish(load.model, "", urgency, want, turns))
+            self._request_load(
+                backend, LoadRequest(load.model, "", urgency, demand, turns)
+            )
 
     def _is_listed(self, load: PlannedLoad) -> bool:
         return self._fleet.get(load.instance) is not None
@@ -152,7 +154,7 @@
 
 
 def _asked(
-    service: str, load: PlannedLoad, planner: Planner, want: Want
+    service: str, load: PlannedLoad, planner: Planner, demand: Demand
 ) -> StoreLoadAsked:
     return StoreLoadAsked(
         service,
@@ -161,9 +163,9 @@
         load.turn.value if load.turn is not None else "",
         planner.store_loads_under_way,
         planner.store_loads,
-        want.waiting,
-        round(want.unserved, 1),
-        round(want.unserved_s, 1),
-        None if want.callers is None else round(want.callers, 1),
-        round(want.rate, 2),
+        demand.waiting,
+        round(demand.unserved, 1),
+        round(demand.unserved_s, 1),
+        None if demand.callers is None else round(demand.callers, 1),
+        round(demand.rate, 2),
     )
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -12,7 +12,7 @@
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.log_lines import PlanSeen
-from bambootiller_core.gateway.order_messages import Wish
+from bambootiller_core.gateway.order_messages import LoadRequest
 from bambootiller_core.gateway.residency import PlannedLoad
 from bambootiller_core.gateway.service_levels import level_of
 
@@ -258,7 +258,9 @@
         ]
         eligible.sort(key=lambda backend: -selection.home_weight(ask, backend.instance))
         turn = int((now - began) / ADAPTER_TURN_S) % len(eligible)
-        self._context.engines.wish(eligible[turn], Wish(ask.model, ask.adapter))
+        self._context.engines.load_request(
+            eligible[turn], LoadRequest(ask.model, ask.adapter)
+        )
         return None
 
     def _refuse_cold(self, now: float, come_back_s: float) -> Refusal:
@@ -309,18 +311,18 @@
     def _plan_seen(self, now: float, planned: PlannedLoad | None) -> PlanSeen:
         call = self._call
         plans = self._context.engines.plans
-        want = plans.wanted(call.service, call.ask.model)
+        demand = plans.wanted(call.service, call.ask.model)
         copies = plans.copies_seen(call.service, call.ask.model)
         store_loads = plans.store_loads_under_way(call.service)
         if planned is None:
             obstacles = plans.obstacles(call.service, call.ask.model)
             return PlanSeen(
-                waiting=want.waiting,
+                waiting=demand.waiting,
                 copies=copies,
                 store_loads=store_loads,
                 obstacles=obstacles,
-                unserved=round(want.unserved, 1),
-                unserved_s=round(want.unserved_s, 1),
+                unserved=round(demand.unserved, 1),
+                unserved_s=round(demand.unserved_s, 1),
             )
         backend = self._context.knowledge.fleet.get(planned.instance)
         age_s = None if backend is None else backend.unheard_s(now)
@@ -330,11 +332,11 @@
             from_store=planned.from_store,
             asked=planned.ask_now,
             agent_age_ms=None if age_s is None else round(age_s * 1000),
-            waiting=want.waiting,
+            waiting=demand.waiting,
             copies=copies,
             store_loads=store_loads,
-            unserved=round(want.unserved, 1),
-            unserved_s=round(want.unserved_s, 1),
+            unserved=round(demand.unserved, 1),
+            unserved_s=round(demand.unserved_s, 1),
         )
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/plan_clock.py
+++ b/packages/bambootiller/src/bambootiller/gateway/plan_clock.py
@@ -9,7 +9,7 @@
 #: How often the plan of loads is made anew while calls wait. Seconds.
 PLAN_S = 0.05
 #: The longest pause between two plans while calls wait, in a large fleet: a wish for a
-#: load is forgotten unless it is repeated (``order_demand.WISH_LIFE_S``). Seconds.
+#: load is forgotten unless it is repeated (``order_demand.LOAD_REQUEST_TTL_S``). Seconds.
 PLAN_MAX_S = 0.15
 #: A plan weighs each engine for each model. Up to so many pairs it is made each
 #: :data:`PLAN_S`, beyond that less often in proportion, so that it takes the same part
--- a/packages/bambootiller/src/bambootiller/gateway/wire.py
+++ b/packages/bambootiller/src/bambootiller/gateway/wire.py
@@ -8,7 +8,8 @@
 from bambootiller_core.gateway.crash_ledger import LostRun
 from bambootiller_core.gateway.engine_state import EngineState, Loading
 from bambootiller_core.gateway.incarnation import Incarnation
-from bambootiller_core.gateway.order_messages import Wish
+from bambootiller_core.gateway.model_demand import Demand
+from bambootiller_core.gateway.order_messages import LoadRequest
 from bambootiller_core.gateway.quota_messages import (
     CustomerAsk,
     CustomerGrant,
@@ -16,7 +17,6 @@
     QuotaAsk,
 )
 from bambootiller_core.gateway.reported_limits import ReportedLimit
-from bambootiller_core.gateway.want import Want
 
 #: Room that is further away than this, or is never there, is told as so far. Seconds.
 MOST_ROOM_S = 3600.0
@@ -78,42 +78,42 @@
 
 
 def entry_message(
-    wants: Mapping[str, Want], in_use: Mapping[str, int], collect: bool
+    demands: Mapping[str, Demand], in_use: Mapping[str, int], collect: bool
 ) -> pb.EntryFigures:
     """What an entry says of its demand, and of its calls at one engine."""
     message = pb.EntryFigures(in_use=in_use, collect=collect)
-    message.demand.extend(demand_messages(wants))
+    message.demand.extend(demand_messages(demands))
     return message
 
 
-def demand_messages(wants: Mapping[str, Want]) -> list[pb.ModelDemand]:
+def demand_messages(demands: Mapping[str, Demand]) -> list[pb.ModelDemand]:
     """Demand by model."""
     return [
         pb.ModelDemand(
             model=model,
-            calls_per_s=want.rate,
-            waiting=want.waiting,
-            holders=want.holders,
-            oldest_ms=int(want.oldest_s * 1000),
-            copies=want.copies,
-            in_time_ms=int(want.in_time_s * 1000),
-            adapter_calls_per_s=want.adapter_rate,
-            unserved=want.unserved,
-            unserved_ms=int(want.unserved_s * 1000),
-            callers=want.callers,
+            calls_per_s=demand.rate,
+            waiting=demand.waiting,
+            holders=demand.holders,
+            oldest_ms=int(demand.oldest_s * 1000),
+            copies=demand.copies,
+            in_time_ms=int(demand.in_time_s * 1000),
+            adapter_calls_per_s=demand.adapter_rate,
+            unserved=demand.unserved,
+            unserved_ms=int(demand.unserved_s * 1000),
+            callers=demand.callers,
         )
-        for model, want in wants.items()
+        for model, demand in demands.items()
     ]
 
 
-def wants_of(messages: Iterable[pb.ModelDemand]) -> dict[str, Want]:
+def demands_of(messages: Iterable[pb.ModelDemand]) -> dict[str, Demand]:
     """The same, received."""
-    return {item.model: _want(item) for item in messages}
+    return {item.model: _demand(item) for item in messages}
 
 
-def _want(message: pb.ModelDemand) -> Want:
+def _demand(message: pb.ModelDemand) -> Demand:
     oldest_s = message.oldest_ms / 1000
-    return Want(
+    return Demand(
         message.calls_per_s,
         message.waiting,
         message.holders,
@@ -127,23 +127,25 @@
     )
 
 
-def add_wish(update: pb.ResidencyUpdate, wish: Wish) -> None:
+def add_load_request(update: pb.ResidencyUpdate, load_request: LoadRequest) -> None:
     """Put a wish into a message."""
     message = update.wishes.add(
-        model=wish.model,
-        adapter=wish.adapter,
-        urgency=wish.urgency,
-        store_turns=wish.turns,
+        model=load_request.model,
+        adapter=load_request.adapter,
+        urgency=load_request.urgency,
+        store_turns=load_request.turns,
     )
-    if wish.want != Want():
-        message.demand.CopyFrom(demand_messages({wish.model: wish.want})[0])
+    if load_request.demand != Demand():
+        message.demand.CopyFrom(
+            demand_messages({load_request.model: load_request.demand})[0]
+        )
 
 
-def wish_of(message: pb.ModelWish) -> Wish:
+def load_request_of(message: pb.ModelWish) -> LoadRequest:
     """A wish received."""
-    want = _want(message.demand) if message.HasField("demand") else Want()
-    return Wish(
-        message.model, message.adapter, message.urgency, want, message.store_turns
+    demand = _demand(message.demand) if message.HasField("demand") else Demand()
+    return LoadRequest(
+        message.model, message.adapter, message.urgency, demand, message.store_turns
     )
 
 
--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -16,12 +16,12 @@
 from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.server_admission import ServerAdmission
 from bambootiller.gateway.server_limits import ServerLimits
-from bambootiller_core.gateway.demand import Demand
+from bambootiller_core.gateway.demand_tracker import DemandTracker
 from bambootiller_core.gateway.due_adapters import DueAdapters
+from bambootiller_core.gateway.model_demand import NO_DEMAND
 from bambootiller_core.gateway.quota_limits import QuotaTolerance
 from bambootiller_core.gateway.retry_budget import RetryBudget
 from bambootiller_core.gateway.running import TICK_S, RunningTime
-from bambootiller_core.gateway.want import NO_WANT
 from bambootiller_core.ports import Changed, Record
 from bambootiller_platform.dialect import PlatformDialect
 from bambootiller_platform.documents import PlatformDirectory
@@ -48,10 +48,10 @@
 
     def __init__(self):
         self.entries = ("e1", "e2")
-        self._demand = Demand()
+        self._demand_tracker = DemandTracker()
 
     def demand(self, service):
-        return self._demand
+        return self._demand_tracker
 
     def due_adapters(self, service):
         return DueAdapters()
@@ -60,7 +60,7 @@
         return None
 
     def wanted(self, service, model):
-        return NO_WANT
+        return NO_DEMAND
 
     def copies_seen(self, service, model):
         return ()
@@ -80,10 +80,10 @@
 
     def __init__(self):
         self.plans = NoPlans()
-        self.wishes = []
+        self.load_requests = []
 
-    def wish(self, backend, wish):
-        self.wishes.append(wish)
+    def load_request(self, backend, load_request):
+        self.load_requests.append(load_request)
         return True
 
 
--- a/tests/gateway/common/fleets.py
+++ b/tests/gateway/common/fleets.py
@@ -9,8 +9,8 @@
     Backend,
     Registered,
 )
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.places import keep_values
-from bambootiller_core.gateway.want import Want
 
 NOW = 100.0
 
@@ -36,7 +36,7 @@
     return rng.sample(names, min(len(names), rng.randint(0, most)))
 
 
-def _engine(rng, number, spec, wants, tight):
+def _engine(rng, number, spec, demands, tight):
     # The last name is one that the configuration doesn't know.
     names = [*spec.models, "unknown"]
     near = names[: rng.choice((4, 40, len(names)))]
@@ -53,7 +53,7 @@
         if name in spec.models
     )
     busy = 0.9 if tight else 0.4
-    values = keep_values(held, wants)
+    values = keep_values(held, demands)
     if rng.random() < 0.3 and not tight:
         values = {name: rng.choice((0.0, 0.3, 0.5, 9.0)) for name in held}
     return EngineState(
@@ -73,16 +73,16 @@
     )
 
 
-def _wants(rng, spec, idle, tight):
+def _demands(rng, spec, idle, tight):
     names = [*spec.models, "unknown"]
     if tight:
         # Room for an awaited model may be made by moving another.
         return {
-            name: Want(rng.choice((0.9, 3.0)), rng.choice((0, 0, 0, 2, 6)), 1)
+            name: Demand(rng.choice((0.9, 3.0)), rng.choice((0, 0, 0, 2, 6)), 1)
             for name in _some(rng, names, len(names))
         }
     return {
-        name: Want(
+        name: Demand(
             0.0 if idle or rng.random() < 0.1 else rng.choice((0.02, 0.5, 5.0, 40.0)),
             0 if idle else rng.choice((0, 0, 0, 1, 2, 3, 6, 30)),
             rng.choice((0, 0, 1, 2, 3)),
@@ -93,13 +93,13 @@
     }
 
 
-def _with_adapters_missed(rng, spec, wants):
+def _with_adapters_missed(rng, spec, demands):
     """Some calls for models that have adapters find theirs nowhere."""
-    found = dict(wants)
-    for name, want in wants.items():
-        if name in spec.models and spec.models[name].adapters and want.rate:
-            rate = want.rate * rng.choice((0.0, 0.02, 0.3))
-            found[name] = replace(want, adapter_rate=rate)
+    found = dict(demands)
+    for name, demand in demands.items():
+        if name in spec.models and spec.models[name].adapters and demand.rate:
+            rate = demand.rate * rng.choice((0.0, 0.02, 0.3))
+            found[name] = replace(demand, adapter_rate=rate)
     return found
 
 
@@ -110,11 +110,11 @@
     tight = rng.random() < 0.3
     models = {spec.name: spec for spec in _models(rng, tight)}
     spec = EngineSpec(rng.choice((90_000.0, 200_000.0)), 8, 24, 15.0, models)
-    wants = _wants(rng, spec, idle=rng.random() < 0.15, tight=tight)
-    wants = _with_adapters_missed(random.Random(f"adapters {seed}"), spec, wants)
+    demands = _demands(rng, spec, idle=rng.random() < 0.15, tight=tight)
+    demands = _with_adapters_missed(random.Random(f"adapters {seed}"), spec, demands)
     backends = []
     for number in range(rng.choice((1, 3, 9, 29))):
-        state = _engine(rng, number, spec, wants, tight)
+        state = _engine(rng, number, spec, demands, tight)
         leaving = rng.random() < 0.03
         record = Registered(
             f"i-{number}", "s", f"10.0.0.{number}:80", "z", 24, leaving, number
@@ -126,4 +126,4 @@
         if rng.random() < 0.1:
             found.mark_unreachable(NOW - 0.5)
         backends.append(found)
-    return spec, backends, wants, rng.choice((1, 2, 4))
+    return spec, backends, demands, rng.choice((1, 2, 4))
--- a/tests/gateway/common/rare_replay.py
+++ b/tests/gateway/common/rare_replay.py
@@ -11,12 +11,12 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from bambootiller_core.gateway.demand import Demand
+from bambootiller_core.gateway.demand_tracker import DemandTracker
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.model_demand import NO_DEMAND
 from bambootiller_core.gateway.order_demand import SHORTEST_TURN_S
 from bambootiller_core.gateway.places import choose_victims, copies_at, keep_values
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import NO_WANT
 from tests.gateway.common import samples
 
 TICK_S = 0.1
@@ -114,7 +114,7 @@
         ]
         for engine in self.engines:
             engine.held = {name: 0.0 for name in sorted(engine.copies)[:HELD]}
-        self.demand = Demand()
+        self.demand_tracker = DemandTracker()
         self._waiting = []
         self._returning = []
         self.now = 0.0
@@ -179,8 +179,8 @@
                 arrived.append(Caller(model, adapter, self.now, left_s=left_s))
         for caller in arrived:
             caller.arrived = self.now
-            self.demand.asked(self.now, caller.model)
-            self.demand.begin_waiting(self.now, caller.model)
+            self.demand_tracker.asked(self.now, caller.model)
+            self.demand_tracker.begin_waiting(self.now, caller.model)
             self._waiting.append(caller)
 
     def _serve_held(self):
@@ -216,7 +216,7 @@
                 return engine
         if holders and not caller.missed_adapter:
             caller.missed_adapter = True
-            self.demand.adapter_missed(self.now, caller.model)
+            self.demand_tracker.adapter_missed(self.now, caller.model)
         return None
 
     def _is_in_time(self, caller):
@@ -235,7 +235,7 @@
         most_s = min(self._patience.away_s, left_s / 3)
         come_back_s = min(max(0.2, ready_in_s), most_s)
         expected_s = come_back_s if caller.again else None
-        self.demand.refused(
+        self.demand_tracker.refused(
             self.now, caller.model, come_back_s, returns_in_s=expected_s
         )
         self._end(caller, served=False)
@@ -247,9 +247,9 @@
             self._returning.append((self.now + come_back_s, again))
 
     def _end(self, caller, served):
-        self.demand.end_waiting(caller.arrived, caller.model)
+        self.demand_tracker.end_waiting(caller.arrived, caller.model)
         if not served:
-            self.demand.unserved(caller.arrived, caller.model)
+            self.demand_tracker.unserved(caller.arrived, caller.model)
         self.ends[(caller.model, caller.adapter)].append((self.now, served))
 
     def _end_loads(self):
@@ -268,17 +268,17 @@
                 holders[name] += 1
             for name in copies_at(backend):
                 copies[name] += 1
-        wants = self.demand.wants(self.now, holders, copies)
-        backends = [self._backend(engine, wants) for engine in self.engines]
+        demands = self.demand_tracker.demands(self.now, holders, copies)
+        backends = [self._backend(engine, demands) for engine in self.engines]
         planner = Planner(self.spec, self._store_loads)
-        self._plan = planner.plan(self.now, backends, wants)
+        self._plan = planner.plan(self.now, backends, demands)
         by_name = {engine.name: engine for engine in self.engines}
         for load in self._plan.values():
             engine = by_name.get(load.instance)
             if load.ask_now and not engine.loading:
-                self._load(engine, load.model, wants)
+                self._load(engine, load.model, demands)
 
-    def _backend(self, engine, wants=None):
+    def _backend(self, engine, demands=None):
         loading = None
         if engine.loading:
             left_s = max(0.0, engine.ends_at - self.now)
@@ -291,14 +291,14 @@
             busy=loading is not None,
             on_disk=frozenset(engine.copies),
             in_use={name: 1 for name, ends in engine.held.items() if ends > self.now},
-            keep_values=keep_values(engine.held, wants or {}),
+            keep_values=keep_values(engine.held, demands or {}),
             memory_mb_used=40.0 * (len(engine.held) + bool(loading)),
         )
         return samples.backend(engine.name, self.now, state, service="llm")
 
-    def _load(self, engine, model, wants):
+    def _load(self, engine, model, demands):
         need_mb = 40.0 * (len(engine.held) + 1) - self.spec.memory_mb
-        values = keep_values(engine.held, wants)
+        values = keep_values(engine.held, demands)
         for name in engine.held:
             if self.now - engine.loaded_at.get(name, -1.0) < SHORTEST_TURN_S:
                 values[name] = float("inf")
@@ -308,7 +308,7 @@
             need_mb,
             {name: 1 for name, ends in engine.held.items() if ends > self.now},
             values,
-            wants.get(model, NO_WANT),
+            demands.get(model, NO_DEMAND),
             self._load_s,
         )
         if victims is None:
--- a/tests/gateway/common/replay.py
+++ b/tests/gateway/common/replay.py
@@ -10,11 +10,11 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from bambootiller_core.gateway.demand import MEMORY_S
+from bambootiller_core.gateway.demand_tracker import MEMORY_S
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.places import choose_victims, keep_values
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import NO_WANT, Want
 from tests.gateway.common import samples
 
 ENGINES = 6
@@ -126,12 +126,12 @@
             if not staying:
                 del self._waiting[model]
 
-    def _wants(self, now):
-        wants = {}
+    def _demands(self, now):
+        demands = {}
         for model, rate in self._rates.items():
             since = self._waiting.get(model, [])
             left = [at + TARGET_S - now for at in since if at + TARGET_S > now]
-            wants[model] = Want(
+            demands[model] = Demand(
                 rate,
                 len(since),
                 sum(model in engine.held for engine in self._engines),
@@ -139,19 +139,19 @@
                 sum(model in engine.copies for engine in self._engines),
                 min(left, default=0.0) if self._tells else 0.0,
             )
-        return wants
+        return demands
 
     def _order(self, now):
-        wants = self._wants(now)
-        backends = [self._backend(now, engine, wants) for engine in self._engines]
-        plan = Planner(self._spec, STORE_LOADS).plan(now, backends, wants)
+        demands = self._demands(now)
+        backends = [self._backend(now, engine, demands) for engine in self._engines]
+        plan = Planner(self._spec, STORE_LOADS).plan(now, backends, demands)
         by_name = {engine.name: engine for engine in self._engines}
         for load in plan.values():
             engine = by_name.get(load.instance)
             if load.ask_now and not engine.loading:
-                self._load(now, engine, load.model, wants)
+                self._load(now, engine, load.model, demands)
 
-    def _backend(self, now, engine, wants):
+    def _backend(self, now, engine, demands):
         loading = None
         if engine.loading:
             left_s = engine.ends_at - now
@@ -163,20 +163,20 @@
             busy=loading is not None,
             on_disk=frozenset(engine.copies),
             in_use=engine.in_use(now),
-            keep_values=keep_values(engine.held, wants),
+            keep_values=keep_values(engine.held, demands),
             memory_mb_used=40.0 * (len(engine.held) + bool(loading)),
         )
         return samples.backend(engine.name, now, state, service="llm")
 
-    def _load(self, now, engine, model, wants):
+    def _load(self, now, engine, model, demands):
         need_mb = 40.0 * (len(engine.held) + 1) - self._spec.memory_mb
         victims = choose_victims(
             self._spec,
             {name: frozenset() for name in engine.held},
             need_mb,
             engine.in_use(now),
-            keep_values(engine.held, wants),
-            wants.get(model, NO_WANT),
+            keep_values(engine.held, demands),
+            demands.get(model, NO_DEMAND),
             LOAD_S,
         )
         if victims is None:
--- a/tests/gateway/cover/test_collecting.py
+++ b/tests/gateway/cover/test_collecting.py
@@ -13,11 +13,11 @@
     greater,
     moved,
 )
-from bambootiller_core.gateway.demand import MEMORY_S
+from bambootiller_core.gateway.demand_tracker import MEMORY_S
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_demand import EntriesSay
-from bambootiller_core.gateway.order_messages import Wish
-from bambootiller_core.gateway.want import Want
+from bambootiller_core.gateway.order_messages import LoadRequest
 from tests.gateway.common import samples
 from tests.gateway.failures.test_engines import App, Known
 
@@ -45,49 +45,49 @@
         """
         for step in range(1, 11):
             seconds = step * 0.5
-            wants = {"poet": Want(rate=math.exp(-seconds / MEMORY_S))}
-            self.assertFalse(moved({"poet": Want(rate=1.0)}, wants, seconds))
+            demands = {"poet": Demand(rate=math.exp(-seconds / MEMORY_S))}
+            self.assertFalse(moved({"poet": Demand(rate=1.0)}, demands, seconds))
 
     def test_an_agent_lets_it_fade_as_the_entry_does(self):
         say = EntriesSay()
-        say.told(1.0, "e1", {"poet": Want(rate=1.0)}, {})
+        say.told(1.0, "e1", {"poet": Demand(rate=1.0)}, {})
         for now in (1.5, 2.0, 3.0):
             say.forget(now)
             self.assertAlmostEqual(
-                say.wants()["poet"].rate, math.exp((1.0 - now) / MEMORY_S), delta=0.05
+                say.demands()["poet"].rate, math.exp((1.0 - now) / MEMORY_S), delta=0.05
             )
 
     def test_the_age_of_calls_without_an_answer_is_told_once(self):
-        told = {"poet": Want(unserved=2.0, unserved_s=3.0)}
-        wants = {"poet": Want(unserved=2.0, unserved_s=13.0)}
-        self.assertFalse(moved(told, wants, elapsed_s=10.0))
-        self.assertTrue(moved(told, {"poet": Want(unserved=3.0)}, elapsed_s=0.1))
-        self.assertTrue(moved(told, {"poet": Want()}, elapsed_s=0.1))
+        told = {"poet": Demand(unserved=2.0, unserved_s=3.0)}
+        demands = {"poet": Demand(unserved=2.0, unserved_s=13.0)}
+        self.assertFalse(moved(told, demands, elapsed_s=10.0))
+        self.assertTrue(moved(told, {"poet": Demand(unserved=3.0)}, elapsed_s=0.1))
+        self.assertTrue(moved(told, {"poet": Demand()}, elapsed_s=0.1))
 
     def test_an_agent_lets_that_age_grow(self):
         say = EntriesSay()
-        say.told(1.0, "e1", {"poet": Want(unserved=2.0, unserved_s=3.0)}, {})
-        say.told(2.0, "e2", {"poet": Want(unserved=1.0, unserved_s=0.5)}, {})
+        say.told(1.0, "e1", {"poet": Demand(unserved=2.0, unserved_s=3.0)}, {})
+        say.told(2.0, "e2", {"poet": Demand(unserved=1.0, unserved_s=0.5)}, {})
         say.forget(2.0)
-        want = say.wants()["poet"]
-        self.assertEqual((want.unserved, want.unserved_s), (3.0, 4.0))
+        demand = say.demands()["poet"]
+        self.assertEqual((demand.unserved, demand.unserved_s), (3.0, 4.0))
 
     def test_it_travels_both_ways(self):
-        want = Want(0.5, 1, adapter_rate=0.25, unserved=2.5, unserved_s=3.5)
+        demand = Demand(0.5, 1, adapter_rate=0.25, unserved=2.5, unserved_s=3.5)
         self.assertEqual(
-            wire.wants_of(wire.demand_messages({"poet": want})), {"poet": want}
+            wire.demands_of(wire.demand_messages({"poet": demand})), {"poet": demand}
         )
 
     def test_a_rate_that_rises_is_told(self):
-        self.assertTrue(moved({"poet": Want(rate=1.0)}, {"poet": Want(rate=1.3)}))
+        self.assertTrue(moved({"poet": Demand(rate=1.0)}, {"poet": Demand(rate=1.3)}))
 
 
 class TestTotals(unittest.TestCase):
     def test_the_collector_that_knows_of_more_counts(self):
         totals = Totals()
-        totals.told(1.0, "tutor", "h1", {"poet": Want(3.0, 1)})
-        totals.told(1.0, "tutor", "h2", {"poet": Want(2.0, 4)})
-        self.assertEqual(totals.of(1.5, "tutor")["poet"], Want(3.0, 4))
+        totals.told(1.0, "tutor", "h1", {"poet": Demand(3.0, 1)})
+        totals.told(1.0, "tutor", "h2", {"poet": Demand(2.0, 4)})
+        self.assertEqual(totals.of(1.5, "tutor")["poet"], Demand(3.0, 4))
 
     def test_a_lost_collectors_word_is_forgotten(self):
         """Symptom: a model that nobody asks for any more keeps an engine.
@@ -95,8 +95,8 @@
         The agent that collected its demand was killed, and its last sum stays.
         """
         totals = Totals()
-        totals.told(1.0, "tutor", "h1", {"poet": Want(3.0, 1)})
-        totals.told(4.0, "tutor", "h2", {"critic": Want(1.0)})
+        totals.told(1.0, "tutor", "h1", {"poet": Demand(3.0, 1)})
+        totals.told(4.0, "tutor", "h2", {"critic": Demand(1.0)})
         self.assertEqual(list(totals.of(4.0, "tutor")), ["critic"])
 
 
@@ -104,17 +104,17 @@
     """How long the next waiting call is in time, as several tell it."""
 
     def test_it_travels_with_the_demand(self):
-        wants = {"tutor": Want(0.5, 1, 0, 0.25, 2, 1.75)}
-        self.assertEqual(wire.wants_of(wire.demand_messages(wants)), wants)
+        demands = {"tutor": Demand(0.5, 1, 0, 0.25, 2, 1.75)}
+        self.assertEqual(wire.demands_of(wire.demand_messages(demands)), demands)
 
     def test_the_entry_with_the_least_time_left_counts(self):
         say = EntriesSay()
-        say.told(1.0, "e1", {"tutor": Want(0.5, 1, in_time_s=2.0)}, {})
-        say.told(1.0, "e2", {"tutor": Want(0.5, 1, in_time_s=0.5)}, {})
-        self.assertEqual(say.wants()["tutor"].in_time_s, 0.5)
+        say.told(1.0, "e1", {"tutor": Demand(0.5, 1, in_time_s=2.0)}, {})
+        say.told(1.0, "e2", {"tutor": Demand(0.5, 1, in_time_s=0.5)}, {})
+        self.assertEqual(say.demands()["tutor"].in_time_s, 0.5)
 
     def test_one_without_such_a_call_does_not(self):
-        early, late = Want(0.5, 1, in_time_s=2.0), Want(0.5, 3)
+        early, late = Demand(0.5, 1, in_time_s=2.0), Demand(0.5, 3)
         for first, second in ((early, late), (late, early)):
             merged = greater({"tutor": first}, {"tutor": second})
             self.assertEqual(merged["tutor"].in_time_s, 2.0)
@@ -124,41 +124,43 @@
     """Callers who wait or are expected back, as several tell them."""
 
     def test_they_travel_with_the_demand_of_those_who_count_them(self):
-        wants = {"tutor": Want(0.5, callers=0.0), "poet": Want(0.5, callers=2.5)}
-        wants["clerk"] = Want(0.5)
-        self.assertEqual(wire.wants_of(wire.demand_messages(wants)), wants)
+        demands = {"tutor": Demand(0.5, callers=0.0), "poet": Demand(0.5, callers=2.5)}
+        demands["clerk"] = Demand(0.5)
+        self.assertEqual(wire.demands_of(wire.demand_messages(demands)), demands)
 
     def test_those_of_all_entries_are_added_up(self):
         say = EntriesSay()
-        say.told(1.0, "e1", {"tutor": Want(0.5, callers=2.0)}, {})
-        say.told(1.0, "e2", {"tutor": Want(0.5, callers=1.5)}, {})
-        say.told(1.0, "e3", {"tutor": Want(0.5)}, {})
-        self.assertEqual(say.wants()["tutor"].callers, 3.5)
+        say.told(1.0, "e1", {"tutor": Demand(0.5, callers=2.0)}, {})
+        say.told(1.0, "e2", {"tutor": Demand(0.5, callers=1.5)}, {})
+        say.told(1.0, "e3", {"tutor": Demand(0.5)}, {})
+        self.assertEqual(say.demands()["tutor"].callers, 3.5)
 
     def test_the_collector_that_knows_of_more_counts(self):
-        counted, other = Want(0.5, callers=2.0), Want(0.6)
+        counted, other = Demand(0.5, callers=2.0), Demand(0.6)
         for first, second in ((counted, other), (other, counted)):
             merged = greater({"tutor": first}, {"tutor": second})
             self.assertEqual(merged["tutor"].callers, 2.0)
 
     def test_one_who_has_gone_is_told(self):
-        self.assertTrue(moved({"poet": Want(callers=1.0)}, {"poet": Want(callers=0.0)}))
-        told = {"poet": Want(callers=1.0)}
-        self.assertFalse(moved(told, {"poet": Want(callers=1.1)}))
+        self.assertTrue(
+            moved({"poet": Demand(callers=1.0)}, {"poet": Demand(callers=0.0)})
+        )
+        told = {"poet": Demand(callers=1.0)}
+        self.assertFalse(moved(told, {"poet": Demand(callers=1.1)}))
 
 
 class TestConcerning(unittest.TestCase):
     def test_an_agent_hears_of_what_its_engine_holds_or_loads(self):
         loading = Loading("critic", 2.0, True)
         state = samples.engine_state("b1", ("poet",), loading=loading)
-        wants = {name: Want(1.0) for name in ("poet", "critic", "clerk")}
-        self.assertEqual(sorted(concerning(wants, state)), ["critic", "poet"])
+        demands = {name: Demand(1.0) for name in ("poet", "critic", "clerk")}
+        self.assertEqual(sorted(concerning(demands, state)), ["critic", "poet"])
 
     def test_without_its_word_it_hears_of_nothing(self):
-        self.assertEqual(concerning({"poet": Want(1.0)}, None), {})
+        self.assertEqual(concerning({"poet": Demand(1.0)}, None), {})
 
 
-class TestWishes(unittest.TestCase):
+class TestLoadRequests(unittest.TestCase):
     def test_the_demand_of_all_comes_with_the_wish(self):
         """Symptom: a model that all entries wait for doesn't make others go.
 
@@ -166,17 +168,21 @@
         others see that this one does.
         """
         update = pb.ResidencyUpdate()
-        wire.add_wish(update, Wish("poet", "", 0, Want(9.0, 30, 0, 1.5)))
-        wish = wire.wish_of(update.wishes[0])
+        wire.add_load_request(
+            update, LoadRequest("poet", "", 0, Demand(9.0, 30, 0, 1.5))
+        )
+        load_request = wire.load_request_of(update.wishes[0])
         say = EntriesSay()
-        say.told(1.0, "e1", {"poet": Want(0.5, 2)}, {})
-        say.wished(1.0, wish)
-        self.assertEqual(say.wants()["poet"], Want(9.0, 30, 0, 1.5))
+        say.told(1.0, "e1", {"poet": Demand(0.5, 2)}, {})
+        say.load_requested(1.0, load_request)
+        self.assertEqual(say.demands()["poet"], Demand(9.0, 30, 0, 1.5))
 
     def test_a_wish_without_demand_stays_without(self):
         update = pb.ResidencyUpdate()
-        wire.add_wish(update, Wish("poet", "a1"))
-        self.assertEqual(wire.wish_of(update.wishes[0]), Wish("poet", "a1"))
+        wire.add_load_request(update, LoadRequest("poet", "a1"))
+        self.assertEqual(
+            wire.load_request_of(update.wishes[0]), LoadRequest("poet", "a1")
+        )
 
 
 class TestSize(unittest.TestCase):
--- a/tests/gateway/cover/test_demand.py
+++ b/tests/gateway/cover/test_demand.py
@@ -2,41 +2,43 @@
 
 import unittest
 
-from bambootiller_core.gateway.demand import (
+from bambootiller_core.gateway.demand_tracker import (
     DUE_BACK_LATE_S,
     DUE_BACK_MOST_S,
     MEMORY_S,
-    Demand,
+    DemandTracker,
 )
-from bambootiller_core.gateway.want import AGING_S
+from bambootiller_core.gateway.model_demand import AGING_S
 
 
 class TestDemand(unittest.TestCase):
     def setUp(self):
-        self.demand = Demand()
+        self.demand_tracker = DemandTracker()
 
-    def want(self, now, model="tutor"):
-        return self.demand.wants(now, {}, {}).get(model)
+    def demand(self, now, model="tutor"):
+        return self.demand_tracker.demands(now, {}, {}).get(model)
 
     def test_a_steady_rate_is_found(self):
         for number in range(400):
-            self.demand.asked(number * 0.1, "tutor")
-        self.assertAlmostEqual(self.want(40.0).rate, 10.0, delta=1.0)
+            self.demand_tracker.asked(number * 0.1, "tutor")
+        self.assertAlmostEqual(self.demand(40.0).rate, 10.0, delta=1.0)
 
     def test_demand_that_ends_is_forgotten(self):
-        self.demand.asked(0.0, "tutor")
-        self.assertIsNone(self.want(20 * MEMORY_S))
+        self.demand_tracker.asked(0.0, "tutor")
+        self.assertIsNone(self.demand(20 * MEMORY_S))
 
     def test_waiting_calls_count_until_they_end(self):
-        self.demand.asked(0.0, "tutor")
-        self.demand.begin_waiting(0.0, "tutor")
-        self.demand.begin_waiting(1.0, "tutor")
-        self.assertEqual(self.want(2.0).waiting, 2)
-        self.assertEqual(self.want(2.0).oldest_s, 2.0)
-        self.demand.end_waiting(0.0, "tutor")
-        self.assertEqual((self.want(2.0).waiting, self.want(2.0).oldest_s), (1, 1.0))
-        self.demand.end_waiting(1.0, "tutor")
-        self.assertEqual(self.want(2.0).waiting, 0)
+        self.demand_tracker.asked(0.0, "tutor")
+        self.demand_tracker.begin_waiting(0.0, "tutor")
+        self.demand_tracker.begin_waiting(1.0, "tutor")
+        self.assertEqual(self.demand(2.0).waiting, 2)
+        self.assertEqual(self.demand(2.0).oldest_s, 2.0)
+        self.demand_tracker.end_waiting(0.0, "tutor")
+        self.assertEqual(
+            (self.demand(2.0).waiting, self.demand(2.0).oldest_s), (1, 1.0)
+        )
+        self.demand_tracker.end_waiting(1.0, "tutor")
+        self.assertEqual(self.demand(2.0).waiting, 0)
 
     def test_a_refused_call_counts_as_waiting_for_a_while(self):
         """Symptom: a model that demand has moved to isn't loaded for ten seconds.
@@ -44,47 +46,49 @@
         Its calls are refused at once and so never wait, and the load goes to models
         with a single caller that does.
         """
-        self.demand.asked(0.0, "tutor")
+        self.demand_tracker.asked(0.0, "tutor")
         for number in range(6):
-            self.demand.refused(number * 0.1, "tutor", come_back_s=6.0)
-        self.assertEqual(self.want(1.0).waiting, 6)
-        self.assertEqual(self.want(1.0 + DUE_BACK_MOST_S).waiting, 0)
+            self.demand_tracker.refused(number * 0.1, "tutor", come_back_s=6.0)
+        self.assertEqual(self.demand(1.0).waiting, 6)
+        self.assertEqual(self.demand(1.0 + DUE_BACK_MOST_S).waiting, 0)
 
     def test_calls_without_an_answer_count_until_an_engine_holds_the_model(self):
         """A model was passed over as its callers, refused at once, never waited."""
-        self.demand.asked(0.0, "tutor")
-        self.demand.unserved(0.0, "tutor")
-        self.demand.unserved(6.0, "tutor", weight=0.5)
-        want = self.want(9.0)
-        self.assertEqual((want.waiting, want.unserved, want.unserved_s), (0, 1.5, 9.0))
-        self.assertEqual(want.awaited, 1.5 + 9.0 / AGING_S)
-        held = self.demand.wants(9.0, {"tutor": 1}, {})["tutor"]
+        self.demand_tracker.asked(0.0, "tutor")
+        self.demand_tracker.unserved(0.0, "tutor")
+        self.demand_tracker.unserved(6.0, "tutor", weight=0.5)
+        demand = self.demand(9.0)
+        self.assertEqual(
+            (demand.waiting, demand.unserved, demand.unserved_s), (0, 1.5, 9.0)
+        )
+        self.assertEqual(demand.awaited, 1.5 + 9.0 / AGING_S)
+        held = self.demand_tracker.demands(9.0, {"tutor": 1}, {})["tutor"]
         self.assertEqual((held.unserved, held.awaited), (0.0, 0))
-        self.assertEqual(self.want(9.5).unserved, 0.0)
+        self.assertEqual(self.demand(9.5).unserved, 0.0)
 
     def test_calls_without_an_answer_are_forgotten_with_the_demand(self):
-        self.demand.asked(0.0, "tutor")
-        self.demand.unserved(0.0, "tutor")
-        self.assertIsNone(self.want(20 * MEMORY_S))
-        self.demand.asked(21 * MEMORY_S, "tutor")
-        self.assertEqual(self.want(21 * MEMORY_S).unserved, 0.0)
+        self.demand_tracker.asked(0.0, "tutor")
+        self.demand_tracker.unserved(0.0, "tutor")
+        self.assertIsNone(self.demand(20 * MEMORY_S))
+        self.demand_tracker.asked(21 * MEMORY_S, "tutor")
+        self.assertEqual(self.demand(21 * MEMORY_S).unserved, 0.0)
 
     def test_a_caller_told_to_come_soon_is_not_waited_for_longer(self):
-        self.demand.asked(0.0, "tutor")
-        self.demand.refused(0.0, "tutor", come_back_s=0.3)
-        self.assertEqual(self.want(0.3).waiting, 1)
-        self.assertEqual(self.want(0.4 + DUE_BACK_LATE_S).waiting, 0)
+        self.demand_tracker.asked(0.0, "tutor")
+        self.demand_tracker.refused(0.0, "tutor", come_back_s=0.3)
+        self.assertEqual(self.demand(0.3).waiting, 1)
+        self.assertEqual(self.demand(0.4 + DUE_BACK_LATE_S).waiting, 0)
 
     def test_the_next_call_that_would_be_late_tells_how_long_it_is_in_time(self):
-        self.demand.asked(0.0, "tutor")
-        self.demand.begin_waiting(0.0, "tutor", due=0.5)
-        self.demand.begin_waiting(0.0, "tutor", due=4.0)
-        self.demand.begin_waiting(1.0, "tutor", due=9.0)
-        self.assertEqual(self.want(1.0).in_time_s, 3.0)
-        self.demand.end_waiting(0.0, "tutor", due=4.0)
-        self.assertEqual(self.want(1.0).in_time_s, 8.0)
+        self.demand_tracker.asked(0.0, "tutor")
+        self.demand_tracker.begin_waiting(0.0, "tutor", due=0.5)
+        self.demand_tracker.begin_waiting(0.0, "tutor", due=4.0)
+        self.demand_tracker.begin_waiting(1.0, "tutor", due=9.0)
+        self.assertEqual(self.demand(1.0).in_time_s, 3.0)
+        self.demand_tracker.end_waiting(0.0, "tutor", due=4.0)
+        self.assertEqual(self.demand(1.0).in_time_s, 8.0)
 
     def test_calls_that_are_late_already_are_in_time_no_more(self):
-        self.demand.asked(0.0, "tutor")
-        self.demand.begin_waiting(0.0, "tutor", due=0.5)
-        self.assertEqual(self.want(1.0).in_time_s, 0.0)
+        self.demand_tracker.asked(0.0, "tutor")
+        self.demand_tracker.begin_waiting(0.0, "tutor", due=0.5)
+        self.assertEqual(self.demand(1.0).in_time_s, 0.0)
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -7,8 +7,8 @@
 from bambootiller.gateway.knowledge import Changes
 from bambootiller_core.gateway.collecting import planners
 from bambootiller_core.gateway.fleet import AGENT_SILENT_S, Fleet
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import Want
 from bambootiller_core.timers import TimerService
 from tests.gateway.common import samples
 
@@ -51,13 +51,13 @@
         app = App("e1")
         known = Known(app)
         known.fleet.engine_told(app.at, samples.engine_state("b1", ["m1"]))
-        plans = EnginePlans(app, known, lambda backend, wish: True)
+        plans = EnginePlans(app, known, lambda backend, load_request: True)
         plans.demand(SERVICE).asked(app.at, "m1")
-        self.assertEqual(plans.own_wants(SERVICE)["m1"].holders, 1)
+        self.assertEqual(plans.own_demands(SERVICE)["m1"].holders, 1)
         known.fleet.get("b1").mark_unreachable(app.at)
         app.at += AGENT_SILENT_S + 0.1
-        want = plans.own_wants(SERVICE)["m1"]
-        self.assertEqual((want.holders, want.copies), (0, 0))
+        demand = plans.own_demands(SERVICE)["m1"]
+        self.assertEqual((demand.holders, demand.copies), (0, 0))
 
 
 class TestWhoPlans(unittest.TestCase):
@@ -69,7 +69,9 @@
 
     def start(self, instance):
         self.app = App(instance)
-        self.plans = EnginePlans(self.app, Known(self.app), lambda backend, wish: True)
+        self.plans = EnginePlans(
+            self.app, Known(self.app), lambda backend, load_request: True
+        )
         self.plans.entries = ENTRIES
         self.demand = self.plans.demand(SERVICE)
         self.demand.asked(self.app.at, "m1")
@@ -98,6 +100,6 @@
 
     def test_who_sees_to_loads_plans_for_the_refused_callers_of_others(self):
         self.start(planners(ENTRIES)[0])
-        wants = {f"m{number}": Want(0.1, waiting=1) for number in range(40)}
-        self.plans.totals_told(self.app.at, SERVICE, "10.0.0.1", wants)
+        demands = {f"m{number}": Demand(0.1, waiting=1) for number in range(40)}
+        self.plans.totals_told(self.app.at, SERVICE, "10.0.0.1", demands)
         self.assertGreater(self.plans_in(1.0), 5)
--- a/tests/gateway/cover/test_first_look.py
+++ b/tests/gateway/cover/test_first_look.py
@@ -105,9 +105,11 @@
     """
 
     def setUp(self):
-        self.app, self.known, self.wishes = App(), Known(), []
+        self.app, self.known, self.load_requests = App(), Known(), []
         self.plans = EnginePlans(
-            self.app, self.known, lambda backend, wish: self.wishes.append(wish.model)
+            self.app,
+            self.known,
+            lambda backend, load_request: self.load_requests.append(load_request.model),
         )
         self.plans.entries = ("e1",)
         self.known.list(self.app.at, "b1", "10.0.0.1:1")
@@ -129,10 +131,10 @@
         self.run_for(0.4)
         self.speak("b2", on_disk=frozenset({"tutor"}))
         self.run_for(3.0)
-        self.assertEqual(self.wishes, [])
+        self.assertEqual(self.load_requests, [])
 
     def test_what_nobody_has_a_copy_of_is_fetched_soon(self):
         self.run_for(0.8)
-        self.assertEqual(self.wishes, [])
+        self.assertEqual(self.load_requests, [])
         self.run_for(0.4)
-        self.assertEqual(set(self.wishes), {"tutor"})
+        self.assertEqual(set(self.load_requests), {"tutor"})
--- a/tests/gateway/cover/test_moving.py
+++ b/tests/gateway/cover/test_moving.py
@@ -3,18 +3,18 @@
 import unittest
 
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 from tests.gateway.cover.test_residency import NOW, engine_backend
 
 BUSY = {
-    "tutor": Want(3.0, 0, 1, 0.0, 2),
-    "poet": Want(3.5, 0, 1, 0.0, 1),
+    "tutor": Demand(3.0, 0, 1, 0.0, 2),
+    "poet": Demand(3.5, 0, 1, 0.0, 1),
     # Much more than these, or they would get a second engine anyway.
-    "others": Want(100.0, 0, 3, 0.0, 3),
+    "others": Demand(100.0, 0, 3, 0.0, 3),
 }
-AWAITED = Want(2.0, 6, 0, 1.0, 1)
+AWAITED = Demand(2.0, 6, 0, 1.0, 1)
 
 
 class TestMoving(unittest.TestCase):
@@ -38,9 +38,9 @@
         fields = {"on_disk": frozenset({"tutor"}), **fields}
         return engine_backend("b2", holdings, **fields)
 
-    def plan(self, *backends, clerk=AWAITED, **wants):
-        wants = {**BUSY, "clerk": clerk, **wants}
-        return Planner(self.spec, 4).plan(NOW, backends, wants)
+    def plan(self, *backends, clerk=AWAITED, **demands):
+        demands = {**BUSY, "clerk": clerk, **demands}
+        return Planner(self.spec, 4).plan(NOW, backends, demands)
 
     def test_a_model_in_the_way_is_loaded_where_it_has_a_copy(self):
         """Symptom: demand moves to a model, and its calls are refused for 6 seconds.
@@ -66,21 +66,21 @@
         """The store's turn was left to one of these, and the move with it."""
         names = ("tutor", "poet", "clerk", "scribe", "extra", "new")
         self.spec = samples.engine(*map(samples.model, names))
-        wants = {**BUSY, "clerk": AWAITED, "new": Want(0.1, 0)}
+        demands = {**BUSY, "clerk": AWAITED, "new": Demand(0.1, 0)}
         for ends_in_s in ([], [9.0]):
             planner = Planner(self.spec, 1, ends_elsewhere=ends_in_s)
-            plan = planner.plan(NOW, [self.first(), self.second()], wants)
+            plan = planner.plan(NOW, [self.first(), self.second()], demands)
             self.assertEqual(plan["clerk"].instance, "b1")
             self.assertFalse(plan["clerk"].from_store)
 
     def test_once_it_is_held_twice_it_makes_way(self):
         first = self.first(keep_values={"tutor": 0.4, "poet": 3.5})
-        wants = {"tutor": Want(3.0, 0, 2, 0.0, 2)}
-        plan = self.plan(first, self.second(("scribe", "tutor")), **wants)
+        demands = {"tutor": Demand(3.0, 0, 2, 0.0, 2)}
+        plan = self.plan(first, self.second(("scribe", "tutor")), **demands)
         self.assertEqual((plan["clerk"].instance, plan["clerk"].ask_now), ("b1", True))
 
     def test_a_single_call_moves_nothing(self):
-        plan = self.plan(self.first(), self.second(), clerk=Want(0.1, 1, 0, 0.1, 1))
+        plan = self.plan(self.first(), self.second(), clerk=Demand(0.1, 1, 0, 0.1, 1))
         self.assertNotIn("tutor", plan)
         self.assertTrue(plan["clerk"].from_store)
 
@@ -89,8 +89,8 @@
         self.assertTrue(plan["clerk"].from_store)
 
     def test_a_model_that_many_calls_use_is_not_moved(self):
-        wants = {"tutor": Want(30.0, 0, 1, 0.0, 2)}
-        plan = self.plan(self.first(), self.second(), **wants)
+        demands = {"tutor": Demand(30.0, 0, 1, 0.0, 2)}
+        plan = self.plan(self.first(), self.second(), **demands)
         self.assertTrue(plan["clerk"].from_store)
 
 
@@ -108,7 +108,7 @@
                 engine_backend(first, on_disk=copies),
                 engine_backend(second),
             ]
-            plan = Planner(spec, 4).plan(NOW, backends, {"m0": Want(0.1, 1)})
+            plan = Planner(spec, 4).plan(NOW, backends, {"m0": Demand(0.1, 1)})
             self.assertEqual(plan["m0"].instance, second)
 
     def test_copies_that_others_have_as_well_do_not_count(self):
@@ -116,16 +116,16 @@
         copies = frozenset({"m1", "m2", "m3"})
         backends = [engine_backend("b1", on_disk=copies)]
         backends.append(engine_backend("b2", on_disk=copies | {"m4"}))
-        plan = Planner(spec, 4).plan(NOW, backends, {"m0": Want(0.1, 1)})
+        plan = Planner(spec, 4).plan(NOW, backends, {"m0": Demand(0.1, 1)})
         self.assertEqual(plan["m0"].instance, "b1")
 
 
 class TestKeeping(unittest.TestCase):
     def test_of_equals_the_one_with_a_copy_elsewhere_goes_first(self):
-        alone, copied = Want(0.0, 0, 1, 0.0, 1), Want(0.0, 0, 1, 0.0, 2)
+        alone, copied = Demand(0.0, 0, 1, 0.0, 1), Demand(0.0, 0, 1, 0.0, 2)
         self.assertGreater(alone.value_of_one, copied.value_of_one)
 
     def test_where_copies_are_not_known_nothing_is_assumed(self):
         self.assertEqual(
-            Want(1.0, 0, 1).value_of_one, Want(1.0, 0, 1, 0.0, 1).value_of_one
+            Demand(1.0, 0, 1).value_of_one, Demand(1.0, 0, 1, 0.0, 1).value_of_one
         )
--- a/tests/gateway/cover/test_obstacles.py
+++ b/tests/gateway/cover/test_obstacles.py
@@ -3,8 +3,8 @@
 import unittest
 
 from bambootiller_core.gateway.log_lines import Obstacles, PlanSeen
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 from tests.gateway.common.samples import engine_backend
 
@@ -12,13 +12,13 @@
 
 
 class TestObstacles(unittest.TestCase):
-    def seen(self, *backends, wants=None):
+    def seen(self, *backends, demands=None):
         names = ("tutor", "poet", "coder")
         spec = samples.engine(*[samples.model(name) for name in names])
-        wants = {"tutor": Want(0.2, 1), **(wants or {})}
+        demands = {"tutor": Demand(0.2, 1), **(demands or {})}
         planner = Planner(spec, 1)
-        planner.plan(NOW, backends, wants)
-        return planner.obstacles("tutor", wants["tutor"])
+        planner.plan(NOW, backends, demands)
+        return planner.obstacles("tutor", demands["tutor"])
 
     def test_an_engine_whose_agent_is_silent_takes_no_orders(self):
         silent = engine_backend(NOW - 60.0, "b1")
@@ -39,7 +39,7 @@
 
     def test_a_model_that_the_configuration_does_not_know_has_none(self):
         planner = Planner(samples.engine(), 1)
-        self.assertIsNone(planner.obstacles("nobody", Want()))
+        self.assertIsNone(planner.obstacles("nobody", Demand()))
 
     def test_a_refusal_tells_them(self):
         line = samples.refused(PlanSeen(obstacles=Obstacles(no_room=2)))
--- a/tests/gateway/cover/test_residency.py
+++ b/tests/gateway/cover/test_residency.py
@@ -4,11 +4,11 @@
 import unittest
 
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_demand import EntriesSay
-from bambootiller_core.gateway.order_messages import WAITED_FOR, Wish
+from bambootiller_core.gateway.order_messages import WAITED_FOR, LoadRequest
 from bambootiller_core.gateway.places import choose_victims, keep_values
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 
 NOW = 5.0
@@ -24,11 +24,11 @@
             samples.model("tutor"), samples.model("poet"), samples.model("clerk")
         )
 
-    def plan(self, backends, **wants):
-        return Planner(self.spec, STORE_LOADS).plan(NOW, backends, wants)
+    def plan(self, backends, **demands):
+        return Planner(self.spec, STORE_LOADS).plan(NOW, backends, demands)
 
     def test_a_model_with_waiting_calls_is_asked_for_now(self):
-        load = self.plan([engine_backend("b1")], tutor=Want(0.1, 1))["tutor"]
+        load = self.plan([engine_backend("b1")], tutor=Demand(0.1, 1))["tutor"]
         self.assertTrue(load.ask_now)
         self.assertTrue(load.from_store)
 
@@ -38,7 +38,7 @@
             engine_backend("b2", on_disk=frozenset({"tutor"})),
             engine_backend("b3"),
         ]
-        load = self.plan(backends, tutor=Want(0.1, 1))["tutor"]
+        load = self.plan(backends, tutor=Demand(0.1, 1))["tutor"]
         self.assertEqual(load.instance, "b2")
         self.assertLess(load.ready_in_s, 1.0)
 
@@ -49,21 +49,21 @@
             engine_backend("b2", on_disk=frozenset({"tutor"}), loading=busy),
         ]
         # With two engines the store serves one load, and that is under way.
-        load = self.plan(backends, tutor=Want(0.1, 1))["tutor"]
+        load = self.plan(backends, tutor=Demand(0.1, 1))["tutor"]
         self.assertAlmostEqual(load.ready_in_s, 9.85)
         backends += [engine_backend("b3"), engine_backend("b4")]
-        load = self.plan(backends, tutor=Want(0.1, 1))["tutor"]
+        load = self.plan(backends, tutor=Demand(0.1, 1))["tutor"]
         self.assertNotEqual(load.instance, "b2")
         self.assertTrue(load.from_store and load.ask_now)
 
     def test_a_held_model_is_not_loaded_again(self):
-        plan = self.plan([engine_backend("b1", ["tutor"])], tutor=Want(0.01, 0))
+        plan = self.plan([engine_backend("b1", ["tutor"])], tutor=Demand(0.01, 0))
         self.assertNotIn("tutor", plan)
 
     def test_a_load_under_way_is_in_the_plan_and_not_asked_for(self):
         loading = Loading("tutor", 2.0, True)
         backends = [engine_backend("b1", loading=loading), engine_backend("b2")]
-        load = self.plan(backends, tutor=Want(0.1, 1))["tutor"]
+        load = self.plan(backends, tutor=Demand(0.1, 1))["tutor"]
         self.assertFalse(load.ask_now)
         self.assertEqual(load.ready_in_s, 2.0)
 
@@ -71,7 +71,7 @@
         names = [f"m{n}" for n in range(8)]
         self.spec = samples.engine(*(samples.model(name) for name in names))
         backends = [engine_backend(f"b{n}") for n in range(8)]
-        plan = self.plan(backends, **{name: Want(0.1, 1) for name in names})
+        plan = self.plan(backends, **{name: Demand(0.1, 1) for name in names})
         asked = [load for load in plan.values() if load.ask_now]
         self.assertEqual(len(asked), STORE_LOADS)
         late = [load.ready_in_s for load in plan.values() if not load.ask_now]
@@ -88,50 +88,52 @@
         self.assertEqual(models[int(next(iter(plan))[1:])].load_s, 14.0)
 
     def test_while_calls_come_nothing_is_fetched_that_nobody_asks_for(self):
-        plan = self.plan([engine_backend("b1", ["tutor"])], tutor=Want(0.01, 0))
+        plan = self.plan([engine_backend("b1", ["tutor"])], tutor=Demand(0.01, 0))
         self.assertEqual(plan, {})
 
     def test_a_much_wanted_model_gets_a_second_engine(self):
         backends = [engine_backend("b1", ["tutor"]), engine_backend("b2")]
-        load = self.plan(backends, tutor=Want(9.0, 0))["tutor"]
+        load = self.plan(backends, tutor=Demand(9.0, 0))["tutor"]
         self.assertEqual(load.instance, "b2")
 
     def test_a_model_that_only_a_lost_engine_holds_is_loaded_elsewhere(self):
         lost = engine_backend("b1", ("tutor",))
         lost.heard_at = NOW - 2.0
         backends = [lost, engine_backend("b2")]
-        wants = {"tutor": Want(2.0, 3), "poet": Want(90.0)}
-        self.assertNotIn("tutor", self.plan(backends, **wants))
+        demands = {"tutor": Demand(2.0, 3), "poet": Demand(90.0)}
+        self.assertNotIn("tutor", self.plan(backends, **demands))
         lost.mark_unreachable(NOW - 0.1)
-        load = self.plan(backends, **wants)["tutor"]
+        load = self.plan(backends, **demands)["tutor"]
         self.assertEqual((load.instance, load.ask_now), ("b2", True))
 
     def test_an_engine_whose_agent_is_silent_gets_no_load(self):
         backend = engine_backend("b1")
         backend.heard_at = NOW - 60
-        self.assertEqual(self.plan([backend], tutor=Want(0.1, 1)), {})
+        self.assertEqual(self.plan([backend], tutor=Demand(0.1, 1)), {})
 
     def test_a_long_load_goes_nowhere_where_it_costs_more_calls_than_it_serves(self):
         """The engine is the last one that can take an order for the adapters."""
         backends = [engine_backend("b1", ["tutor"])]
-        wants = {"tutor": Want(3.0, 0, adapter_rate=1.0), "poet": Want(0.1, 1)}
-        self.assertNotIn("poet", self.plan(backends, **wants))
+        demands = {"tutor": Demand(3.0, 0, adapter_rate=1.0), "poet": Demand(0.1, 1)}
+        self.assertNotIn("poet", self.plan(backends, **demands))
         another = engine_backend("b2", ["tutor"])
-        self.assertIn("poet", self.plan([*backends, another], **wants))
+        self.assertIn("poet", self.plan([*backends, another], **demands))
 
     def test_a_long_load_goes_where_it_keeps_fewer_calls_from_their_adapters(self):
         backends = [engine_backend("b1", ["tutor"]), engine_backend("b2", ["coder"])]
         for rates in ((0.1, 0.0), (0.0, 0.1)):
-            tutor, coder = [Want(3.0, 0, adapter_rate=rate) for rate in rates]
-            plan = self.plan(backends, tutor=tutor, coder=coder, poet=Want(0.1, 1))
+            tutor, coder = [Demand(3.0, 0, adapter_rate=rate) for rate in rates]
+            plan = self.plan(backends, tutor=tutor, coder=coder, poet=Demand(0.1, 1))
             expected = "b1" if rates[0] < rates[1] else "b2"
             self.assertEqual(plan["poet"].instance, expected)
 
 
 class TestTurns(unittest.TestCase):
-    def plan(self, **wants):
-        spec = samples.engine(*(samples.model(name) for name in sorted(wants)))
-        return list(Planner(spec, STORE_LOADS).plan(NOW, [engine_backend("b1")], wants))
+    def plan(self, **demands):
+        spec = samples.engine(*(samples.model(name) for name in sorted(demands)))
+        return list(
+            Planner(spec, STORE_LOADS).plan(NOW, [engine_backend("b1")], demands)
+        )
 
     def test_the_calls_that_have_waited_longest_are_served_first(self):
         """Symptom: calls are held for seconds and then refused after all.
@@ -139,11 +141,11 @@
         They were told to wait, as the plan had their model there in time. Models asked
         for later went before them, because a little more demand made them so.
         """
-        plan = self.plan(early=Want(0.1, 1, 0, 3.0), late=Want(0.5, 3, 0, 1.0))
+        plan = self.plan(early=Demand(0.1, 1, 0, 3.0), late=Demand(0.5, 3, 0, 1.0))
         self.assertEqual(plan, ["early", "late"])
 
     def test_a_model_that_many_calls_wait_for_goes_before_all(self):
-        plan = self.plan(early=Want(0.1, 1, 0, 3.0), hot=Want(5.0, 9, 0, 0.5))
+        plan = self.plan(early=Demand(0.1, 1, 0, 3.0), hot=Demand(5.0, 9, 0, 0.5))
         self.assertEqual(plan, ["hot", "early"])
 
 
@@ -158,35 +160,38 @@
         self.spec = samples.engine(*map(samples.model, ("early", "late", "soon")))
         copies = frozenset({"early", "late", "soon"})
         self.backends = [engine_backend("b1", on_disk=copies)]
-        self.late = Want(0.1, 1, 0, 5.0, 1)
+        self.late = Demand(0.1, 1, 0, 5.0, 1)
 
-    def plan(self, **wants):
-        return list(Planner(self.spec, STORE_LOADS).plan(NOW, self.backends, wants))
+    def plan(self, **demands):
+        return list(Planner(self.spec, STORE_LOADS).plan(NOW, self.backends, demands))
 
     def test_they_go_before_calls_that_are_late_already(self):
-        early = Want(0.1, 1, 0, 0.2, 1, in_time_s=2.0)
+        early = Demand(0.1, 1, 0, 0.2, 1, in_time_s=2.0)
         self.assertEqual(self.plan(late=self.late, early=early), ["early", "late"])
 
     def test_the_one_that_would_be_late_first_is_first(self):
-        early = Want(0.1, 1, 0, 0.9, 1, in_time_s=3.0)
-        soon = Want(0.1, 1, 0, 0.1, 1, in_time_s=1.0)
+        early = Demand(0.1, 1, 0, 0.9, 1, in_time_s=3.0)
+        soon = Demand(0.1, 1, 0, 0.1, 1, in_time_s=1.0)
         self.assertEqual(self.plan(early=early, soon=soon), ["soon", "early"])
 
     def test_one_that_no_load_can_serve_in_time_keeps_its_turn(self):
-        early = Want(0.1, 1, 0, 0.2, 1, in_time_s=0.5)
+        early = Demand(0.1, 1, 0, 0.2, 1, in_time_s=0.5)
         self.assertEqual(self.plan(late=self.late, early=early), ["late", "early"])
 
     def test_nor_does_one_overtake_that_only_the_store_can_serve(self):
         self.backends = [engine_backend("b1", on_disk=frozenset({"late"}))]
-        early = Want(0.1, 1, 0, 0.2, 0, in_time_s=3.0)
+        early = Demand(0.1, 1, 0, 0.2, 0, in_time_s=3.0)
         self.assertEqual(self.plan(late=self.late, early=early), ["late", "early"])
 
     def test_an_agent_takes_the_wishes_of_entries_in_the_same_order(self):
         say = EntriesSay()
-        early = Want(0.1, 1, 0, 0.2, 1, in_time_s=2.0)
-        say.wished(NOW, Wish("late", "", WAITED_FOR, self.late))
-        say.wished(NOW, Wish("early", "", WAITED_FOR, early))
-        self.assertEqual([wish.model for wish in say.wishes()], ["early", "late"])
+        early = Demand(0.1, 1, 0, 0.2, 1, in_time_s=2.0)
+        say.load_requested(NOW, LoadRequest("late", "", WAITED_FOR, self.late))
+        say.load_requested(NOW, LoadRequest("early", "", WAITED_FOR, early))
+        self.assertEqual(
+            [load_request.model for load_request in say.load_requests()],
+            ["early", "late"],
+        )
 
 
 class TestVictims(unittest.TestCase):
@@ -198,25 +203,25 @@
         return choose_victims(self.spec, self.held, 30.0, in_use, values, incoming)
 
     def test_the_least_wanted_idle_model_goes(self):
-        found = self.victims({}, {"tutor": 2.0, "poet": 0.1}, Want(0.1, 1))
+        found = self.victims({}, {"tutor": 2.0, "poet": 0.1}, Demand(0.1, 1))
         self.assertEqual(found.models, ("poet",))
 
     def test_a_model_with_calls_stays_while_another_is_idle(self):
         values = {"tutor": 0.2, "poet": 0.1}
-        found = self.victims({"poet": 1}, values, Want(0.1, 1))
+        found = self.victims({"poet": 1}, values, Demand(0.1, 1))
         self.assertEqual(found.models, ("tutor",))
         self.assertFalse(found.busy)
 
     def test_rarely_used_models_take_turns(self):
         values = {"tutor": 9.0, "poet": 0.1}
         in_use = {"tutor": 5, "poet": 1}
-        found = self.victims(in_use, values, Want(0.1, 1))
+        found = self.victims(in_use, values, Demand(0.1, 1))
         self.assertEqual(found.models, ("poet",))
         self.assertTrue(found.busy)
 
     def test_nothing_with_calls_goes_for_what_nobody_waits_for(self):
         in_use = {"tutor": 5, "poet": 1}
-        self.assertIsNone(self.victims(in_use, {"poet": 0.1}, Want(0.1, 0)))
+        self.assertIsNone(self.victims(in_use, {"poet": 0.1}, Demand(0.1, 0)))
 
     def test_a_model_whose_callers_are_due_back_stays_for_one_wanted_as_much(self):
         """Symptom: callers come back when they were told to, and are refused again.
@@ -224,9 +229,9 @@
         Their model came in time, and was unloaded in the second before for another
         that was wanted about as much.
         """
-        due = {"tutor": Want(1.0, 6, 1), "poet": Want(900.0, 0, 1)}
+        due = {"tutor": Demand(1.0, 6, 1), "poet": Demand(900.0, 0, 1)}
         values = keep_values(("tutor", "poet"), due)
-        rival, greater = Want(1.3, 8), Want(1.3, 30)
+        rival, greater = Demand(1.3, 8), Demand(1.3, 30)
         holdings = {"tutor": frozenset(), "poet": frozenset()}
         for incoming, goes in ((rival, False), (greater, True)):
             victims = choose_victims(self.spec, holdings, 20.0, {}, values, incoming)
@@ -239,16 +244,16 @@
         Its engine had no call of it for a moment, and one that waits counted for as
         much as four calls a second.
         """
-        wants = {"tutor": Want(8.0, holders=1), "poet": Want(0.3, holders=1)}
-        values = keep_values(self.held, wants)
+        demands = {"tutor": Demand(8.0, holders=1), "poet": Demand(0.3, holders=1)}
+        values = keep_values(self.held, demands)
         for in_use in ({}, {"poet": 1}):
             with self.subTest(in_use=in_use):
-                found = self.victims(in_use, values, Want(0.2, 2))
+                found = self.victims(in_use, values, Demand(0.2, 2))
                 self.assertEqual(found.models, ("poet",))
 
     def test_no_model_makes_way_for_one_that_is_wanted_far_less(self):
         values = {"tutor": 50.0, "poet": 50.0}
-        self.assertIsNone(self.victims({}, values, Want(0.1, 1)))
+        self.assertIsNone(self.victims({}, values, Demand(0.1, 1)))
 
 
 class TestRunsThatEndFirst(unittest.TestCase):
@@ -266,14 +271,14 @@
             samples.model("clerk", size_mb=50.0),
         )
         held = ["poet", "clerk"]
-        values = keep_values(held, {name: Want(0.1, 0, 1) for name in held})
+        values = keep_values(held, {name: Demand(0.1, 0, 1) for name in held})
         fields = {"memory_mb_used": 100.0, "keep_values": values}
         backends = [
             engine_backend("b1", held, in_use={"poet": 9, "clerk": 9}, **fields),
             engine_backend("b2", held, in_use={"poet": 1, "clerk": 1}, **fields),
             engine_backend("b3", held, in_use={"poet": 8, "clerk": 2}, **fields),
         ]
-        plan = Planner(spec, STORE_LOADS).plan(NOW, backends, {"tutor": Want(1.0, 3)})
+        plan = Planner(spec, STORE_LOADS).plan(NOW, backends, {"tutor": Demand(1.0, 3)})
         self.assertEqual(plan["tutor"].instance, "b2")
         self.assertGreater(plan["tutor"].ready_in_s, 6.0 + 2 * 1.5)
 
@@ -297,8 +302,10 @@
         ]
 
     def plan(self, running):
-        wants = {"tutor": Want(9.0, 0, holders=2, copies=3)}
-        return Planner(self.spec, STORE_LOADS).plan(NOW, self.backends(running), wants)
+        demands = {"tutor": Demand(9.0, 0, holders=2, copies=3)}
+        return Planner(self.spec, STORE_LOADS).plan(
+            NOW, self.backends(running), demands
+        )
 
     def test_one_more_engine_gets_a_model_whose_holders_are_full(self):
         load = self.plan(running=4)["tutor"]
@@ -309,8 +316,10 @@
 
     def test_a_model_that_nobody_holds_or_waits_for_is_not_crowded(self):
         backends = [engine_backend("b3", on_disk=frozenset({"tutor"}))]
-        wants = {"tutor": Want(9.0, 0, copies=1)}
-        self.assertEqual(Planner(self.spec, STORE_LOADS).plan(NOW, backends, wants), {})
+        demands = {"tutor": Demand(9.0, 0, copies=1)}
+        self.assertEqual(
+            Planner(self.spec, STORE_LOADS).plan(NOW, backends, demands), {}
+        )
 
 
 class TestLongLoadsThatNobodyAskedFor(unittest.TestCase):
@@ -326,7 +335,7 @@
         spec = samples.engine(samples.model("tutor", size_mb=80.0), poet)
         backends = []
         for number in range(holders):
-            value = keep_values(["tutor"], {"tutor": Want(holders=holders)})
+            value = keep_values(["tutor"], {"tutor": Demand(holders=holders)})
             backends.append(
                 engine_backend(
                     f"b{number}", ["tutor"], memory_mb_used=80.0, keep_values=value
@@ -353,18 +362,18 @@
     many engines what is called most.
     """
 
-    def plan(self, holders, **wants):
+    def plan(self, holders, **demands):
         spec = samples.engine(
             samples.model("tutor", size_mb=80.0), samples.model("poet", size_mb=80.0)
         )
-        values = keep_values(["tutor"], {"tutor": Want(holders=holders)})
+        values = keep_values(["tutor"], {"tutor": Demand(holders=holders)})
         backends = [
             engine_backend(
                 f"b{number}", ["tutor"], memory_mb_used=80.0, keep_values=values
             )
             for number in range(holders)
         ]
-        return Planner(spec, STORE_LOADS).plan(NOW, backends, wants)
+        return Planner(spec, STORE_LOADS).plan(NOW, backends, demands)
 
     def test_they_make_no_way_for_a_model_that_nobody_asks_for(self):
         for holders in (2, 3, 5):
@@ -372,7 +381,7 @@
                 self.assertEqual(self.plan(holders), {})
 
     def test_they_make_way_for_one_that_is_waited_for(self):
-        self.assertIn("poet", self.plan(2, poet=Want(0.1, 1)))
+        self.assertIn("poet", self.plan(2, poet=Demand(0.1, 1)))
 
 
 class TestBusyModelsHeldOnce(unittest.TestCase):
@@ -387,9 +396,9 @@
         self.spec = samples.engine(
             samples.model("tutor"), samples.model("poet"), samples.model("clerk")
         )
-        self.wants = {
-            "tutor": Want(9.0, 0, holders=1, copies=2),
-            "poet": Want(0.2, 1, copies=1, oldest_s=0.5),
+        self.demands = {
+            "tutor": Demand(9.0, 0, holders=1, copies=2),
+            "poet": Demand(0.2, 1, copies=1, oldest_s=0.5),
         }
 
     def plan(self, **fields):
@@ -397,7 +406,7 @@
             engine_backend("b1", ["tutor"], loading=Loading("clerk", 9.0, True)),
             engine_backend("b2", on_disk=frozenset({"poet", "tutor"}), **fields),
         ]
-        return Planner(self.spec, STORE_LOADS).plan(NOW, backends, self.wants)
+        return Planner(self.spec, STORE_LOADS).plan(NOW, backends, self.demands)
 
     def test_a_second_engine_goes_before_a_single_waiting_call(self):
         plan = self.plan()
@@ -405,7 +414,7 @@
         self.assertFalse(plan["poet"].ask_now)
 
     def test_it_does_not_go_before_a_model_that_many_wait_for(self):
-        self.wants["poet"] = Want(0.2, 6, copies=1, oldest_s=0.5)
+        self.demands["poet"] = Demand(0.2, 6, copies=1, oldest_s=0.5)
         plan = self.plan()
         self.assertTrue(plan["poet"].ask_now)
 
@@ -414,5 +423,5 @@
             engine_backend("b1", ["tutor"]),
             engine_backend("b2", on_disk=frozenset({"poet"})),
         ]
-        plan = Planner(self.spec, STORE_LOADS).plan(NOW, backends, self.wants)
+        plan = Planner(self.spec, STORE_LOADS).plan(NOW, backends, self.demands)
         self.assertEqual((plan["poet"].instance, plan["poet"].ask_now), ("b2", True))
--- a/tests/gateway/cover/test_returning.py
+++ b/tests/gateway/cover/test_returning.py
@@ -6,7 +6,7 @@
 from bambootiller.gateway.placement import Placement
 from bambootiller_core.gateway.calls import Progress
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
-from bambootiller_core.gateway.demand import DUE_BACK_LATE_S, Demand
+from bambootiller_core.gateway.demand_tracker import DUE_BACK_LATE_S, DemandTracker
 from bambootiller_core.gateway.residency import PlannedLoad
 from bambootiller_core.gateway.returning import Returning
 from bambootiller_core.gateway.service_levels import ServiceLevels
@@ -50,11 +50,11 @@
 
 class TestCallers(unittest.TestCase):
     def setUp(self):
-        self.demand = Demand()
+        self.demand = DemandTracker()
         self.demand.asked(0.0, "tutor")
 
     def callers(self, now):
-        return self.demand.wants(now, {}, {})["tutor"].callers
+        return self.demand.demands(now, {}, {})["tutor"].callers
 
     def test_those_who_wait_count_until_they_go(self):
         self.demand.begin_waiting(0.0, "tutor", 1.5)
@@ -77,7 +77,7 @@
 
     async def callers(self, *given_s):
         """Those counted after one call each with so much time has been refused."""
-        demand, context = Demand(), mock.Mock()
+        demand, context = DemandTracker(), mock.Mock()
         context.clock.return_value = 5.0
         context.knowledge.fleet.of_service.return_value = []
         context.quarantine.load_admission.return_value.decision = (
@@ -99,7 +99,7 @@
             placement.ask()
             with mock.patch.object(Placement, "_plan_seen", return_value=None):
                 await placement.place()
-        return demand.wants(6.0, {}, {})["tutor"].callers
+        return demand.demands(6.0, {}, {})["tutor"].callers
 
     async def test_it_expects_the_caller_of_a_first_try(self):
         self.assertEqual(await self.callers(30.0), 1.0)
--- a/tests/gateway/cover/test_service_levels.py
+++ b/tests/gateway/cover/test_service_levels.py
@@ -4,7 +4,7 @@
 
 from bambootiller_core.gateway.config import CallKind
 from bambootiller_core.gateway.customers import Customer
-from bambootiller_core.gateway.demand import Demand
+from bambootiller_core.gateway.demand_tracker import DemandTracker
 from bambootiller_core.gateway.service_levels import (
     LEAST_WEIGHT,
     MOST_WEIGHT,
@@ -61,19 +61,19 @@
         Its models are asked for a tenth as often as those of the frequent kinds, and
         loads went to what most calls asked for, so its models were never loaded.
         """
-        demand = Demand()
+        demand_tracker = DemandTracker()
         for number in range(8):
-            demand.asked(number / 8, "tutor", 0.7)
-            demand.refused(number / 8, "tutor", 2.0, 0.7)
-        demand.asked(1.0, "critic", 6.0)
-        demand.begin_waiting(1.0, "critic", 6.0)
-        wants = demand.wants(1.0, {}, {})
-        self.assertGreaterEqual(wants["critic"].waiting, wants["tutor"].waiting)
-        demand.end_waiting(1.0, "critic", 6.0)
-        self.assertFalse(demand.anyone_waits)
+            demand_tracker.asked(number / 8, "tutor", 0.7)
+            demand_tracker.refused(number / 8, "tutor", 2.0, 0.7)
+        demand_tracker.asked(1.0, "critic", 6.0)
+        demand_tracker.begin_waiting(1.0, "critic", 6.0)
+        demands = demand_tracker.demands(1.0, {}, {})
+        self.assertGreaterEqual(demands["critic"].waiting, demands["tutor"].waiting)
+        demand_tracker.end_waiting(1.0, "critic", 6.0)
+        self.assertFalse(demand_tracker.anyone_waits)
 
     def test_a_waiting_call_counts_however_little_it_weighs(self):
-        demand = Demand()
-        demand.asked(0.0, "tutor", 0.4)
-        demand.begin_waiting(0.0, "tutor", 0.4)
-        self.assertEqual(demand.wants(0.0, {}, {})["tutor"].waiting, 1)
+        demand_tracker = DemandTracker()
+        demand_tracker.asked(0.0, "tutor", 0.4)
+        demand_tracker.begin_waiting(0.0, "tutor", 0.4)
+        self.assertEqual(demand_tracker.demands(0.0, {}, {})["tutor"].waiting, 1)
--- a/tests/gateway/cover/test_store_speed.py
+++ b/tests/gateway/cover/test_store_speed.py
@@ -4,6 +4,7 @@
 
 from bambootiller_core.gateway.engine_state import Loading
 from bambootiller_core.gateway.incarnation import Incarnation
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
 from bambootiller_core.gateway.store_concurrency import (
     ASSUMED_LOADS,
@@ -12,7 +13,6 @@
     StoreConcurrency,
     initial_loads,
 )
-from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 
 STEP_S = 0.05
@@ -238,8 +238,8 @@
     def test_a_plan_waits_for_it(self):
         spec = samples.engine(samples.model("tutor"), samples.model("poet"))
         backend = samples.backend("b0", 5.0, samples.engine_state("b0"), service="llm")
-        wants = {"poet": Want(0.1, 1)}
-        plan = Planner(spec, 1, None, [4.0]).plan(5.0, [backend], wants)
+        demands = {"poet": Demand(0.1, 1)}
+        plan = Planner(spec, 1, None, [4.0]).plan(5.0, [backend], demands)
         self.assertFalse(plan["poet"].ask_now)
 
 
@@ -284,7 +284,7 @@
             samples.backend(f"b{n}", 5.0, samples.engine_state(f"b{n}"), service="llm")
             for n in range(6)
         ]
-        wants = {f"m{number}": Want(0.1, 1) for number in range(6)}
+        demands = {f"m{number}": Demand(0.1, 1) for number in range(6)}
         for most in (1, 3):
-            plan = Planner(spec, most).plan(5.0, states, wants)
+            plan = Planner(spec, most).plan(5.0, states, demands)
             self.assertEqual(sum(load.ask_now for load in plan.values()), most)
--- a/tests/gateway/cover/test_store_turns.py
+++ b/tests/gateway/cover/test_store_turns.py
@@ -5,9 +5,9 @@
 from unittest import mock
 
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.places import Place
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 
 NOW = 5.0
@@ -34,9 +34,9 @@
             engine_backend("b2", on_disk=frozenset({"poet"})),
             engine_backend("b3", on_disk=frozenset({"poet"})),
         ]
-        wants = {name: Want(1.0, 3, 0, 2.0) for name in names}
-        wants["poet"] = Want(0.1, 1, 0, 0.1, 2)
-        plan = Planner(spec, 1).plan(NOW, backends, wants)
+        demands = {name: Demand(1.0, 3, 0, 2.0) for name in names}
+        demands["poet"] = Demand(0.1, 1, 0, 0.1, 2)
+        plan = Planner(spec, 1).plan(NOW, backends, demands)
         self.assertTrue(plan["poet"].ask_now)
         self.assertEqual([plan[name].ask_now for name in names], [False] * 4)
 
@@ -53,7 +53,7 @@
         names = ("tutor", "poet", "clerk", "critic")
         self.spec = samples.engine(*map(samples.model, names))
 
-    def begun(self, left_s, wants=None, tries=True):
+    def begun(self, left_s, demands=None, tries=True):
         """The models that a plan begins, with loads under way of so much left."""
         loading = ("tutor", "poet")
         backends = [
@@ -61,10 +61,10 @@
             for n, (name, seconds) in enumerate(zip(loading, left_s, strict=False))
         ]
         backends += [engine_backend(f"b{n}") for n in range(6)]
-        if wants is None:
-            wants = {"clerk": Want(0.5, 9), "critic": Want(0.1, 1)}
+        if demands is None:
+            demands = {"clerk": Demand(0.5, 9), "critic": Demand(0.1, 1)}
         planner = Planner(self.spec, 1, allows_probe=tries)
-        plan = planner.plan(NOW, backends, wants)
+        plan = planner.plan(NOW, backends, demands)
         return [load.model for load in plan.values() if load.ask_now]
 
     def test_it_is_tried_where_its_turn_is_far(self):
@@ -81,22 +81,22 @@
 
     def test_it_is_not_tried_for_callers_who_have_left(self):
         """It kept an engine for 26 s, and was over after the last of them had gone."""
-        wants = {"clerk": Want(0.5, 0, unserved=9.0, callers=1.0)}
-        self.assertEqual(self.begun([5.0], wants), [])
-        wants = {"clerk": Want(0.5, 0, unserved=9.0, callers=8.0)}
-        self.assertEqual(self.begun([5.0], wants), ["clerk"])
+        demands = {"clerk": Demand(0.5, 0, unserved=9.0, callers=1.0)}
+        self.assertEqual(self.begun([5.0], demands), [])
+        demands = {"clerk": Demand(0.5, 0, unserved=9.0, callers=8.0)}
+        self.assertEqual(self.begun([5.0], demands), ["clerk"])
 
     def test_it_is_tried_where_the_queue_is_long_for_good(self):
         """A store that serves several would never be known to where each model has few
         callers."""
         few = {"unserved": 2.0, "callers": 1.0}
-        wants = {"clerk": Want(0.1, 0, unserved_s=20.0, **few)}
-        self.assertEqual(self.begun([5.0], wants), [])
-        wants = {"clerk": Want(0.1, 0, unserved_s=25.0, **few)}
-        self.assertEqual(self.begun([5.0], wants), ["clerk"])
+        demands = {"clerk": Demand(0.1, 0, unserved_s=20.0, **few)}
+        self.assertEqual(self.begun([5.0], demands), [])
+        demands = {"clerk": Demand(0.1, 0, unserved_s=25.0, **few)}
+        self.assertEqual(self.begun([5.0], demands), ["clerk"])
 
     def test_it_is_not_tried_with_what_nobody_asks_for(self):
-        self.assertEqual(self.begun([5.0], wants={}), [])
+        self.assertEqual(self.begun([5.0], demands={}), [])
 
 
 class TestModelsWithoutACopyAndTheStore(unittest.TestCase):
@@ -124,32 +124,36 @@
             *(engine_backend(f"b{number}") for number in range(2, 6)),
         ]
 
-    def begun(self, store_loads=1, **wants):
-        wants = {name: Want(9.0, 0, 1) for name in ("much", "used")} | wants
-        plan = Planner(self.spec, store_loads).plan(NOW, self.backends, wants)
+    def begun(self, store_loads=1, **demands):
+        demands = {name: Demand(9.0, 0, 1) for name in ("much", "used")} | demands
+        plan = Planner(self.spec, store_loads).plan(NOW, self.backends, demands)
         self.assertIn("tutor", plan)
         return [load.model for load in plan.values() if load.ask_now]
 
     def test_the_one_without_a_copy_goes_first(self):
-        self.assertEqual(self.begun(tutor=Want(2.0, 9), poet=Want(0.2, 1)), ["poet"])
+        self.assertEqual(
+            self.begun(tutor=Demand(2.0, 9), poet=Demand(0.2, 1)), ["poet"]
+        )
 
     def test_one_whose_engine_never_has_room_is_not_passed_over_for_ever(self):
         self.backends[0].engine.keep_values.update(much=99.0, used=99.0)
-        tutor = Want(2.0, 9, unserved=9.0, unserved_s=8.0)
-        self.assertEqual(self.begun(tutor=tutor, poet=Want(0.2, 1)), ["tutor"])
+        tutor = Demand(2.0, 9, unserved=9.0, unserved_s=8.0)
+        self.assertEqual(self.begun(tutor=tutor, poet=Demand(0.2, 1)), ["tutor"])
 
     def test_one_that_fits_no_engine_has_no_turn(self):
         """Models with a copy left their turn to it for ever."""
         models = [*self.spec.models.values(), samples.model("huge", size_mb=500.0)]
         self.spec = samples.engine(*models)
-        self.assertEqual(self.begun(tutor=Want(2.0, 9), huge=Want(0.1, 1)), ["tutor"])
+        self.assertEqual(
+            self.begun(tutor=Demand(2.0, 9), huge=Demand(0.1, 1)), ["tutor"]
+        )
 
     def test_a_store_for_both_serves_both(self):
-        begun = self.begun(2, tutor=Want(2.0, 9), poet=Want(0.2, 1))
+        begun = self.begun(2, tutor=Demand(2.0, 9), poet=Demand(0.2, 1))
         self.assertEqual(begun, ["tutor", "poet"])
 
     def test_where_all_have_a_copy_the_store_is_used(self):
-        self.assertEqual(self.begun(tutor=Want(2.0, 9)), ["tutor"])
+        self.assertEqual(self.begun(tutor=Demand(2.0, 9)), ["tutor"])
 
 
 class TestCopiesBehindALongLoad(unittest.TestCase):
@@ -166,10 +170,10 @@
             ),
             *(engine_backend(f"b{number}") for number in range(2, 8)),
         ]
-        wants = dict.fromkeys(names[1:], Want(0.2, 1, callers=1.0))
-        wants["tutor"] = Want(0.5, 2, copies=1, callers=2.0)
+        demands = dict.fromkeys(names[1:], Demand(0.2, 1, callers=1.0))
+        demands["tutor"] = Demand(0.5, 2, copies=1, callers=2.0)
         spec = samples.engine(*models)
-        return Planner(spec, store_loads).plan(NOW, backends, wants)["tutor"]
+        return Planner(spec, store_loads).plan(NOW, backends, demands)["tutor"]
 
     def test_they_are_planned_where_they_lie(self):
         load = self.plan(16.0, others=5)
@@ -194,10 +198,10 @@
         names = [f"m{number}" for number in range(self.MODELS)]
         self.spec = samples.engine(*map(samples.model, names))
         self.backends = [engine_backend(f"b{n}") for n in range(self.ENGINES)]
-        self.wants = {name: Want(0.1, 1) for name in names}
+        self.demands = {name: Demand(0.1, 1) for name in names}
 
     def plan(self):
-        return Planner(self.spec, 1).plan(NOW, self.backends, self.wants)
+        return Planner(self.spec, 1).plan(NOW, self.backends, self.demands)
 
     def test_engines_are_compared_for_the_next_of_them_alone(self):
         with mock.patch.object(
@@ -243,8 +247,8 @@
             engine_backend("b1", loading=Loading("tutor", left_s, True)),
             engine_backend("b2", **fields),
         ]
-        wants = {"tutor": Want(5.0, waiting, copies=2, oldest_s=1.0)}
-        return Planner(spec, STORE_LOADS).plan(NOW, backends, wants)["tutor"]
+        demands = {"tutor": Demand(5.0, waiting, copies=2, oldest_s=1.0)}
+        return Planner(spec, STORE_LOADS).plan(NOW, backends, demands)["tutor"]
 
     def test_a_copy_that_is_much_sooner_is_loaded_as_well(self):
         load = self.plan(5.5, on_disk=frozenset({"tutor"}))
@@ -268,20 +272,20 @@
     and each had the only copies of a dozen models.
     """
 
-    def plan(self, engines, **wants):
+    def plan(self, engines, **demands):
         names = [f"m{number}" for number in range(8)]
         spec = samples.engine(*map(samples.model, names))
         backends = [engine_backend(f"b{number}") for number in range(engines)]
-        plan = Planner(spec, STORE_LOADS).plan(NOW, backends, wants)
+        plan = Planner(spec, STORE_LOADS).plan(NOW, backends, demands)
         return sum(load.ask_now for load in plan.values())
 
     def test_while_calls_come_half_of_the_engines_load_from_the_store(self):
-        wants = {f"m{number}": Want(0.1, 1) for number in range(8)}
-        self.assertEqual(self.plan(6, **wants), 3)
-        self.assertEqual(self.plan(12, **wants), STORE_LOADS)
+        demands = {f"m{number}": Demand(0.1, 1) for number in range(8)}
+        self.assertEqual(self.plan(6, **demands), 3)
+        self.assertEqual(self.plan(12, **demands), STORE_LOADS)
 
     def test_a_lone_engine_loads_too(self):
-        self.assertEqual(self.plan(1, m0=Want(0.1, 1)), 1)
+        self.assertEqual(self.plan(1, m0=Demand(0.1, 1)), 1)
 
     def test_before_any_call_all_may(self):
         self.assertEqual(self.plan(6), STORE_LOADS)
--- a/tests/gateway/cover/test_turn_holder.py
+++ b/tests/gateway/cover/test_turn_holder.py
@@ -8,9 +8,9 @@
 from bambootiller.gateway.turn_holder import BEGIN_S, TAKE_S, TurnHolder
 from bambootiller_core.gateway.order_messages import (
     EngineReport,
+    LoadRequest,
     OrderAnswer,
     OrderKind,
-    Wish,
 )
 from bambootiller_core.gateway.orders import OrderBook
 from bambootiller_core.gateway.store_permit_gate import StorePermitGate
@@ -69,9 +69,9 @@
         )
         self.book.reported(self.app.at, report(instance))
 
-    async def wish(self, model="m1", turns=1):
+    async def request_load(self, model="m1", turns=1):
         """Somebody wishes for a load; returns the order that comes of it."""
-        self.book.wished(self.app.at, Wish(model, turns=turns))
+        self.book.load_requested(self.app.at, LoadRequest(model, turns=turns))
         order = self.book.next_order(self.app.at)
         if order is None:
             self.turn.seek(self.app.at)
@@ -94,38 +94,38 @@
         return [key for key in self.kv.records if key.startswith(prefix_of(SERVICE))]
 
     async def test_one_agent_has_the_one_turn(self):
-        self.assertEqual((await self.first.wish()).kind, OrderKind.LOAD)
-        self.assertIsNone(await self.second.wish("m2"))
+        self.assertEqual((await self.first.request_load()).kind, OrderKind.LOAD)
+        self.assertIsNone(await self.second.request_load("m2"))
         self.assertEqual(self.second.events.lines[-1].holders, ("a1",))
 
     async def test_as_many_loads_begin_as_there_are_turns(self):
         third = Agent(self.kv, "a3")
         for agent in (self.first, self.second):
-            self.assertIsNotNone(await agent.wish(turns=2))
-        self.assertIsNone(await third.wish(turns=2))
+            self.assertIsNotNone(await agent.request_load(turns=2))
+        self.assertIsNone(await third.request_load(turns=2))
 
     async def test_two_that_seek_at_once_do_not_both_have_it(self):
         begun = []
         others = [Agent(self.kv, f"b{number}") for number in range(4)]
         for agent in others:
-            begun.append(asyncio.create_task(agent.wish()))
+            begun.append(asyncio.create_task(agent.request_load()))
         orders = await asyncio.gather(*begun)
         self.assertEqual(len([order for order in orders if order is not None]), 1)
 
     async def test_the_next_one_has_it_when_the_load_is_over(self):
-        await self.first.wish()
+        await self.first.request_load()
         self.first.turn.load_ended()
         await self.first.app.settle()
-        self.assertIsNotNone(await self.second.wish("m2"))
+        self.assertIsNotNone(await self.second.request_load("m2"))
 
     async def test_a_load_from_a_copy_takes_none(self):
         copied = report("a1", on_disk=frozenset({"m1"}))
         self.first.book.reported(self.first.app.at, copied)
-        self.assertIsNotNone(await self.first.wish())
+        self.assertIsNotNone(await self.first.request_load())
         self.assertEqual(self.held(), [])
 
     async def test_it_is_kept_while_the_load_goes_on(self):
-        await self.first.wish()
+        await self.first.request_load()
         self.first.app.at += BEGIN_S + 20.0
         await self.first.review(load_goes_on=True)
         self.assertEqual(len(self.held()), 1)
@@ -134,7 +134,7 @@
         """The lease was as long as a load, and began anew when the service was back:
         the turn of an agent that was gone kept all others from the store for 7 s."""
         self.enterContext(mock.patch.object(turn_holder, "RENEW_S", 0.01))
-        await self.first.wish()
+        await self.first.request_load()
         await asyncio.sleep(0.05)
         self.assertTrue(self.kv.kept)
         self.first.turn.load_ended()
@@ -143,14 +143,14 @@
         self.assertLess(turn_holder.LEASE_S, 13.0)
 
     async def test_it_is_given_back_if_the_load_does_not_begin(self):
-        await self.first.wish()
+        await self.first.request_load()
         self.first.app.at += BEGIN_S + 0.1
         await self.first.review()
         self.assertEqual(self.held(), [])
 
     def seeks(self, agent, model="m1"):
         """The agent begins to seek a turn, and isn't waited for."""
-        agent.book.wished(agent.app.at, Wish(model))
+        agent.book.load_requested(agent.app.at, LoadRequest(model))
         agent.book.next_order(agent.app.at)
         agent.turn.seek(agent.app.at)
 
@@ -186,7 +186,7 @@
         await self.first.app.settle()
 
     async def test_a_load_begins_without_one_while_the_last_is_not_given_back(self):
-        await self.first.wish()
+        await self.first.request_load()
         self.kv.down = True
         self.first.turn.load_ended()
         for _ in range(round((TAKE_S + 1.0) / 0.2)):
@@ -198,7 +198,7 @@
 
     async def test_a_turn_whose_lease_has_ended_is_taken_anew(self):
         self.enterContext(mock.patch.object(turn_holder, "RENEW_S", 0.01))
-        await self.first.wish()
+        await self.first.request_load()
         (key,) = self.held()
         del self.kv.records[key]
         self.kv.lapsed.add(self.kv.leases)
@@ -224,14 +224,14 @@
         self.steps(self.first, TAKE_S + 1.0)
         self.first.turn.load_ended()
         await self.first.app.settle()
-        self.assertIsNotNone(await self.first.wish("m2"))
+        self.assertIsNotNone(await self.first.request_load("m2"))
         answers.set()
         await late_try
         self.assertEqual(len(self.held()), 1)
 
     async def test_one_read_that_fails_gives_no_turn(self):
         """A load began beside one that visibly held the turn."""
-        await self.second.wish()
+        await self.second.request_load()
         self.kv.down = True
         self.seeks(self.first)
         await asyncio.sleep(0)
@@ -248,7 +248,7 @@
 
     async def test_a_write_whose_answer_is_lost_is_found_again(self):
         self.kv.faults.append(Fault.LOST_AFTER)
-        self.assertIsNotNone(await self.first.wish())
+        self.assertIsNotNone(await self.first.request_load())
         self.first.turn.load_ended()
         await self.first.app.settle()
         self.assertEqual(self.held(), [])
@@ -265,7 +265,7 @@
         self.assertEqual(self.held(), [])
 
     async def test_it_is_given_back_once_the_service_answers(self):
-        await self.first.wish()
+        await self.first.request_load()
         self.kv.faults.append(Fault.DOWN)
         self.first.turn.load_ended()
         await self.first.app.settle()
@@ -273,16 +273,16 @@
 
     async def test_a_late_removal_does_not_take_the_next_turn_away(self):
         """The agent found its own key still there, and took it for its next load."""
-        await self.first.wish()
+        await self.first.request_load()
         self.kv.faults.append(Fault.DELAYED)
         self.first.turn.load_ended()
         await self.first.app.settle()
-        self.assertIsNotNone(await self.first.wish("m2"))
+        self.assertIsNotNone(await self.first.request_load("m2"))
         self.kv.land_delayed()
         self.assertEqual(len(self.held()), 1)
 
     async def test_a_new_process_takes_over_the_turn_of_the_one_before(self):
-        await self.first.wish()
+        await self.first.request_load()
         successor = Agent(self.kv, "a1")
         await successor.turn.recall()
         self.assertTrue(successor.gate.is_open)
@@ -291,18 +291,18 @@
         self.assertEqual(self.held(), [])
 
     async def test_a_key_that_cannot_be_read_is_taken_all_the_same(self):
-        await self.first.wish()
+        await self.first.request_load()
         (key,) = self.held()
         record = self.kv.records[key]
         self.kv.records[key] = type(record)(key, b"\xff", record.mod_revision)
-        self.assertIsNone(await self.second.wish("m2"))
+        self.assertIsNone(await self.second.request_load("m2"))
 
 
 class TestOrdersWithoutAGate(unittest.TestCase):
     def test_a_load_from_the_store_draws_on_it_until_it_is_over(self):
         book = OrderBook(ENGINE)
         book.reported(1.0, report("b1"))
-        book.wished(1.0, Wish("m1"))
+        book.load_requested(1.0, LoadRequest("m1"))
         order = book.next_order(1.0)
         self.assertFalse(book.draws_on_store())
         book.sending(order)
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -11,8 +11,8 @@
 from bambootiller_core import rendezvous
 from bambootiller_core.gateway.collecting import seen_to_by
 from bambootiller_core.gateway.fleet import Fleet
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import Want
 from bambootiller_core.timers import TimerService
 from tests.gateway.common import samples
 from tests.gateway.common.samples import engine_state, registered
@@ -45,10 +45,10 @@
         self.fleet.registry_changed(0.0, registered("b2", "judge"))
 
 
-def told(instance, wants):
+def told(instance, demands):
     update = pb.ResidencyUpdate(sender=f"agent-of-{instance}")
     update.engine.CopyFrom(wire.engine_message(engine_state(instance)))
-    update.total_demand.extend(wire.demand_messages(wants))
+    update.total_demand.extend(wire.demand_messages(demands))
     return update
 
 
@@ -61,17 +61,17 @@
         had said, so plans were made on whichever spoke last.
         """
         engines = Engines(App(), Known(), None, None, 7, samples.allowances())
-        engines.received(told("b1", {"poet": Want(rate=3.0, waiting=2)}))
-        engines.received(told("b2", {"critic": Want(rate=1.0)}))
-        self.assertEqual(engines.plans.wants_of_all("tutor", {})["poet"].waiting, 2)
-        self.assertNotIn("critic", engines.plans.wants_of_all("tutor", {}))
-        self.assertEqual(engines.plans.wants_of_all("judge", {})["critic"].rate, 1.0)
+        engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
+        engines.received(told("b2", {"critic": Demand(rate=1.0)}))
+        self.assertEqual(engines.plans.total_demands("tutor", {})["poet"].waiting, 2)
+        self.assertNotIn("critic", engines.plans.total_demands("tutor", {}))
+        self.assertEqual(engines.plans.total_demands("judge", {})["critic"].rate, 1.0)
 
     def test_an_entrys_own_demand_counts_where_it_is_more(self):
         engines = Engines(App(), Known(), None, None, 7, samples.allowances())
-        engines.received(told("b1", {"poet": Want(rate=3.0, waiting=2)}))
-        merged = engines.plans.wants_of_all(
-            "tutor", {"poet": Want(rate=1.0, waiting=5)}
+        engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
+        merged = engines.plans.total_demands(
+            "tutor", {"poet": Demand(rate=1.0, waiting=5)}
         )
         self.assertEqual((merged["poet"].rate, merged["poet"].waiting), (3.0, 5))
 
@@ -95,9 +95,9 @@
         self.plans = []
         made = Planner.plan
 
-        def plan(planner, now, backends, wants):
+        def plan(planner, now, backends, demands):
             self.plans.append(now)
-            return made(planner, now, backends, wants)
+            return made(planner, now, backends, demands)
 
         patched = mock.patch.object(Planner, "plan", plan)
         patched.start()
@@ -107,7 +107,7 @@
         self.engines.plans._clock.start(self.timers, 10.0)
 
     def told(self, model, among):
-        update = told("b1", {model: Want(rate=3.0, waiting=2)})
+        update = told("b1", {model: Demand(rate=3.0, waiting=2)})
         update.entries.extend(among)
         self.engines.received(update)
 
@@ -165,7 +165,7 @@
         self.engines.plans.demand("tutor").asked(self.app.time, "critic")
         self.app.time += IDLE_PLAN_S
         self.timers.advance(self.app.time)
-        self.assertIn("critic", self.engines.plans.own_wants("tutor"))
+        self.assertIn("critic", self.engines.plans.own_demands("tutor"))
 
     def test_the_one_that_sees_to_the_model_makes_one_each_beat(self):
         self.told("poet", ("entry-1",))
