--- a/tests/gateway/failures/test_orders.py
+++ b/tests/gateway/failures/test_orders.py
@@ -4,14 +4,14 @@
 
 from bambootiller_core.gateway.incarnation import TAKEOVER_SILENCE_S
 from bambootiller_core.gateway.late_orders import LATE_ORDER_S
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_messages import (
     EngineReport,
+    LoadRequest,
     OrderAnswer,
     OrderKind,
-    Wish,
 )
 from bambootiller_core.gateway.orders import MISNAMED_S, OrderBook
-from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 
 
@@ -32,8 +32,8 @@
             )
         )
 
-    def wish(self, model, adapter="", now=0.0, urgency=0):
-        self.book.wished(now, Wish(model, adapter, urgency))
+    def request_load(self, model, adapter="", now=0.0, urgency=0):
+        self.book.load_requested(now, LoadRequest(model, adapter, urgency))
 
     def give(self, now, answer):
         order = self.book.next_order(now)
@@ -49,7 +49,7 @@
         before: it was refused, decided the same again and sent it, 140 times a second
         for up to 3.5 s while the store was away, 1,981 of 2,504 orders of a day."""
         self.book.reported(0.0, report())
-        self.wish("tutor")
+        self.request_load("tutor")
         self.assertIsNotNone(self.give(0.0, OrderAnswer.OTHER_INSTANCE))
         self.book.reported(0.01, report())
         self.assertIsNone(self.book.next_order(0.01))
@@ -57,18 +57,18 @@
 
     def test_it_is_sent_once_the_name_is_known(self):
         self.book.reported(0.0, report())
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.OTHER_INSTANCE)
         self.book.reported(0.1, report(instance="b2"))
-        self.wish("tutor", now=0.1)
+        self.request_load("tutor", now=0.1)
         self.assertEqual(self.book.next_order(0.1).model, "tutor")
 
     def test_it_is_tried_again_after_a_while(self):
         self.book.reported(0.0, report())
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.OTHER_INSTANCE)
         self.book.reported(MISNAMED_S, report())
-        self.wish("tutor", now=MISNAMED_S)
+        self.request_load("tutor", now=MISNAMED_S)
         self.assertIsNotNone(self.book.next_order(MISNAMED_S))
 
 
@@ -81,16 +81,16 @@
         the number of orders accepted so far, only one of them can be.
         """
         self.book.reported(0.0, report(accepted=4))
-        self.wish("tutor")
+        self.request_load("tutor")
         first = self.give(0.0, OrderAnswer.UNANSWERED)
         self.book.reported(0.1, report(accepted=4))
-        self.wish("poet", now=0.1)
+        self.request_load("poet", now=0.1)
         self.assertEqual(self.book.next_order(0.1), first)
         self.assertEqual(first.expected, 4)
 
     def test_a_number_that_has_moved_settles_it(self):
         self.book.reported(0.0, report(accepted=4))
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.UNANSWERED)
         self.book.reported(0.1, report(accepted=5, busy=True))
         self.assertIsNone(self.book.unsettled)
@@ -98,14 +98,14 @@
 
     def test_its_memory_counts_until_it_is_settled(self):
         self.book.reported(0.0, report(accepted=4))
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.UNANSWERED)
         self.assertEqual(self.book.state(0.0).memory_mb_used, 40.0)
 
     def test_nothing_is_decided_on_a_report_older_than_the_last_order(self):
         self.book.reported(0.0, report())
-        self.wish("tutor", "a1")
-        self.wish("tutor")
+        self.request_load("tutor", "a1")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.ACCEPTED)
         self.assertIsNone(self.book.next_order(0.0))
 
@@ -117,21 +117,21 @@
         An engine that carries out an order for a model refuses those for adapters too.
         """
         self.book.reported(0.0, report(holdings=["tutor"], busy=True))
-        self.wish("tutor", "a1")
+        self.request_load("tutor", "a1")
         self.assertIsNone(self.book.next_order(0.0))
 
     def test_a_higher_fence_stops_all_orders(self):
         self.book.reported(0.0, report())
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.FENCED)
         self.book.reported(0.1, report())
-        self.wish("tutor", now=0.1)
+        self.request_load("tutor", now=0.1)
         self.assertIsNone(self.book.next_order(0.1))
         self.assertFalse(self.book.state(0.1).orderable)
 
     def test_a_conflict_without_a_moved_number_frees_the_order(self):
         self.book.reported(0.0, report(accepted=4))
-        self.wish("tutor")
+        self.request_load("tutor")
         order = self.give(0.0, OrderAnswer.CONFLICT)
         self.book.reported(0.1, report(accepted=4))
         self.book.conflict_seen(order)
@@ -141,7 +141,7 @@
 class TestRestarts(Case):
     def test_a_new_start_of_the_engine_knows_nothing_of_the_last(self):
         self.book.reported(0.0, report(accepted=4))
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.UNANSWERED)
         self.book.reported(3.0, report(instance="b2"))
         self.assertIsNone(self.book.unsettled)
@@ -166,16 +166,16 @@
     def test_the_expected_number_starts_anew(self):
         for accepted in (0, 4, 9):
             self.setUp()
-            self.wish("tutor")
+            self.request_load("tutor")
             self.give(0.0, OrderAnswer.UNANSWERED)
             self.restarted(0.1, accepted)
             self.assertIsNone(self.book.unsettled)
-            self.wish("poet", now=0.1)
+            self.request_load("poet", now=0.1)
             order = self.book.next_order(0.1)
             self.assertEqual((order.model, order.expected), ("tutor", accepted))
 
     def test_a_load_of_the_start_before_is_over(self):
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.ACCEPTED)
         self.restarted(0.1, accepted=9)
         self.assertIsNone(self.book.state(0.1).loading)
@@ -183,7 +183,7 @@
 
     def test_a_report_of_the_start_before_changes_nothing(self):
         self.restarted(0.1)
-        self.wish("tutor", now=0.1)
+        self.request_load("tutor", now=0.1)
         self.give(0.1, OrderAnswer.ACCEPTED)
         self.book.reported(0.2, report(accepted=7, started_ms=1, holdings=["poet"]))
         self.assertEqual(self.book.report.started_ms, 2)
@@ -206,15 +206,15 @@
     def lost_load(self, accepted):
         """An unanswered load of the tutor, to the start before, as its last order."""
         self.book.reported(0.0, report(accepted=accepted, started_ms=1))
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.UNANSWERED)
 
     def test_nothing_is_ordered_that_leaves_no_room_for_a_late_order(self):
         """The late order takes effect once the number is the one that it names."""
         self.lost_load(accepted=1)
         self.restarted(1.0, holdings=["poet"])
-        self.wish("clerk", now=1.0)
-        self.wish("tutor", now=1.0, urgency=5)
+        self.request_load("clerk", now=1.0)
+        self.request_load("tutor", now=1.0, urgency=5)
         # Poet and clerk leave 20 MB, of the 40 MB that the tutor takes.
         order = self.book.next_order(1.0)
         self.assertEqual((order.kind, order.model), (OrderKind.LOAD, "tutor"))
@@ -222,10 +222,10 @@
     def test_a_late_order_is_waited_for_no_longer_than_it_can_take(self):
         self.lost_load(accepted=1)
         self.restarted(1.0, holdings=["poet"])
-        self.wish("clerk", now=1.0)
+        self.request_load("clerk", now=1.0)
         self.assertIsNone(self.book.next_order(1.0))
         now = 1.0 + LATE_ORDER_S
-        self.wish("clerk", now=now)
+        self.request_load("clerk", now=now)
         self.assertEqual(self.book.next_order(now).model, "clerk")
 
     def test_a_late_order_counts_though_a_copy_of_it_was_answered(self):
@@ -233,14 +233,14 @@
         self.book.reported(0.05, report(accepted=1, started_ms=1))
         self.give(0.05, OrderAnswer.ACCEPTED)
         self.restarted(1.0, holdings=["poet"])
-        self.wish("clerk", now=1.0)
+        self.request_load("clerk", now=1.0)
         self.assertIsNone(self.book.next_order(1.0))
 
     def test_a_late_order_whose_number_is_past_costs_no_room(self):
         self.lost_load(accepted=1)
         for accepted in (1, 2):
             self.restarted(0.1 + accepted, accepted, holdings=["poet"])
-            self.wish("clerk", now=0.1 + accepted)
+            self.request_load("clerk", now=0.1 + accepted)
             order = self.book.next_order(0.1 + accepted)
             self.assertEqual(order.model, "clerk")
 
@@ -248,8 +248,8 @@
 class TestMemory(Case):
     def test_room_is_made_before_a_model_is_loaded(self):
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
-        self.book.entry_told(0.0, "e1", {"tutor": Want(5.0)}, {})
-        self.wish("clerk")
+        self.book.entry_told(0.0, "e1", {"tutor": Demand(5.0)}, {})
+        self.request_load("clerk")
         order = self.give(0.0, OrderAnswer.ACCEPTED)
         self.assertEqual((order.kind, order.model), (OrderKind.UNLOAD, "poet"))
         self.book.reported(0.2, report(accepted=1, holdings=["tutor"]))
@@ -263,7 +263,7 @@
         planned the load at a second engine, and both loaded it.
         """
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
-        self.wish("clerk")
+        self.request_load("clerk")
         self.give(0.0, OrderAnswer.ACCEPTED)
         loading = self.book.state(0.1).loading
         self.assertEqual(loading.model, "clerk")
@@ -271,35 +271,35 @@
 
     def test_a_model_being_unloaded_takes_no_new_calls(self):
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
-        self.book.entry_told(0.0, "e1", {"tutor": Want(5.0)}, {})
-        self.wish("clerk")
+        self.book.entry_told(0.0, "e1", {"tutor": Demand(5.0)}, {})
+        self.request_load("clerk")
         self.give(0.0, OrderAnswer.ACCEPTED)
         self.assertNotIn("poet", self.book.state(0.0).holdings)
 
     def test_a_model_just_loaded_keeps_its_turn(self):
         self.book.reported(0.0, report(holdings=["poet"]))
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.ACCEPTED)
         self.book.reported(6.0, report(accepted=1, holdings=["poet", "tutor"]))
-        self.book.entry_told(6.0, "e1", {"poet": Want(50.0)}, {})
-        self.wish("clerk", now=6.0)
+        self.book.entry_told(6.0, "e1", {"poet": Demand(50.0)}, {})
+        self.request_load("clerk", now=6.0)
         self.assertIsNone(self.book.next_order(6.0))
 
     def test_an_idle_adapter_makes_way_for_another(self):
         adapters = {"tutor": frozenset({"a1", "a2"})}
         self.book.reported(9.0, report(adapters=adapters))
         self.book.entry_told(9.0, "e1", {}, {"tutor/a1": 1})
-        self.wish("tutor", "a3", now=9.0)
+        self.request_load("tutor", "a3", now=9.0)
         order = self.book.next_order(9.0)
         self.assertEqual((order.kind, order.adapter), (OrderKind.UNLOAD, "a2"))
 
     def test_a_model_without_a_description_fills_the_memory(self):
         self.book.reported(0.0, report(holdings=["unknown"]))
-        self.wish("tutor")
+        self.request_load("tutor")
         self.assertIsNone(self.book.next_order(0.0))
 
 
-class TestStaleWishes(Case):
+class TestStaleLoadRequests(Case):
     def test_a_wish_is_forgotten_unless_it_is_renewed(self):
         """Symptom: an engine loads a model that another has loaded meanwhile.
 
@@ -307,7 +307,7 @@
         that, the old wish brings the model a second time.
         """
         self.book.reported(0.0, report())
-        self.wish("tutor")
+        self.request_load("tutor")
         self.assertIsNone(self.book.next_order(1.0))
 
 
@@ -321,11 +321,11 @@
         self.book = OrderBook(engine)
         on_disk = frozenset({"poet"})
         self.book.reported(0.0, report(on_disk=on_disk))
-        self.wish("tutor")
+        self.request_load("tutor")
         self.give(0.0, OrderAnswer.ACCEPTED)
         held = report(1, ["tutor"], on_disk=on_disk)
         self.book.reported(13.0, held)
-        self.wish("poet", now=15.0)
+        self.request_load("poet", now=15.0)
         self.assertIsNone(self.book.next_order(15.0))
-        self.wish("poet", now=17.0)
+        self.request_load("poet", now=17.0)
         self.assertIs(self.book.next_order(17.0).kind, OrderKind.UNLOAD)
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -12,9 +12,9 @@
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller_core.gateway.collecting import moved
 from bambootiller_core.gateway.fleet import AGENT_SILENT_S, FIGURES_LIFE_S, Fleet
-from bambootiller_core.gateway.order_messages import EngineReport, Wish
+from bambootiller_core.gateway.model_demand import Demand
+from bambootiller_core.gateway.order_messages import EngineReport, LoadRequest
 from bambootiller_core.gateway.orders import OrderBook
-from bambootiller_core.gateway.want import Want
 from bambootiller_core.timers import TimerService
 from tests.gateway.common import samples
 from tests.gateway.common.samples import engine, engine_state, registered
@@ -170,22 +170,24 @@
     def test_a_total_holds_while_its_collector_is_heard_and_ends_with_its_silence(self):
         update = figures()
         update.collected = True
-        update.total_demand.extend(wire.demand_messages({"poet": Want(rate=3.0)}))
+        update.total_demand.extend(wire.demand_messages({"poet": Demand(rate=3.0)}))
         self.hear(update)
         self.clock.at += 1.2
         self.hear(Update())
         self.clock.at += 1.2
-        self.assertEqual(self.engines.plans.wants_of_all(SERVICE, {})["poet"].rate, 3.0)
+        self.assertEqual(
+            self.engines.plans.total_demands(SERVICE, {})["poet"].rate, 3.0
+        )
         self.clock.at += 0.4
-        self.assertEqual(self.engines.plans.wants_of_all(SERVICE, {}), {})
+        self.assertEqual(self.engines.plans.total_demands(SERVICE, {}), {})
 
     def test_a_collector_that_collects_no_more_takes_its_total_back(self):
         update = figures()
         update.collected = True
-        update.total_demand.extend(wire.demand_messages({"poet": Want(rate=3.0)}))
+        update.total_demand.extend(wire.demand_messages({"poet": Demand(rate=3.0)}))
         self.hear(update)
         self.hear(Update(collected=True))
-        self.assertEqual(self.engines.plans.wants_of_all(SERVICE, {}), {})
+        self.assertEqual(self.engines.plans.total_demands(SERVICE, {}), {})
 
     def test_an_agent_of_an_earlier_version_repeats_everything(self):
         """It never says that it begins, and leaves out copies now and then."""
@@ -208,7 +210,7 @@
         self.backend = self.known.fleet.get("b1")
         self.known.fleet.engine_told(10.0, engine_state("b1", ("poet",)))
         self.stream = Stream("a1")
-        self.engines.plans._own[SERVICE] = {"poet": Want(rate=1.0, holders=1)}
+        self.engines.plans._own[SERVICE] = {"poet": Demand(rate=1.0, holders=1)}
 
     def news(self):
         """Whether there is something to tell; it counts as told then."""
@@ -220,7 +222,7 @@
     def test_what_has_not_moved_is_not_told_again(self):
         self.assertTrue(self.news())
         self.assertFalse(self.news())
-        self.engines.plans._own[SERVICE] = {"poet": Want(rate=0.95, holders=1)}
+        self.engines.plans._own[SERVICE] = {"poet": Demand(rate=0.95, holders=1)}
         self.assertFalse(self.news())
 
     def test_small_steps_add_up(self):
@@ -230,7 +232,7 @@
         told = 0
         for step in range(40):
             rate = 0.95**step
-            self.engines.plans._own[SERVICE] = {"poet": Want(rate=rate, holders=1)}
+            self.engines.plans._own[SERVICE] = {"poet": Demand(rate=rate, holders=1)}
             told += self.news()
             said = self.stream.told["entry"].part["poet"].rate
             self.assertLess(abs(said - rate), 0.11 * said)
@@ -242,9 +244,9 @@
         self.assertTrue(self.news())
         self.known.fleet.get("b1").call_ended("poet")
         self.assertTrue(self.news())
-        self.engines.plans._own[SERVICE] = {"poet": Want(1.0, 1, 1, 0.1)}
+        self.engines.plans._own[SERVICE] = {"poet": Demand(1.0, 1, 1, 0.1)}
         self.assertTrue(self.news())
-        self.engines.plans._own[SERVICE] = {"poet": Want(1.0, 0, 2)}
+        self.engines.plans._own[SERVICE] = {"poet": Demand(1.0, 0, 2)}
         self.assertTrue(self.news())
 
     def test_a_new_stream_is_told_everything(self):
@@ -253,7 +255,9 @@
         self.assertTrue(self.news())
 
     def test_a_call_that_waits_on_is_news_each_time(self):
-        self.assertTrue(moved({"m": Want(1.0, 1, 0, 0.1)}, {"m": Want(1.0, 1, 0, 0.5)}))
+        self.assertTrue(
+            moved({"m": Demand(1.0, 1, 0, 0.1)}, {"m": Demand(1.0, 1, 0, 0.5)})
+        )
 
 
 class TestAgent(unittest.TestCase):
@@ -290,8 +294,8 @@
 
     def entry_says(self, in_use=2, collect=False):
         update = Update(sender="e1", begins=True)
-        wants = {"tutor": Want(rate=1.0)}
-        update.entry.CopyFrom(wire.entry_message(wants, {"tutor": in_use}, collect))
+        demands = {"tutor": Demand(rate=1.0)}
+        update.entry.CopyFrom(wire.entry_message(demands, {"tutor": in_use}, collect))
         return update
 
     def fill(self):
@@ -414,7 +418,7 @@
         self.hear(self.entry_says())
         self.many()
         self.load("poet")
-        self.stream.said = EntryWords({"clerk": Want(rate=0.1)}, {}, False)
+        self.stream.said = EntryWords({"clerk": Demand(rate=0.1)}, {}, False)
         self.load("clerk")
         self.assertTrue(self.stream.sent)
 
@@ -424,7 +428,7 @@
         self.load()
         other.sent = 0
         update = Update()
-        wire.add_wish(update, Wish("poet"))
+        wire.add_load_request(update, LoadRequest("poet"))
         self.words.received(update, other)
         self.assertTrue(other.sent)
         self.load("clerk")
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -7,12 +7,12 @@
 from bambootiller_core.gateway.attempts import Refusal
 from bambootiller_core.gateway.calls import ModelRequest, Progress
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
-from bambootiller_core.gateway.demand import Demand
+from bambootiller_core.gateway.demand_tracker import DemandTracker
 from bambootiller_core.gateway.due_adapters import DueAdapters
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.places import choose_victims, keep_values
 from bambootiller_core.gateway.residency import PlannedLoad, Planner
-from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 from tests.gateway.common.rare_replay import RareReplay
 
@@ -80,11 +80,11 @@
     def test_the_one_refused_most_goes_first(self):
         names = ("refused", "waited")
         spec = samples.engine(*[samples.model(name, load_s=13.0) for name in names])
-        wants = {
-            "refused": Want(0.6, 0, unserved=9.0, unserved_s=10.0),
-            "waited": Want(0.3, 4, 0, 1.5, unserved=4.0, unserved_s=2.0),
+        demands = {
+            "refused": Demand(0.6, 0, unserved=9.0, unserved_s=10.0),
+            "waited": Demand(0.3, 4, 0, 1.5, unserved=4.0, unserved_s=2.0),
         }
-        plan = Planner(spec, 1).plan(1.0, [samples.engine_backend(1.0, "b1")], wants)
+        plan = Planner(spec, 1).plan(1.0, [samples.engine_backend(1.0, "b1")], demands)
         self.assertEqual(next(iter(plan)), "refused")
 
 
@@ -100,8 +100,8 @@
         backends = [samples.engine_backend(1.0, "b0", ["tutor"])]
         backends += [samples.engine_backend(1.0, f"b-{name}", [name]) for name in plain]
         for name in rare:
-            wants = {"tutor": Want(2.0, holders=1, copies=1), name: Want(0.2, 1)}
-            load = Planner(spec, 1).plan(1.0, backends, wants)[name]
+            demands = {"tutor": Demand(2.0, holders=1, copies=1), name: Demand(0.2, 1)}
+            load = Planner(spec, 1).plan(1.0, backends, demands)[name]
             self.assertNotEqual(load.instance, "b0")
 
 
@@ -121,8 +121,8 @@
         refusal = await Placement(context, call, Progress()).place()
         self.assertIsInstance(refusal, Refusal)
         free = samples.engine_backend(6.0, "b1", ["tutor"])
-        (wish,) = due.wishes(6.0, free, [free])
-        self.assertEqual((wish.model, wish.adapter), ("tutor", "x1"))
+        (load_request,) = due.load_requests(6.0, free, [free])
+        self.assertEqual((load_request.model, load_request.adapter), ("tutor", "x1"))
 
 
 class TestWhatRefusedCallersAreTold(unittest.IsolatedAsyncioTestCase):
@@ -159,29 +159,31 @@
         self.due = DueAdapters()
         self.due.refused(1.0, ModelRequest("tutor", "physics"), come_back_s=6.0)
 
-    def wished(self, now, *states):
+    def requested(self, now, *states):
         backends = [samples.backend(state.instance, now, state) for state in states]
-        wishes = self.due.wishes(now, backends[-1], backends)
-        return [(wish.model, wish.adapter) for wish in wishes]
+        load_requests = self.due.load_requests(now, backends[-1], backends)
+        return [
+            (load_request.model, load_request.adapter) for load_request in load_requests
+        ]
 
     def test_they_are_loaded_once_their_model_is_there(self):
-        self.assertEqual(self.wished(2.0, samples.engine_state("b1")), [])
+        self.assertEqual(self.requested(2.0, samples.engine_state("b1")), [])
         held = samples.engine_state("b1", ["tutor"])
-        self.assertEqual(self.wished(3.0, held), [("tutor", "physics")])
+        self.assertEqual(self.requested(3.0, held), [("tutor", "physics")])
 
     def test_an_engine_in_a_load_takes_none(self):
         loading = Loading("poet", 9.0, True)
         held = samples.engine_state("b1", ["tutor"], loading=loading, busy=True)
-        self.assertEqual(self.wished(3.0, held), [])
+        self.assertEqual(self.requested(3.0, held), [])
 
     def test_one_that_an_engine_has_is_not_loaded_again(self):
         has = samples.engine_state("b1", adapters={"tutor": frozenset({"physics"})})
         other = samples.engine_state("b2", ["tutor"])
-        self.assertEqual(self.wished(3.0, has, other), [])
+        self.assertEqual(self.requested(3.0, has, other), [])
 
     def test_nothing_is_loaded_for_callers_that_did_not_come_back(self):
         held = samples.engine_state("b1", ["tutor"])
-        self.assertEqual(self.wished(8.0, held), [])
+        self.assertEqual(self.requested(8.0, held), [])
 
 
 class TestCallersDueBack(unittest.TestCase):
@@ -190,13 +192,13 @@
     def test_it_stays_until_they_are_back(self):
         spec = samples.engine(samples.model("tutor"), samples.model("poet"))
         for come_back_s in (1.0, 3.5, 6.0):
-            demand = Demand()
+            demand = DemandTracker()
             demand.asked(0.0, "tutor")
             demand.refused(0.0, "tutor", come_back_s)
             for now in (0.5 * come_back_s, come_back_s):
-                wants = demand.wants(now, {"tutor": 1}, {"tutor": 1})
-                values = keep_values(["tutor"], wants)
+                demands = demand.demands(now, {"tutor": 1}, {"tutor": 1})
+                values = keep_values(["tutor"], demands)
                 held = {"tutor": frozenset()}
-                found = choose_victims(spec, held, 40.0, {}, values, Want(0.2, 1))
+                found = choose_victims(spec, held, 40.0, {}, values, Demand(0.2, 1))
                 with self.subTest(come_back_s=come_back_s, now=now):
                     self.assertIsNone(found)
--- a/tests/gateway/failures/test_store_loads.py
+++ b/tests/gateway/failures/test_store_loads.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
-from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 
 LOAD_S = 13.2
@@ -34,7 +34,7 @@
         self.full = full
         specs = [samples.model(f"m{number}", load_s=LOAD_S) for number in range(models)]
         self.spec = samples.engine(*specs)
-        self.wants = {name: Want(1.5, waiting) for name in self.spec.models}
+        self.demands = {name: Demand(1.5, waiting) for name in self.spec.models}
         self.under_way = {}
         self.begun = []
 
@@ -56,12 +56,12 @@
         for instance, load in list(self.under_way.items()):
             if load.ends_at <= now:
                 del self.under_way[instance]
-                del self.wants[load.model]
+                del self.demands[load.model]
         planner = Planner(
             self.spec, self.full, lambda backend: backend.engine.loading.left_s
         )
         plan = planner.plan(
-            now, [self._backend(now, n) for n in range(ENGINES)], self.wants
+            now, [self._backend(now, n) for n in range(ENGINES)], self.demands
         )
         for load in plan.values():
             if load.ask_now and load.instance not in self.under_way:
--- a/tests/gateway/failures/test_store_turns_taken.py
+++ b/tests/gateway/failures/test_store_turns_taken.py
@@ -8,6 +8,7 @@
 from bambootiller_core.gateway.fleet import Fleet
 from bambootiller_core.gateway.initial_discovery import MAX_STALL_S
 from bambootiller_core.gateway.log_lines import StoreLoadAsked
+from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import PlannedLoad
 from bambootiller_core.gateway.store_concurrency import PROBE_RETRY_S
 from bambootiller_core.gateway.store_load_requests import (
@@ -15,7 +16,6 @@
     StoreLoadRequests,
 )
 from bambootiller_core.gateway.store_queue import StartReason
-from bambootiller_core.gateway.want import Want
 from tests.gateway.common import samples
 from tests.gateway.cover.test_engine_plans import ENTRIES, SERVICE, App, Known
 
@@ -43,41 +43,41 @@
     """Two loads began within 40 ms, at two engines: each entry gave the turn that had
     come free to the first of the models that it sees to."""
 
-    def entry(self, instance, wants):
+    def entry(self, instance, demands):
         app = App(instance)
         known = KnownStore(app)
-        wished = []
+        requested = []
 
-        def wish(backend, wish):
-            wished.append(wish.model)
+        def load_request(backend, load_request):
+            requested.append(load_request.model)
 
         self.lines = []
-        plans = EnginePlans(app, known, wish, self.lines.append)
+        plans = EnginePlans(app, known, load_request, self.lines.append)
         plans.entries = ENTRIES
         plans.make(app.at)
         app.at += MAX_STALL_S + 0.1
         for number in range(6):
             known.fleet.engine_told(app.at, samples.engine_state(f"b{number}"))
         plans.make(app.at)
-        wished.clear()
-        plans.totals_told(app.at, SERVICE, "10.0.0.1", wants)
+        requested.clear()
+        plans.totals_told(app.at, SERVICE, "10.0.0.1", demands)
         plans.make(app.at)
-        return app, plans, wished
+        return app, plans, requested
 
     def test_of_all_entries_one_gives_it(self):
         giving = set()
         for instance in planners(ENTRIES):
             for first in MODELS:
-                wants = dict.fromkeys(MODELS, Want(0.1, 1))
-                wants[first] = Want(0.5, 2)
-                if self.entry(instance, wants)[2]:
+                demands = dict.fromkeys(MODELS, Demand(0.1, 1))
+                demands[first] = Demand(0.5, 2)
+                if self.entry(instance, demands)[2]:
                     giving.add(instance)
         self.assertEqual(len(giving), 1)
 
     def test_the_log_tells_which_turn_was_given(self):
         asked = []
         for instance in planners(ENTRIES):
-            self.entry(instance, {"m1": Want(0.5, 2)})
+            self.entry(instance, {"m1": Demand(0.5, 2)})
             lines = [line for line in self.lines if isinstance(line, StoreLoadAsked)]
             asked += [line for line in lines if line.model == "m1"]
         (line,) = asked
@@ -85,15 +85,15 @@
 
     def test_an_entry_does_not_change_its_mind_until_the_agent_has_spoken(self):
         for instance in planners(ENTRIES):
-            first = {**dict.fromkeys(MODELS, Want(0.1, 1)), "m1": Want(0.5, 2)}
-            app, plans, wished = self.entry(instance, first)
-            asked = set(wished)
+            first = {**dict.fromkeys(MODELS, Demand(0.1, 1)), "m1": Demand(0.5, 2)}
+            app, plans, requested = self.entry(instance, first)
+            asked = set(requested)
             for model in MODELS:
-                later = {**first, model: Want(0.9, 3)}
+                later = {**first, model: Demand(0.9, 3)}
                 plans.totals_told(app.at, SERVICE, "10.0.0.1", later)
                 app.at += PLAN_S
                 plans.make(app.at)
-            self.assertEqual(set(wished), asked)
+            self.assertEqual(set(requested), asked)
 
 
 class TestLoadsThatDoNotBegin(unittest.TestCase):
@@ -104,23 +104,26 @@
 
     def plans(self, admits):
         app = App(ENTRIES[0])
-        known, wished = KnownStore(app), []
+        known, requested = KnownStore(app), []
         plans = EnginePlans(
-            app, known, lambda backend, wish: wished.append(wish.model), admits=admits
+            app,
+            known,
+            lambda backend, load_request: requested.append(load_request.model),
+            admits=admits,
         )
         plans.entries = (app.instance,)
-        wants = {"m1": Want(0.9, 3), "m2": Want(0.5, 2)}
+        demands = {"m1": Demand(0.9, 3), "m2": Demand(0.5, 2)}
         for _ in range(round((MAX_STALL_S + 12.0) / PLAN_S)):
             app.at += PLAN_S
             for number in range(6):
                 known.fleet.engine_told(app.at, samples.engine_state(f"b{number}"))
-            plans.totals_told(app.at, SERVICE, "10.0.0.1", wants)
+            plans.totals_told(app.at, SERVICE, "10.0.0.1", demands)
             plans.make(app.at)
-        return wished
+        return requested
 
     def test_a_model_whose_load_is_not_admitted_takes_no_turn(self):
-        wished = self.plans(admits=lambda model: model != "m1")
-        self.assertEqual(set(wished), {"m2"})
+        requested = self.plans(admits=lambda model: model != "m1")
+        self.assertEqual(set(requested), {"m2"})
 
     def test_agents_that_do_not_begin_one_are_not_asked_for_it_again_at_once(self):
         self.assertEqual(set(self.plans(admits=lambda model: True)), {"m1", "m2"})
--- a/tests/gateway/randomised/plan_records.py
+++ b/tests/gateway/randomised/plan_records.py
@@ -18,8 +18,8 @@
 
 
 def plan(seed):
-    spec, backends, wants, store_loads = fleets.fleet(seed)
-    return Planner(spec, store_loads).plan(fleets.NOW, backends, wants)
+    spec, backends, demands, store_loads = fleets.fleet(seed)
+    return Planner(spec, store_loads).plan(fleets.NOW, backends, demands)
 
 
 def digest(seed):
--- a/tests/gateway/randomised/test_orders.py
+++ b/tests/gateway/randomised/test_orders.py
@@ -6,9 +6,9 @@
 
 from bambootiller_core.gateway.order_messages import (
     EngineReport,
+    LoadRequest,
     OrderAnswer,
     OrderKind,
-    Wish,
 )
 from bambootiller_core.gateway.orders import OrderBook
 from tests.common import counting, profiles
@@ -144,7 +144,7 @@
         now += rng.uniform(0.0, 0.3)
         model = rng.choice(list(MODELS))
         adapter = rng.choice(["", "", "a1", "a2", "a3", "a4"])
-        book.wished(now, Wish(model, adapter, rng.choice([0, 5])))
+        book.load_requested(now, LoadRequest(model, adapter, rng.choice([0, 5])))
         if rng.random() < restarts:
             engine.restart()
         if rng.random() < 0.01:
--- a/tests/gateway/randomised/test_plans.py
+++ b/tests/gateway/randomised/test_plans.py
@@ -29,10 +29,10 @@
         """
         for seed in range(40):
             with self.subTest(seed=seed):
-                spec, backends, wants, loads = fleets.fleet(seed)
+                spec, backends, demands, loads = fleets.fleet(seed)
                 planner = Planner(spec, loads)
                 planner.plan(fleets.NOW, random.Random(seed).sample(backends, 1), {})
-                found = planner.plan(fleets.NOW, backends, wants)
+                found = planner.plan(fleets.NOW, backends, demands)
                 self.assertEqual(found, plan_records.plan(seed))
 
     def test_the_fleets_are_of_many_kinds(self):
