--- a/packages/bambootiller-core/src/bambootiller_core/gateway/attempts.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/attempts.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from bambootiller_core.gateway.calls import Call, Progress
-from bambootiller_core.gateway.log_lines import PlanSeen, QuotaSeen
+from bambootiller_core.gateway.log_lines import PlanSnapshot, QuotaSnapshot
 
 #: A further attempt that has less time left than this would be cut before it answers.
 #: Seconds.
@@ -107,8 +107,8 @@
     reason: Reason
     come_back_s: float | None = None
     detail: str = ""
-    plan: PlanSeen | None = None
-    quota: QuotaSeen | None = None
+    plan: PlanSnapshot | None = None
+    quota: QuotaSnapshot | None = None
 
     @property
     def status(self) -> int:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/collecting.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/collecting.py
@@ -18,7 +18,7 @@
 from bambootiller_core import rendezvous
 from bambootiller_core.gateway.demand_tracker import faded
 from bambootiller_core.gateway.engine_state import EngineState
-from bambootiller_core.gateway.fleet import AGENT_SILENT_S
+from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S
 from bambootiller_core.gateway.model_demand import Demand
 
 #: A rate that differs by less than this part of it from what its receiver takes it for
@@ -150,7 +150,7 @@
     def _heard(self, now: float, service: str) -> list[Mapping[str, Demand]]:
         told = self._told.get(service, {})
         for host, (at, _) in list(told.items()):
-            if now - at > AGENT_SILENT_S:
+            if now - at > AGENT_TIMEOUT_S:
                 del told[host]
         return [demands for _, demands in told.values()]
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
@@ -12,7 +12,7 @@
 from bambootiller_core.gateway.config import ModelSpec
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.log_lines import CopiesChanged, CopySeen
+from bambootiller_core.gateway.log_lines import CopiesChanged, ModelCopy
 from bambootiller_core.gateway.order_messages import EngineReport
 from bambootiller_core.gateway.places import copies_at
 
@@ -26,12 +26,12 @@
     service: str,
     spec: ModelSpec,
     memory_mb: float,
-) -> tuple[CopySeen, ...]:
+) -> tuple[ModelCopy, ...]:
     """The engines of the service that have a copy of the model, leaving ones too."""
     found = [
-        CopySeen(backend.instance, _state(now, backend, spec, memory_mb))
+        ModelCopy(backend.instance, _state(now, backend, spec, memory_mb))
         for backend in backends
-        if backend.registered.service == service
+        if backend.registration.service == service
         and backend.engine is not None
         and spec.name in copies_at(backend)
     ]
@@ -39,11 +39,11 @@
 
 
 def _state(now: float, backend: Backend, spec: ModelSpec, memory_mb: float) -> str:
-    if backend.registered.leaving:
+    if backend.registration.leaving:
         return "leaving"
     if backend.lost(now):
         return "lost"
-    if not backend.agent_heard(now):
+    if not backend.agent_responsive(now):
         return "unheard"
     return _engine_state(backend.engine, spec, memory_mb)
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
@@ -46,5 +46,5 @@
 
 def _answered_later(lost_at: float, backend: Backend) -> bool:
     """Whether the agent has spoken long enough after a run was lost."""
-    heard_s = backend.heard_at - backend.running_time(lost_at)
+    heard_s = backend.last_received_at - backend.running_time(lost_at)
     return backend.engine is not None and heard_s > AGENT_DETECTION_S
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
@@ -309,7 +309,7 @@
         known_at = self._sound_parts.get(name)
         return known_at is not None and at - known_at < SOUND_PART_TTL_S
 
-    def pending_updates(self, update_filter: UpdateFilter) -> LedgerUpdate:
+    def unsent(self, update_filter: UpdateFilter) -> LedgerUpdate:
         """What has been learnt that a peer hasn't been told."""
         runs = tuple(
             record.run
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/relaying.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/document_propagation.py
@@ -20,47 +20,47 @@
 
 #: How long a peer is given to learn of a configuration by itself. A peer that hangs has
 #: to be told well within two seconds. Seconds.
-OWN_TIME_S = 0.7
+SELF_UPDATE_GRACE_S = 0.7
 #: The same of an entry of the registry, beside the time between two reads of it: an
 #: agent says with its next message, at most 0.8 s later, up to where it has everything.
 #: Seconds.
-TELLS_WITHIN_S = 0.9
+AGENT_REPORT_GRACE_S = 0.9
 #: How long each leaves a peer to the one before it in turn: about as long as a
 #: configuration takes on the smallest link, and the word that it has come. Seconds.
-TURN_S = 0.15
+STAGGER_S = 0.15
 #: Agents that pass a document on to an entry spread over so many turns; they don't know
 #: of each other.
-AGENT_TURNS = 20
+AGENT_RANKS = 20
 #: For how many agents, times the lists of entries that are told, the turns are kept.
-KEPT_TURNS = 1024
+RANK_CACHE_SIZE = 1024
 
-Complete = Mapping[str, int]
+Revisions = Mapping[str, int]
 
 
-def entry_turn(entry: str, agent: str, entries: tuple[str, ...]) -> int:
+def entry_rank(entry: str, agent: str, entries: tuple[str, ...]) -> int:
     """Whose turn it is to tell an agent: 0 for the entry that does so at once.
 
-    >>> entry_turn("e1", "10.0.0.1:7", ("e1",))
+    >>> entry_rank("e1", "10.0.0.1:7", ("e1",))
     0
     """
     known = entries if entry in entries else (*entries, entry)
-    return _turns(agent, known)[entry]
+    return _ranks(agent, known)[entry]
 
 
-@lru_cache(KEPT_TURNS)
-def _turns(agent: str, entries: tuple[str, ...]) -> Mapping[str, int]:
+@lru_cache(RANK_CACHE_SIZE)
+def _ranks(agent: str, entries: tuple[str, ...]) -> Mapping[str, int]:
     # Kept, as an entry asks it of each agent for each document that it learns.
     ranked = rendezvous.ranked(f"tells {agent}", entries)
-    return {entry: turn for turn, entry in enumerate(ranked)}
+    return {entry: rank for rank, entry in enumerate(ranked)}
 
 
-def agent_turn(agent: str, entry: str) -> int:
+def agent_rank(agent: str, entry: str) -> int:
     """The turn of an agent to tell an entry what that may lack; never at once, as
     entries follow the store."""
-    return 1 + rendezvous.weight(f"tells {entry}", agent) % AGENT_TURNS
+    return 1 + rendezvous.weight(f"tells {entry}", agent) % AGENT_RANKS
 
 
-def covers(complete: Complete, change: Changed) -> bool:
+def is_covered(complete: Revisions, change: Changed) -> bool:
     """Whether someone who has everything up to ``complete`` has this document.
 
     >>> from bambootiller_core.ports import Record
@@ -83,7 +83,7 @@
     return key == part or (part.endswith("/") and key.startswith(part))
 
 
-class ForPeer:
+class PeerQueue:
     """The documents that one peer may lack.
 
     Example::
@@ -95,27 +95,27 @@
 
     def __init__(self) -> None:
         self._queued: dict[str, tuple[Changed, float]] = {}
-        self._peer: Complete | None = None
+        self._peer: Revisions | None = None
 
     def add(
         self,
         now: float,
         change: Changed,
-        turn: int,
-        own_time_s: float = OWN_TIME_S,
+        rank: int,
+        self_update_grace_s: float = SELF_UPDATE_GRACE_S,
     ) -> None:
         """A document has become known here; it goes out at once in turn 0."""
-        if self._peer is not None and covers(self._peer, change):
+        if self._peer is not None and is_covered(self._peer, change):
             # The peer said so before, and doesn't say it again.
             return
-        due_at = now + own_time_s + (turn - 1) * TURN_S if turn else now
+        due_at = now + self_update_grace_s + (rank - 1) * STAGGER_S if rank else now
         self._queued[change.record.key] = (change, due_at)
 
-    def peer_has(self, complete: Complete) -> None:
+    def peer_has(self, complete: Revisions) -> None:
         """The peer says up to where it has everything."""
         self._peer = complete
         for key, (change, _) in list(self._queued.items()):
-            if covers(complete, change):
+            if is_covered(complete, change):
                 del self._queued[key]
 
     def peer_revision(self, key: str) -> int | None:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/due_adapters.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/due_adapters.py
@@ -50,7 +50,7 @@
         all engines of the service."""
         if not self._due:
             return []
-        able = backend.takes_orders(now) and backend.engine.loading is None
+        able = backend.accepts_orders(now) and backend.engine.loading is None
         models = [model for model in self._due if backend.serves(now, model)]
         found = []
         for model in models:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/health.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/health.py
@@ -14,12 +14,12 @@
 from bambootiller_core.gateway.incarnation import Incarnation
 
 #: The weight of the newest call in the running means.
-NEWEST_WEIGHT = 0.15
+EWMA_WEIGHT = 0.15
 #: A judgement fades by half in this time, so that a backend server that has recovered
 #: is tried again. Seconds.
 HALF_LIFE_S = 4.0
 #: Failure rates that differ by less than this from the service's mean are luck.
-EQUAL_RATE = 0.08
+RATE_TOLERANCE = 0.08
 #: What a failure rate above the mean costs, in units of a full batch.
 RATE_COST = 6.0
 #: Answers slower than this many times the service's mean cost something.
@@ -32,11 +32,11 @@
 #: From this cost on a backend server counts as failing or slow, and below the second
 #: as good again; between them the judgement stays, so that it doesn't flap. Full
 #: batches: from one on, calls go elsewhere even while others are full.
-JUDGED_BAD = 1.0
-JUDGED_GOOD = 0.5
+BAD_COST = 1.0
+GOOD_COST = 0.5
 
 
-class Standing(enum.Enum):
+class HealthState(enum.Enum):
     """How a backend server is judged, in a word."""
 
     GOOD = "good"
@@ -46,11 +46,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class HealthChange:
     """A judgement that has changed, and the figures behind it."""
 
-    before: Standing
-    standing: Standing
+    before: HealthState
+    standing: HealthState
     failure_rate: float
     latency_s: float | None
 
@@ -59,10 +59,10 @@
 class _Score:
     failures: float = 0.0
     latency_s: float | None = None
-    noted_at: float = 0.0
+    updated_at: float = 0.0
     unreachable: int = 0
     avoid_until: float = 0.0
-    standing: Standing = Standing.GOOD
+    standing: HealthState = HealthState.GOOD
 
 
 class Health:
@@ -77,21 +77,21 @@
 
     def succeeded(self, now: float, server: Incarnation, latency_s: float) -> None:
         """A call was answered; ``latency_s`` is the time to the first part of it."""
-        score = self._fresh(now, server)
-        score.failures *= 1 - NEWEST_WEIGHT
+        score = self._decayed_score(now, server)
+        score.failures *= 1 - EWMA_WEIGHT
         score.unreachable = 0
         if score.latency_s is None:
             score.latency_s = latency_s
-        score.latency_s += NEWEST_WEIGHT * (latency_s - score.latency_s)
+        score.latency_s += EWMA_WEIGHT * (latency_s - score.latency_s)
 
     def failed(self, now: float, server: Incarnation) -> None:
         """A call failed there, was refused, or got a useless answer."""
-        score = self._fresh(now, server)
-        score.failures += NEWEST_WEIGHT * (1 - score.failures)
+        score = self._decayed_score(now, server)
+        score.failures += EWMA_WEIGHT * (1 - score.failures)
 
     def unreachable(self, now: float, server: Incarnation) -> None:
         """No connection could be made."""
-        score = self._fresh(now, server)
+        score = self._decayed_score(now, server)
         pause = min(UNREACHABLE_S * 2**score.unreachable, UNREACHABLE_MAX_S)
         score.unreachable = min(score.unreachable + 1, 8)
         score.avoid_until = now + pause
@@ -108,34 +108,38 @@
             return 0.0
         return self._failure_cost(now, score) + self._slowness_cost(now, score)
 
-    def standing(self, server: Incarnation) -> Standing:
+    def standing(self, server: Incarnation) -> HealthState:
         """How the backend server was judged last."""
         score = self._scores.get(server)
-        return score.standing if score is not None else Standing.GOOD
+        return score.standing if score is not None else HealthState.GOOD
 
-    def review(self, now: float, server: Incarnation) -> Judged | None:
+    def review(self, now: float, server: Incarnation) -> HealthChange | None:
         """Judge the backend server anew; returns the judgement if it has changed."""
         score = self._scores.get(server)
         if score is None:
             return None
-        before, standing = score.standing, self._judge(now, score)
+        before, standing = score.standing, self._state(now, score)
         if standing is before:
             return None
         score.standing = standing
-        return Judged(before, standing, _faded(score, now), score.latency_s)
+        return HealthChange(
+            before, standing, _decayed_failures(score, now), score.latency_s
+        )
 
-    def _judge(self, now: float, score: _Score) -> Standing:
+    def _state(self, now: float, score: _Score) -> HealthState:
         if now < score.avoid_until:
-            return Standing.UNREACHABLE
+            return HealthState.UNREACHABLE
         failing = self._failure_cost(now, score)
         slow = self._slowness_cost(now, score)
-        was_bad = score.standing in (Standing.FAILING, Standing.SLOW)
-        if failing + slow < (JUDGED_GOOD if was_bad else JUDGED_BAD):
-            return Standing.GOOD
-        return Standing.FAILING if failing >= slow else Standing.SLOW
+        was_bad = score.standing in (HealthState.FAILING, HealthState.SLOW)
+        if failing + slow < (GOOD_COST if was_bad else BAD_COST):
+            return HealthState.GOOD
+        return HealthState.FAILING if failing >= slow else HealthState.SLOW
 
     def _failure_cost(self, now: float, score: _Score) -> float:
-        excess = _faded(score, now) - self._mean_failures(now) - EQUAL_RATE
+        excess = (
+            _decayed_failures(score, now) - self._mean_failures(now) - RATE_TOLERANCE
+        )
         return RATE_COST * max(0.0, excess)
 
     def _slowness_cost(self, now: float, score: _Score) -> float:
@@ -143,25 +147,25 @@
         if score.latency_s is None or typical <= 0:
             return 0.0
         slowness = score.latency_s / typical - SLOW_FACTOR
-        return SLOW_COST * max(0.0, slowness) * _fading(score, now)
+        return SLOW_COST * max(0.0, slowness) * _decay(score, now)
 
-    def forget_ended(self, lives: Callable[[Incarnation], bool]) -> None:
+    def forget_ended(self, is_current: Callable[[Incarnation], bool]) -> None:
         """Forget the starts of backend servers that are over.
 
         What they were judged by would go on to count in what is typical of the service.
         """
         for server in list(self._scores):
-            if not lives(server):
+            if not is_current(server):
                 del self._scores[server]
 
-    def _fresh(self, now: float, server: Incarnation) -> _Score:
-        score = self._scores.setdefault(server, _Score(noted_at=now))
-        score.failures = _faded(score, now)
-        score.noted_at = now
+    def _decayed_score(self, now: float, server: Incarnation) -> _Score:
+        score = self._scores.setdefault(server, _Score(updated_at=now))
+        score.failures = _decayed_failures(score, now)
+        score.updated_at = now
         return score
 
     def _mean_failures(self, now: float) -> float:
-        rates = sorted(_faded(score, now) for score in self._scores.values())
+        rates = sorted(_decayed_failures(score, now) for score in self._scores.values())
         return rates[len(rates) // 2] if len(rates) > 2 else 0.0
 
     def _typical_latency(self) -> float:
@@ -173,9 +177,9 @@
         return seen[(len(seen) - 1) // 2] if len(seen) > 1 else 0.0
 
 
-def _fading(score: _Score, now: float) -> float:
-    return 0.5 ** (max(0.0, now - score.noted_at) / HALF_LIFE_S)
+def _decay(score: _Score, now: float) -> float:
+    return 0.5 ** (max(0.0, now - score.updated_at) / HALF_LIFE_S)
 
 
-def _faded(score: _Score, now: float) -> float:
-    return score.failures * _fading(score, now)
+def _decayed_failures(score: _Score, now: float) -> float:
+    return score.failures * _decay(score, now)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_order.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_order.py
@@ -171,7 +171,7 @@
     """Whether every engine that holds a model is close to its most calls, or to the
     limit that it names."""
     return bool(holders) and all(
-        now < backend.short_until
-        or backend.occupied(now) >= CROWDED * max(1, backend.registered.slots)
+        now < backend.throttled_until
+        or backend.occupied(now) >= CROWDED * max(1, backend.registration.slots)
         for backend in holders
     )
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_requests.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_requests.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ChosenOn:
+class BackendSnapshot:
     """What was known of a backend server when a call was sent there.
 
     ``occupied`` are calls running or queued, ``unread`` those whose prompts it had
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CopySeen:
+class ModelCopy:
     """An engine that has a copy of a model, and what keeps the model from being loaded
     there: ``leaving``, ``lost``, ``unheard`` (its agent is silent), ``loading``,
     ``unloading``, ``full``, or ``free`` if nothing does."""
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlanSeen:
+class PlanSnapshot:
     """The plan on which a call waited for its model, or was refused.
 
     ``ready_in_s`` None: no engine can load it. ``backend`` is the engine of the planned
@@ -66,7 +66,7 @@
     asked: bool | None = None
     agent_age_ms: int | None = None
     waiting: int = 0
-    copies: tuple[CopySeen, ...] = ()
+    copies: tuple[ModelCopy, ...] = ()
     store_loads: int = 0
     obstacles: Obstacles | None = None
     unserved: float = 0.0
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QuotaSeen:
+class QuotaSnapshot:
     """The quota on which a call was refused, in ``unit``.
 
     ``cost`` is what the call counts, ``demand_per_s`` what calls of the customer cost
@@ -113,7 +113,7 @@
     total_ms: int
     longest_gap_ms: int
     config_version: int
-    chosen_on: ChosenOn
+    chosen_on: BackendSnapshot
     adapter: str | None = None
     customer: str | None = None
     cost: float | None = None
@@ -139,7 +139,7 @@
     next: str
     budget_left: float
     left_ms: int
-    chosen_on: ChosenOn
+    chosen_on: BackendSnapshot
 
 
 @dataclass(frozen=True, slots=True)
@@ -160,12 +160,12 @@
     held_ms: int
     detail: str
     config_version: int | None
-    plan: PlanSeen | None = None
+    plan: PlanSnapshot | None = None
     fingerprint: str | None = None
     adapter: str | None = None
     customer: str | None = None
     cost: float | None = None
-    quota: QuotaSeen | None = None
+    quota: QuotaSnapshot | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_demand.py
@@ -38,7 +38,7 @@
     fade from ``told_at`` on, here as there."""
 
     told_at: float
-    heard_at: float
+    last_received_at: float
     demands: Mapping[str, Demand]
     in_use: Mapping[str, int]
 
@@ -96,7 +96,7 @@
         use = self._entries.get(entry)
         if use is None:
             return False
-        use.heard_at = now
+        use.last_received_at = now
         return True
 
     def engine_restarted(self) -> None:
@@ -120,7 +120,7 @@
                 del self._load_requests[key]
                 del self._requested_by[key]
         for entry, use in list(self._entries.items()):
-            if now - use.heard_at > USE_LIFE_S:
+            if now - use.last_received_at > USE_LIFE_S:
                 self._demands = None
                 del self._entries[entry]
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/report_naming.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/report_identity.py
@@ -5,21 +5,23 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from bambootiller_core.gateway.fleet import Backend, Registered
+from bambootiller_core.gateway.fleet import Backend, Registration
 from bambootiller_core.gateway.order_messages import EngineReport
 
 
-def listed_at(backends: Iterable[Backend], address: str) -> Registered | None:
+def registration_at(backends: Iterable[Backend], address: str) -> Registration | None:
     """Who is at an address by the registry: the latest to be listed."""
     listed = [
-        backend.registered
+        backend.registration
         for backend in backends
-        if backend.registered.address == address
+        if backend.registration.address == address
     ]
     return max(listed, key=lambda item: item.revision, default=None)
 
 
-def named(report: EngineReport, listed: Registered | None) -> EngineReport | None:
+def with_identity(
+    report: EngineReport, listed: Registration | None
+) -> EngineReport | None:
     """The report with the name of who gives it, None if that isn't known.
 
     An order always names the instance that it is meant for. Without the name, one that
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -268,7 +268,7 @@
             copied_at[backend.instance] = names = copies_at(backend)
             copies.update(names)
         self._places = [
-            self._place(backend) for backend in known if backend.takes_orders(now)
+            self._place(backend) for backend in known if backend.accepts_orders(now)
         ]
         self._adapters = AdapterPlaces(self._engine, self._places, demands)
         self._copies = copies_of(self._places)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
@@ -14,15 +14,15 @@
 #: is paid for, and takes a little longer.
 ZONE_COST = 0.08
 #: What it costs to be one place later among the holders of a model.
-TURN_COST = 0.25
+RANK_COST = 0.25
 #: What each prompt costs that the engine has still to read: it reads them one after
 #: the other, so a burst that gathers at one engine begins late.
-UNREAD_COST = 0.12
+PREFILL_COST = 0.12
 #: Equal backend servers are drawn from, or all entries would choose the same one.
 JITTER = 0.04
 #: An entry has no more of its own calls at a backend server than this many times what
 #: it serves at once; more would be refused there.
-MOST_OCCUPIED = 1.5
+MAX_OCCUPANCY = 1.5
 
 
 def choose(
@@ -45,15 +45,15 @@
     able = reachable or free
     if not able:
         return None
-    turn = _turns(call, able)
+    holder_rank = _holder_ranks(call, able)
 
     def cost(backend: Backend) -> float:
-        total = backend.occupied(now) / max(1, backend.registered.slots)
+        total = backend.occupied(now) / max(1, backend.registration.slots)
         total += health.cost(now, backend.incarnation)
-        total += ZONE_COST * (backend.registered.zone != zone)
-        total += TURN_COST * turn.get(backend.instance, 0)
+        total += ZONE_COST * (backend.registration.zone != zone)
+        total += RANK_COST * holder_rank.get(backend.instance, 0)
         if call.ask is not None:
-            total += UNREAD_COST * backend.unread_prompts(now)
+            total += PREFILL_COST * backend.engine_pending_prefills(now)
         return total + rng.random() * JITTER
 
     return min(able, key=cost)
@@ -61,16 +61,16 @@
 
 def is_full(backend: Backend, now: float) -> bool:
     """Whether one more call would only wait or be refused there."""
-    return backend.occupied(now) >= MOST_OCCUPIED * max(1, backend.registered.slots)
+    return backend.occupied(now) >= MAX_OCCUPANCY * max(1, backend.registration.slots)
 
 
-def home_weight(ask: ModelRequest, instance: str) -> int:
+def placement_weight(ask: ModelRequest, instance: str) -> int:
     """How early an engine comes in the order in which all entries seek a home for an
     adapter; the greatest weight is first."""
     return rendezvous.weight(f"{ask.model}/{ask.adapter}", instance)
 
 
-def _turns(call: Call, able: Sequence[Backend]) -> dict[str, int]:
+def _holder_ranks(call: Call, able: Sequence[Backend]) -> dict[str, int]:
     """The place of each engine in the order in which all entries use a model's holders.
 
     Calls of one model gather at the first of its holders, as long as that isn't much
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/service_levels.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/service_levels.py
@@ -17,16 +17,16 @@
 
 #: Rates fade by a factor of e in this time: long enough for some calls of a rare level
 #: at one of many entries. Seconds.
-MEMORY_S = 10.0
+DECAY_S = 10.0
 #: Calls of each level that are assumed besides those seen, so that the first call of a
 #: level doesn't count for many.
-ASSUMED_CALLS = 1.0
+PRIOR_CALLS = 1.0
 #: The power of the weight that would give each level the same part.
-HALF_WAY = 0.5
+WEIGHT_EXPONENT = 0.5
 #: The least and the most that a call counts: a single caller of a level that nobody
 #: else uses mustn't rule the loads.
-LEAST_WEIGHT = 0.5
-MOST_WEIGHT = 4.0
+MIN_WEIGHT = 0.5
+MAX_WEIGHT = 4.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,14 +55,14 @@
 
     def weigh(self, now: float, level: ServiceLevel) -> float:
         """Count a call of the level, and return how much it counts."""
-        self._calls[level] = (self._lately(now, level) + 1.0, now)
+        self._calls[level] = (self._recent_calls(now, level) + 1.0, now)
         calls = {
-            known: self._lately(now, known) + ASSUMED_CALLS for known in self._calls
+            known: self._recent_calls(now, known) + PRIOR_CALLS for known in self._calls
         }
         even = sum(calls.values()) / (len(calls) * calls[level])
-        weight = even**HALF_WAY
-        return max(LEAST_WEIGHT, min(MOST_WEIGHT, weight))
+        weight = even**WEIGHT_EXPONENT
+        return max(MIN_WEIGHT, min(MAX_WEIGHT, weight))
 
-    def _lately(self, now: float, level: ServiceLevel) -> float:
+    def _recent_calls(self, now: float, level: ServiceLevel) -> float:
         calls, at = self._calls.get(level, (0.0, now))
-        return calls * math.exp((at - now) / MEMORY_S)
+        return calls * math.exp((at - now) / DECAY_S)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -191,7 +191,7 @@
         if backend is None or incarnation.precedes(backend.incarnation):
             # A load is cut off where its engine is gone, or starts anew.
             return False
-        if backend.agent_heard(now):
+        if backend.agent_responsive(now):
             return False
         return now < tracked.began + (1.0 + OVERRUN_FRACTION) * self._expected_s(
             tracked
@@ -211,7 +211,7 @@
         tracked.seen_at = now
         end_reported = (
             backend is not None
-            and backend.agent_heard(now)
+            and backend.agent_responsive(now)
             and not backend.engine.silent
             and not incarnation.precedes(backend.incarnation)
         )
@@ -229,7 +229,11 @@
             if loading is None or not loading.from_store:
                 continue
             spec = engine.models.get(loading.model)
-            if spec is None or not backend.agent_heard(now) or backend.engine.silent:
+            if (
+                spec is None
+                or not backend.agent_responsive(now)
+                or backend.engine.silent
+            ):
                 continue
             # While an engine makes room, its load is told as one to come, with at
             # least all of its time left.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/story.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/timeline.py
@@ -27,11 +27,11 @@
 
 #: Lines about a backend server or model of the request count within this time of it.
 #: Seconds. A load from the weight store takes several.
-BEFORE_S = 10.0
-AFTER_S = 3.0
+CONTEXT_BEFORE_S = 10.0
+CONTEXT_AFTER_S = 3.0
 #: What a process says in the first moment of its life is what it found, not what
 #: happened then, and anchors nothing. Seconds.
-LEARNING_S = 1.0
+STARTUP_S = 1.0
 #: Events that all processes see at nearly the same moment.
 _ANCHORS = ("config_in_force", "backend_listed")
 _ABOUT_MODEL = ("order", "load_ended")
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
+class Timeline:
     """The lines of a request and those that explain it, in order.
 
     ``unaligned`` are processes without an anchor in common with the one that served the
@@ -74,7 +74,7 @@
 
 
 @dataclass(slots=True)
-class _Run:
+class _ProcessRun:
     """One start of one process: its lines in the order in which it wrote them."""
 
     instance: str
@@ -99,7 +99,7 @@
             yield line
 
 
-def tell(lines: Iterable[Line], request: str) -> Story | None:
+def build_timeline(lines: Iterable[Line], request: str) -> Timeline | None:
     """The story of ``request``; None if no line names it."""
     runs = _runs(lines)
     serving = [
@@ -124,20 +124,22 @@
         for line in run.lines:
             at = line["uptime_s"] + run.offset_s
             is_own = line.get("request") == request
-            near = begin - BEFORE_S <= at <= end + AFTER_S
+            near = begin - CONTEXT_BEFORE_S <= at <= end + CONTEXT_AFTER_S
             tries = subject.is_of_same_request(line)
             if is_own or tries or (near and subject.concerns(run, line)):
                 steps.append(Step(round(at - begin, 3), is_own, line))
                 if not run.aligned:
                     unaligned.add(run.instance)
     steps.sort(key=lambda step: step.at_s)
-    return Story(tuple(steps), tuple(sorted(unaligned)))
+    return Timeline(tuple(steps), tuple(sorted(unaligned)))
 
 
 class _Subject:
     """What a request is about: its model, its backend servers, who served it."""
 
-    def __init__(self, request: str, own: list[Line], serving: list[_Run]) -> None:
+    def __init__(
+        self, request: str, own: list[Line], serving: list[_ProcessRun]
+    ) -> None:
         self._request = request
         self._serving = {run.instance for run in serving}
         self._models = {line["model"] for line in own if line.get("model")}
@@ -152,7 +154,7 @@
         may be why it was refused."""
         return line.get("fingerprint") in self._fingerprints
 
-    def concerns(self, run: _Run, line: Line) -> bool:
+    def concerns(self, run: _ProcessRun, line: Line) -> bool:
         """Whether a line without the request's id helps to explain it."""
         event = line["event"]
         if event in _ABOUT_MODEL:
@@ -167,21 +169,21 @@
         return others and line.get("backend") in self._backends
 
 
-def _runs(lines: Iterable[Line]) -> list[_Run]:
+def _runs(lines: Iterable[Line]) -> list[_ProcessRun]:
     """The lines by process and start: the uptime begins anew at each."""
-    runs: list[_Run] = []
-    current: dict[str, _Run] = {}
+    runs: list[_ProcessRun] = []
+    current: dict[str, _ProcessRun] = {}
     for line in lines:
         instance = line.get("instance", "")
         run = current.get(instance)
         if run is None or line["uptime_s"] < run.lines[-1]["uptime_s"]:
-            run = current[instance] = _Run(instance, [])
+            run = current[instance] = _ProcessRun(instance, [])
             runs.append(run)
         run.lines.append(line)
     return runs
 
 
-def _align(run: _Run, to: _Run) -> None:
+def _align(run: _ProcessRun, to: _ProcessRun) -> None:
     if run is to:
         return
     there = _anchors(to)
@@ -193,17 +195,17 @@
     run.offset_s = _clock_base(run) - _clock_base(to)
 
 
-def _anchors(run: _Run) -> dict[tuple[Any, ...], float]:
+def _anchors(run: _ProcessRun) -> dict[tuple[Any, ...], float]:
     """When this process saw each event that all processes see."""
     seen: dict[tuple[Any, ...], float] = {}
     for line in run.lines:
-        if line["event"] not in _ANCHORS or line["uptime_s"] < LEARNING_S:
+        if line["event"] not in _ANCHORS or line["uptime_s"] < STARTUP_S:
             continue
         key = (line["event"], line.get("backend"), line["revision"])
         seen.setdefault(key, line["uptime_s"])
     return seen
 
 
-def _clock_base(run: _Run) -> float:
+def _clock_base(run: _ProcessRun) -> float:
     """The time of day at the process's start, by most of its lines."""
     return statistics.median(line["time"] - line["uptime_s"] for line in run.lines)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/wakeups.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/wakeups.py
@@ -17,7 +17,7 @@
     ``backend`` is as it was before.
     """
     before = backend.engine
-    if before is None or backend.denied:
+    if before is None or backend.denials:
         return True
     return (
         before.incarnation != state.incarnation
--- a/packages/bambootiller-standins/src/bambootiller_standins/plancost.py
+++ b/packages/bambootiller-standins/src/bambootiller_standins/plancost.py
@@ -18,7 +18,7 @@
 import click
 
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
-from bambootiller_core.gateway.fleet import Backend, EngineState, Registered
+from bambootiller_core.gateway.fleet import Backend, EngineState, Registration
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
 
@@ -69,7 +69,7 @@
         memory_mb_used=sum(spec.models[name].size_mb for name in held),
         keep_values={name: 0.5 for name in held},
     )
-    record = Registered(instance, "s", f"10.0.0.{number}:80", "z", 24, False, number)
+    record = Registration(instance, "s", f"10.0.0.{number}:80", "z", 24, False, number)
     return Backend(record, state, NOW)
 
 
--- a/packages/bambootiller/src/bambootiller/cli/explain_logs.py
+++ b/packages/bambootiller/src/bambootiller/cli/explain_logs.py
@@ -10,7 +10,12 @@
 from bambootiller.cli.exits import Exit
 from bambootiller.cli.output import print_json
 from bambootiller.cli.wiring import json_option
-from bambootiller_core.gateway.story import Step, Story, read_lines, tell
+from bambootiller_core.gateway.timeline import (
+    Step,
+    Timeline,
+    build_timeline,
+    read_lines,
+)
 
 #: Shown in columns of their own, or of no use to a reader.
 _COLUMNS = ("time", "uptime_s", "event", "instance", "request")
@@ -33,14 +38,14 @@
     \b
     bambootiller explain logs 315a551c959c068c logs/*.jsonl
     """
-    story = tell(read_lines(_text(files)), request_id)
-    if story is None:
+    timeline = build_timeline(read_lines(_text(files)), request_id)
+    if timeline is None:
         click.echo(f"no line names the request {request_id}", err=True)
         ctx.exit(Exit.REFUSED)
     if as_json:
-        print_json(story)
+        print_json(timeline)
     else:
-        _print(story)
+        _print(timeline)
 
 
 def _text(files: tuple[TextIO, ...]) -> Iterator[str]:
@@ -48,12 +53,12 @@
         yield from file
 
 
-def _print(story: Story) -> None:
-    width = max(len(str(step.line["instance"])) for step in story.steps)
-    for step in story.steps:
+def _print(timeline: Timeline) -> None:
+    width = max(len(str(step.line["instance"])) for step in timeline.steps)
+    for step in timeline.steps:
         click.echo(_shown(step, width))
-    if story.unaligned:
-        names = ", ".join(story.unaligned)
+    if timeline.unaligned:
+        names = ", ".join(timeline.unaligned)
         click.echo(f"placed by their own clocks, which may be wrong: {names}", err=True)
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -39,7 +39,7 @@
     OrderKind,
 )
 from bambootiller_core.gateway.orders import OrderBook
-from bambootiller_core.gateway.report_naming import listed_at, named
+from bambootiller_core.gateway.report_identity import registration_at, with_identity
 from bambootiller_core.gateway.store_permit_gate import StorePermitGate
 from bambootiller_core.ports import Committed, Compare, Found, Put
 
@@ -315,7 +315,9 @@
         """Whether the registry, as far as it is known here, lists the engine no
         more."""
         fleet = self._knowledge.fleet
-        return any(True for _ in fleet) and listed_at(fleet, self._address) is None
+        return (
+            any(True for _ in fleet) and registration_at(fleet, self._address) is None
+        )
 
     def _review_turn(self, report: EngineReport) -> None:
         goes_on = self._book.draws_on_store()
@@ -324,8 +326,8 @@
         self._turn.review(self._reported_at, goes_on)
 
     def _named(self, report: EngineReport) -> EngineReport | None:
-        listed = listed_at(self._knowledge.fleet, self._address)
-        return named(report, listed)
+        listed = registration_at(self._knowledge.fleet, self._address)
+        return with_identity(report, listed)
 
     def _take(self, report: EngineReport) -> None:
         before = self._book.report
--- a/packages/bambootiller/src/bambootiller/gateway/agent_words.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent_words.py
@@ -93,7 +93,7 @@
         self._book = book
         now = self._clock()
         for outgoing in self._exchanger.streams():
-            if now - outgoing.heard_at < ENTRY_HEARD_S:
+            if now - outgoing.last_received_at < ENTRY_HEARD_S:
                 self._heard(outgoing, told_anew=True)
 
     def can_order(self, orders: bool) -> None:
@@ -254,7 +254,7 @@
         if entry not in self._entries:
             self._events.emit(EntryHeard(entry, heard=True))
             self._exchanger.soon()
-        self._entries[entry] = at = outgoing.heard_at
+        self._entries[entry] = at = outgoing.last_received_at
         self._collect(entry, words.collect)
         if told_anew or not self._book.entry_heard(at, entry):
             self._book.entry_told(at, entry, words.demands, words.in_use)
--- a/packages/bambootiller/src/bambootiller/gateway/allowances.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allowances.py
@@ -121,7 +121,7 @@
         self._allocator: Outgoing | None = None
         self._term = 0
         self._heard = 0
-        self.heard_at = float("-inf")
+        self.last_received_at = float("-inf")
         self._number = 0
         self._asked_at: dict[int, float] = {}
         self._told_at = float("-inf")
@@ -323,7 +323,7 @@
             ):
                 found = await waiter.decided
         except TimeoutError:
-            is_told = self.clock() - self.heard_at < wait_s
+            is_told = self.clock() - self.last_received_at < wait_s
             return Shortage.NO_ROOM if is_told else Shortage.UNKNOWN
         finally:
             if waiter in book.waiters:
@@ -345,7 +345,7 @@
         is_late = answer.term != self._term or answer.number <= self._heard
         if asked_at is None or is_late:
             return
-        self._heard, self.heard_at = answer.number, self.clock()
+        self._heard, self.last_received_at = answer.number, self.clock()
         self._asking_since = None
         asks_again_s = math.inf
         for name, grant in answer.customers.items():
--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -37,7 +37,7 @@
         self._last_event = progress.last_event
         backend.call_sent(*self._model_and_adapter())
         if self._prompt_unread:
-            backend.prompt_sent()
+            backend.prefill_pending()
         progress.tried.append(backend.incarnation)
         progress.sends += 1
         progress.may_have_run = True
@@ -51,15 +51,15 @@
         """The backend server promises that it hasn't run the call."""
         self._progress.may_have_run = self._may_have_run_before
 
-    def prompt_read(self) -> None:
+    def prefill_done(self) -> None:
         """The first event has come, or the attempt has ended."""
         if self._prompt_unread:
             self._prompt_unread = False
-            self.backend.prompt_read()
+            self.backend.prefill_done()
 
     def end(self, answered: bool) -> None:
         """Nothing more is read; unless it was ``answered`` the connection is closed."""
-        self.prompt_read()
+        self.prefill_done()
         self.backend.call_ended(*self._model_and_adapter())
         pool = self._context.pool(self.backend)
         if answered:
@@ -145,7 +145,7 @@
             return False
         attempt.mark_not_run()
         if answer_kind is AnswerKind.MISDIRECTED and call.ask is not None:
-            backend.denies(context.clock(), call.ask.model, call.ask.adapter)
+            backend.record_denial(context.clock(), call.ask.model, call.ask.adapter)
         self.failed(backend)
         return True
 
--- a/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
+++ b/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
@@ -86,7 +86,7 @@
     def __init__(self, running_time: RunningClock) -> None:
         self._running_time = running_time
         #: The running time at which bytes came last, and how often some have come.
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self.progress_count = 0
         self._silence_s: float | None = None
         self._transport: asyncio.Transport | None = None
@@ -143,7 +143,7 @@
         """Something of an answer has come. Bytes alone don't show that the backend
         server does anything: a head can go on for ever, a byte at a time."""
         self._bytes_without_progress = 0
-        self.heard_at = self._running_time()
+        self.last_received_at = self._running_time()
         self.progress_count += 1
         self._silence_s = None
 
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -21,8 +21,8 @@
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.initial_discovery import InitialDiscovery
 from bambootiller_core.gateway.log_lines import (
-    CopySeen,
     LogLine,
+    ModelCopy,
     Obstacles,
     WeightStoreIdle,
 )
@@ -111,7 +111,7 @@
     def engine_spoke(self, now: float, backend: Backend) -> None:
         """An agent told something new: ask it for the adapters of refused callers whose
         models are there."""
-        service = backend.registered.service
+        service = backend.registration.service
         due = self._due_adapters.get(service)
         if due is None:
             return
@@ -155,7 +155,7 @@
         for models that no engine has a copy of, by this entry's plans."""
         return sum(idle.total_s for idle in self._store_idle.values())
 
-    def copies_seen(self, service: str, model: str) -> tuple[CopySeen, ...]:
+    def copies_seen(self, service: str, model: str) -> tuple[ModelCopy, ...]:
         """The engines that have a copy of the model, and what keeps it there."""
         engines = {item.name: item.engine for item in self._engine_services()}
         engine = engines.get(service)
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -18,10 +18,10 @@
 from bambootiller.rpc import bambootiller_pb2 as pb
 from bambootiller_core.gateway.collecting import collectors
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
-from bambootiller_core.gateway.fleet import AGENT_SILENT_S, Backend
+from bambootiller_core.gateway.document_propagation import entry_rank
+from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, Backend
 from bambootiller_core.gateway.log_lines import BackendRemoved, LogLine
 from bambootiller_core.gateway.order_messages import LoadRequest
-from bambootiller_core.gateway.relaying import entry_turn
 from bambootiller_core.gateway.wakeups import wakes_waiting_calls
 
 #: How often streams to agents are opened for new engines, and closed for gone ones.
@@ -87,11 +87,11 @@
         the load ends engines."""
         if not load_request.adapter and not self._admits_load(load_request.model):
             return False
-        link = self._links.get(backend.registered.host)
+        link = self._links.get(backend.registration.host)
         if link is None:
             return False
         link.load_requests[(load_request.model, load_request.adapter)] = load_request
-        self._exchanger.poke_at(self._address(backend.registered.host))
+        self._exchanger.poke_at(self._address(backend.registration.host))
         return True
 
     def _admits_load(self, model: str) -> bool:
@@ -108,12 +108,15 @@
         config, now = self._knowledge.config, self._app.now()
         engines: dict[str, dict[str, Backend]] = {}
         for backend in self._knowledge.fleet:
-            service = config.services.get(backend.registered.service)
+            service = config.services.get(backend.registration.service)
             if service is not None and service.engine is not None:
                 by_host = engines.setdefault(service.name, {})
-                by_host[backend.registered.host] = backend
+                by_host[backend.registration.host] = backend
         return all(
-            any(by_host[host].agent_heard(now) for host in collectors(name, by_host))
+            any(
+                by_host[host].agent_responsive(now)
+                for host in collectors(name, by_host)
+            )
             for name, by_host in engines.items()
         )
 
@@ -131,9 +134,9 @@
         if config is None:
             return
         for backend in self._knowledge.fleet:
-            service = config.services.get(backend.registered.service)
+            service = config.services.get(backend.registration.service)
             if service is not None and service.engine is not None:
-                wanted[backend.registered.host] = backend
+                wanted[backend.registration.host] = backend
         for host in list(self._links):
             if host not in wanted:
                 self._links.pop(host).task.cancel()
@@ -143,7 +146,7 @@
             self._links[host].instance = backend.instance
         self._recall(now)
         reached = [
-            (host, backend.agent_heard(now), backend.lost(now))
+            (host, backend.agent_responsive(now), backend.lost(now))
             for host, backend in wanted.items()
         ]
         if reached != self._reached:
@@ -161,14 +164,14 @@
             backend = self._knowledge.fleet.get(words.state.instance)
             if backend is None or backend.engine is words.state:
                 continue
-            if now - outgoing.heard_at < AGENT_SILENT_S:
-                self._take_over(outgoing.heard_at, words, outgoing.peer, False)
+            if now - outgoing.last_received_at < AGENT_TIMEOUT_S:
+                self._take_over(outgoing.last_received_at, words, outgoing.peer, False)
 
     def _choose_collectors(self, now: float, wanted: dict[str, Backend]) -> None:
         heard: dict[str, list[str]] = {}
         for host, backend in wanted.items():
-            if backend.agent_heard(now):
-                heard.setdefault(backend.registered.service, []).append(host)
+            if backend.agent_responsive(now):
+                heard.setdefault(backend.registration.service, []).append(host)
         self._collectors = {
             service: collectors(service, hosts) for service, hosts in heard.items()
         }
@@ -181,7 +184,7 @@
             self._address(host),
             lambda update, outgoing: self._fill(host, update, outgoing),
             self.received,
-            lambda: entry_turn(self._app.instance, host, self.plans.entries),
+            lambda: entry_rank(self._app.instance, host, self.plans.entries),
         )
         task = asyncio.get_running_loop().create_task(stream)
         self._links[host] = _Link(task, backend.instance)
@@ -236,18 +239,18 @@
     def _has_news(self, backend: Backend, outgoing: Outgoing) -> bool:
         """Whether the agent is to be told anew."""
         told: Told | None = outgoing.told.get("entry")
-        demands = self.plans.own_demands(backend.registered.service)
+        demands = self.plans.own_demands(backend.registration.service)
         collects = self._collects(backend)
         now = self._app.now()
         return told is None or told.is_outdated(now, demands, backend, collects)
 
     def _to_tell(self, backend: Backend) -> Told:
-        demands = self.plans.own_demands(backend.registered.service)
+        demands = self.plans.own_demands(backend.registration.service)
         return Told.now(self._app.now(), demands, backend, self._collects(backend))
 
     def _collects(self, backend: Backend) -> bool:
-        registered = backend.registered
-        return registered.host in self._collectors.get(registered.service, ())
+        registration = backend.registration
+        return registration.host in self._collectors.get(registration.service, ())
 
     def figures_for(self, backend: Backend) -> pb.EntryFigures:
         """What the agent beside the engine is told of this entry's calls."""
@@ -279,7 +282,7 @@
         fleet = self._knowledge.fleet
         backend = fleet.get(words.state.instance)
         if backend is not None and words.totals is not None:
-            service, host = backend.registered.service, backend.registered.host
+            service, host = backend.registration.service, backend.registration.host
             self.plans.totals_told(now, service, host, words.totals)
         if backend is None:
             return
@@ -289,7 +292,7 @@
         is_news = backend.engine is not words.state
         wakes = wakes_waiting_calls(backend, words.state)
         if fleet.engine_told(now, words.state) and is_news:
-            if backend.ended:
+            if backend.replaced:
                 self._knowledge.note_restart(backend, source)
             self.plans.changed(now)
             self.plans.engine_spoke(now, fleet.get(words.state.instance))
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -19,27 +19,27 @@
 from bambootiller.gateway.silence import RunningClock, SilenceDetector
 from bambootiller.rpc import bambootiller_pb2 as pb, bambootiller_pb2_grpc as api
 from bambootiller.rpc.channels import Channels
-from bambootiller_core.gateway.log_lines import PeerHeard, PeerSilent
-from bambootiller_core.gateway.relaying import (
-    OWN_TIME_S,
-    TELLS_WITHIN_S,
-    ForPeer,
-    agent_turn,
+from bambootiller_core.gateway.document_propagation import (
+    AGENT_REPORT_GRACE_S,
+    SELF_UPDATE_GRACE_S,
+    PeerQueue,
+    agent_rank,
 )
+from bambootiller_core.gateway.log_lines import PeerHeard, PeerSilent
 from bambootiller_core.gateway.update_filter import UpdateFilter
 from bambootiller_core.ports import Changed, Record
 
 #: The longest silence of a side that is well and whose stream is given up when it is
 #: silent: a beat may be late by a fifth of a second before load figures are taken for
-#: old (``fleet.FIGURES_LIFE_S``), and by 0.7 s before an agent counts as silent
-#: (``fleet.AGENT_SILENT_S``). Seconds.
+#: old (``fleet.FIGURES_TTL_S``), and by 0.7 s before an agent counts as silent
+#: (``fleet.AGENT_TIMEOUT_S``). Seconds.
 SERVED_BEAT_S = 0.8
 #: The same of the side that opened the stream. An agent forgets an entry only after 3 s
 #: (``agent.ENTRY_HEARD_S``). Seconds.
 OPENED_BEAT_S = 1.2
 #: What can wait, as load figures and revisions, travels no more often than this; long
 #: enough to gather, short enough that a peer isn't sent a configuration that it has
-#: (``relaying.OWN_TIME_S``). Seconds.
+#: (``relaying.SELF_UPDATE_GRACE_S``). Seconds.
 TELL_S = 0.4
 #: A stream that has been silent for so long is given up. Seconds.
 SILENT_S = 1.5
@@ -60,7 +60,7 @@
     """One side of a stream: gathers documents and figures, and beats.
 
     ``peer`` is the other side's name, empty as long as it hasn't spoken, and
-    ``heard_at`` when it spoke last. ``told`` is for :data:`Fill`, to remember what
+    ``last_received_at`` when it spoke last. ``told`` is for :data:`Fill`, to remember what
     needn't be said again, and ``said`` for :data:`Received`, to keep what the other
     side won't repeat; both end with the stream. ``to_entry`` is whether an entry tells
     another one; these say soon up to where they have everything, as neither beats often
@@ -72,19 +72,19 @@
         sender: str,
         knowledge: Knowledge,
         fill: Fill,
-        turn: Callable[[], int],
+        rank: Callable[[], int],
         beat_s: float,
         to_entry: bool = False,
     ) -> None:
         self._sender = sender
         self.to_entry = to_entry
         self._knowledge = knowledge
-        self._documents = ForPeer()
+        self._documents = PeerQueue()
         self._fill = fill
-        self._turn = turn
+        self._rank = rank
         self._beat_s = beat_s
         self.peer = ""
-        self.heard_at = float("-inf")
+        self.last_received_at = float("-inf")
         self.told: dict[str, object] = {}
         self.said: object = None
         #: Whether the other side keeps what it isn't told anew; one of an earlier
@@ -97,16 +97,16 @@
         self._sent_at = float("-inf")
         now = self._loop.time()
         for change in knowledge.documents():
-            self._documents.add(now, change, turn=0)
+            self._documents.add(now, change, rank=0)
 
     def document(self, change: Changed) -> None:
         """The other side may lack a document."""
-        turn = self._turn()
-        own_time_s = OWN_TIME_S
+        rank = self._rank()
+        self_update_grace_s = SELF_UPDATE_GRACE_S
         if not self._knowledge.is_configuration(change.record.key):
-            own_time_s = self._knowledge.gather_s + TELLS_WITHIN_S
-        self._documents.add(self._loop.time(), change, turn, own_time_s)
-        if turn:
+            self_update_grace_s = self._knowledge.gather_s + AGENT_REPORT_GRACE_S
+        self._documents.add(self._loop.time(), change, rank, self_update_grace_s)
+        if rank:
             self._arm()
         else:
             self.poke()
@@ -115,7 +115,7 @@
         """The other side has spoken."""
         first = not self.peer
         self.peer = update.sender or self.peer
-        self.heard_at = self._loop.time()
+        self.last_received_at = self._loop.time()
         self._peer_keeps = self._peer_keeps or update.begins
         if first or update.complete:
             self._documents.peer_has(dict(update.complete))
@@ -217,7 +217,7 @@
         self, call: grpc.aio.StreamStreamCall, running_time: RunningClock
     ) -> None:
         self._call = call
-        self.heard_at = running_time()
+        self.last_received_at = running_time()
         self.silent = False
 
     def signal_silence(self, seconds: float) -> None:
@@ -281,16 +281,16 @@
         address: str,
         fill: Fill,
         received: Received,
-        turn: Callable[[], int] = lambda: 1,
+        rank: Callable[[], int] = lambda: 1,
         to_entry: bool = False,
     ) -> None:
-        """Keep a stream to ``address`` open until cancelled; ``turn`` is when this side
-        tells the peer of a document (:mod:`relaying`), ``to_entry`` whether both sides
+        """Keep a stream to ``address`` open until cancelled; ``rank`` is when this side
+        tells the peer of a document (:mod:`document_propagation`), ``to_entry`` whether both sides
         are entries."""
         pause = REOPEN_S
         try:
             while True:
-                lived = await self._once(address, fill, received, turn, to_entry)
+                lived = await self._once(address, fill, received, rank, to_entry)
                 if lived:
                     self._events.emit(PeerSilent(address))
                 pause = REOPEN_S if lived else min(pause * 2, REOPEN_MAX_S)
@@ -307,11 +307,11 @@
     ) -> AsyncIterator[Update]:
         """The answers to a stream that a peer has opened."""
 
-        def turn() -> int:
-            return 1 if to_entry else agent_turn(self._name, outgoing.peer)
+        def rank() -> int:
+            return 1 if to_entry else agent_rank(self._name, outgoing.peer)
 
         outgoing = Outgoing(
-            self._name, self._knowledge, fill, turn, SERVED_BEAT_S, to_entry
+            self._name, self._knowledge, fill, rank, SERVED_BEAT_S, to_entry
         )
         self._outgoing.add(outgoing)
         reader = asyncio.create_task(self._read(requests, received, outgoing))
@@ -329,11 +329,11 @@
         address: str,
         fill: Fill,
         received: Received,
-        turn: Callable[[], int],
+        rank: Callable[[], int],
         to_entry: bool,
     ) -> bool:
         outgoing = Outgoing(
-            self._name, self._knowledge, fill, turn, OPENED_BEAT_S, to_entry
+            self._name, self._knowledge, fill, rank, OPENED_BEAT_S, to_entry
         )
         self._outgoing.add(outgoing)
         self._kept[address] = outgoing
@@ -346,7 +346,7 @@
                 update = await call.read()
                 if update is grpc.aio.EOF:
                     return heard
-                peer.heard_at = self._running_time()
+                peer.last_received_at = self._running_time()
                 if not heard:
                     heard = True
                     self._events.emit(PeerHeard(address))
--- a/packages/bambootiller/src/bambootiller/gateway/knowledge.py
+++ b/packages/bambootiller/src/bambootiller/gateway/knowledge.py
@@ -18,10 +18,10 @@
 from bambootiller_core.gateway import log_lines as lines
 from bambootiller_core.gateway.config import GatewayConfig, is_newer
 from bambootiller_core.gateway.fleet import (
-    LAPSE_GRACE_S,
+    EXPIRY_GRACE_S,
     Backend,
     Fleet,
-    Registered,
+    Registration,
 )
 from bambootiller_core.ports import Changed, Found, KeyValue, Record, Unavailable
 
@@ -37,7 +37,7 @@
 #: with 2 s and this, less than 2 calls a second remain.
 GATHER_SHARE = 0.3
 #: The pause shortly after the store's return: what it lost is written anew within two
-#: seconds, and taken for gone 0.3 s later (``fleet.LAPSE_GRACE_S``). Seconds.
+#: seconds, and taken for gone 0.3 s later (``fleet.EXPIRY_GRACE_S``). Seconds.
 RETURNED_GATHER_S = 0.25
 #: How often a watcher that isn't wanted looks whether it is. Seconds.
 IDLE_S = 0.5
@@ -172,7 +172,7 @@
         if instance is None:
             return
         held = self.fleet.get(instance)
-        was_leaving = held.registered.leaving if held is not None else None
+        was_leaving = held.registration.leaving if held is not None else None
         self.fleet.registry_removed(self._clock(), instance)
         line = lines.BackendRemoved(
             instance, "removed", record.mod_revision, was_leaving, source
@@ -191,16 +191,16 @@
             # doesn't know that it has all up to there, and would be sent it by each.
             self.has_all({record.key: record.mod_revision})
             return True
-        registered = self._directory.registered(record)
-        if isinstance(registered, Unreadable):
+        registration = self._directory.registration(record)
+        if isinstance(registration, Unreadable):
             instance = self._directory.instance_of(record.key)
-            self._registry.unreadable(record, instance, registered, source)
+            self._registry.unreadable(record, instance, registration, source)
             self.changed.notify()
             return True
-        if registered is None:
+        if registration is None:
             return True
         self._registry.good(record.key)
-        return self._registered(registered, source)
+        return self._on_registration(registration, source)
 
     def _configured(
         self, config: GatewayConfig | Unreadable, record: Record, source: str
@@ -223,31 +223,31 @@
             listener(config)
         self.changed.notify()
 
-    def _registered(self, registered: Registered, source: str) -> bool:
+    def _on_registration(self, registration: Registration, source: str) -> bool:
         """Take over an entry of the registry; returns whether it says anything new."""
-        held = self.fleet.get(registered.instance)
-        before = held.registered if held is not None else None
-        stood = self._standing(registered.instance)
-        taken = self.fleet.registry_changed(self._clock(), registered)
-        if held is not None and held.ended:
+        held = self.fleet.get(registration.instance)
+        before = held.registration if held is not None else None
+        stood = self._standing(registration.instance)
+        taken = self.fleet.registry_changed(self._clock(), registration)
+        if held is not None and held.replaced:
             self.note_restart(held, source)
         if not taken:
             # Of an earlier start, or overtaken: a peer that hears of this entry less
             # often than the store's readers would take it for the latest.
             return False
-        stands = self._standing(registered.instance)
+        stands = self._standing(registration.instance)
         if stands != stood:
             line = lines.BackendListed(
-                registered.instance,
-                registered.service,
-                registered.address,
-                registered.leaving,
-                registered.revision,
+                registration.instance,
+                registration.service,
+                registration.address,
+                registration.leaving,
+                registration.revision,
                 source,
             )
             self._events.emit(line)
-        agent_tells = held is not None and held.engine is not None and not held.ended
-        differs = before is None or _differs(before, registered, agent_tells)
+        agent_tells = held is not None and held.engine is not None and not held.replaced
+        differs = before is None or _differs(before, registration, agent_tells)
         is_news = differs or stands != stood
         if is_news:
             # Each backend server writes its entry about once a second. A write that
@@ -260,8 +260,8 @@
         now_there = self.fleet.get(before.instance)
         line = lines.BackendRestarted(
             before.instance,
-            now_there.registered.started_ms,
-            before.registered.started_ms,
+            now_there.registration.started_ms,
+            before.registration.started_ms,
             source,
         )
         self._events.emit(line)
@@ -269,10 +269,10 @@
     def _standing(self, instance: str) -> tuple[bool, bool] | None:
         """Whether a backend server is used and whether it leaves, if it is known."""
         held = self.fleet.get(instance)
-        return (held.readable, held.registered.leaving) if held is not None else None
+        return (held.readable, held.registration.leaving) if held is not None else None
 
 
-def _differs(before: Registered, now_there: Registered, agent_tells: bool) -> bool:
+def _differs(before: Registration, now_there: Registration, agent_tells: bool) -> bool:
     """Whether two registry entries differ in more than when they were written.
 
     Where the agent tells what its engine holds, the registry's word on that is used by
@@ -383,7 +383,7 @@
         store's return would be dropped if they were read of later than that."""
         pause = GATHER_SHARE * self._bounds().leaving_s
         self._knowledge.gather_s = pause
-        if self._clock() - self._returned_at < LAPSE_GRACE_S:
+        if self._clock() - self._returned_at < EXPIRY_GRACE_S:
             return min(pause, RETURNED_GATHER_S)
         return pause
 
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -11,7 +11,7 @@
 from bambootiller_core.gateway.calls import Call, Progress
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.log_lines import PlanSeen
+from bambootiller_core.gateway.log_lines import PlanSnapshot
 from bambootiller_core.gateway.order_messages import LoadRequest
 from bambootiller_core.gateway.residency import PlannedLoad
 from bambootiller_core.gateway.service_levels import level_of
@@ -58,7 +58,7 @@
         now, service = self._context.clock(), self._call.service
         state = self._context.service(service)
         self._weight = state.levels.weigh(now, level_of(self._call))
-        state.returning.asked(self._call)
+        state.retry_predictor.asked(self._call)
         demand = self._context.engines.plans.demand(service)
         demand.asked(now, self._call.ask.model, self._weight)
 
@@ -245,7 +245,7 @@
     ) -> Refusal | None:
         ask = self._call.ask
         self._record_adapter_miss(now)
-        eligible = [backend for backend in holders if backend.takes_orders(now)]
+        eligible = [backend for backend in holders if backend.accepts_orders(now)]
         if not eligible:
             return self._refuse_cold(now, attempts.DEFAULT_RETRY_AFTER_S)
         soonest = min(_accepts_order_in_s(backend) for backend in eligible)
@@ -256,7 +256,9 @@
             for backend in eligible
             if _accepts_order_in_s(backend) <= soonest + ADAPTER_TURN_S
         ]
-        eligible.sort(key=lambda backend: -selection.home_weight(ask, backend.instance))
+        eligible.sort(
+            key=lambda backend: -selection.placement_weight(ask, backend.instance)
+        )
         turn = int((now - began) / ADAPTER_TURN_S) % len(eligible)
         self._context.engines.load_request(
             eligible[turn], LoadRequest(ask.model, ask.adapter)
@@ -300,15 +302,15 @@
         come_back = UNPLANNED_RETRY_S if ready_in is None else ready_in
         detail = "no engine can load it" if ready_in is None else ""
         come_back = max(come_back, attempts.DEFAULT_RETRY_AFTER_S)
-        returning = self._context.service(call.service).returning
-        returns_in_s = returning.expected_in_s(call, now, come_back)
+        retry_predictor = self._context.service(call.service).retry_predictor
+        returns_in_s = retry_predictor.expected_retry_in_s(call, now, come_back)
         demand = engines.plans.demand(call.service)
         demand.refused(now, ask.model, come_back, self._weight, returns_in_s)
         engines.plans.due_adapters(call.service).refused(now, ask, come_back)
         plan = self._plan_seen(now, planned)
         return Refusal(Reason.MODEL_NOT_LOADED, come_back, detail, plan)
 
-    def _plan_seen(self, now: float, planned: PlannedLoad | None) -> PlanSeen:
+    def _plan_seen(self, now: float, planned: PlannedLoad | None) -> PlanSnapshot:
         call = self._call
         plans = self._context.engines.plans
         demand = plans.wanted(call.service, call.ask.model)
@@ -316,7 +318,7 @@
         store_loads = plans.store_loads_under_way(call.service)
         if planned is None:
             obstacles = plans.obstacles(call.service, call.ask.model)
-            return PlanSeen(
+            return PlanSnapshot(
                 waiting=demand.waiting,
                 copies=copies,
                 store_loads=store_loads,
@@ -325,8 +327,8 @@
                 unserved_s=round(demand.unserved_s, 1),
             )
         backend = self._context.knowledge.fleet.get(planned.instance)
-        age_s = None if backend is None else backend.unheard_s(now)
-        return PlanSeen(
+        age_s = None if backend is None else backend.agent_silence_s(now)
+        return PlanSnapshot(
             ready_in_s=round(planned.ready_in_s, 2),
             backend=planned.instance or None,
             from_store=planned.from_store,
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -9,7 +9,7 @@
 
 from bambootiller_core.gateway.calls import Call, ModelRequest
 from bambootiller_core.gateway.config import GatewayConfig
-from bambootiller_core.gateway.fleet import Registered
+from bambootiller_core.gateway.fleet import Registration
 from bambootiller_core.gateway.order_messages import (
     EngineOrder,
     EngineReport,
@@ -124,7 +124,7 @@
     def config(self, record: Record) -> GatewayConfig | Unreadable | None:
         """The configuration, or None if the record isn't that document."""
 
-    def registered(self, record: Record) -> Registered | Unreadable | None:
+    def registration(self, record: Record) -> Registration | Unreadable | None:
         """A registered backend server, or None if the record isn't one."""
 
     def instance_of(self, key: str) -> str | None:
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -93,7 +93,7 @@
 
     def run_lost(self, call: Call, backend: Backend, progressed: bool) -> None:
         """A run of the call ended without an answer."""
-        if backend.registered.leaving:
+        if backend.registration.leaving:
             # It was about to end whatever ran there.
             return
         self._lost(_names(call), backend.incarnation, progressed)
@@ -136,11 +136,11 @@
         update_filter = outgoing.update_filter("quarantine", self._ledger.version, own)
         if update_filter is None:
             return
-        pending_updates = self._ledger.pending_updates(update_filter)
+        unsent = self._ledger.unsent(update_filter)
         now = self._clock()
-        for run in pending_updates.runs:
+        for run in unsent.runs:
             wire.add_lost_run(update, run, now)
-        update.sound.extend(pending_updates.sound)
+        update.sound.extend(unsent.sound)
 
     def take(self, update: Update, outgoing: Outgoing) -> None:
         """Take in what a peer tells."""
--- a/packages/bambootiller/src/bambootiller/gateway/quotas.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quotas.py
@@ -11,7 +11,7 @@
 from bambootiller_core.gateway.attempts import DEFAULT_RETRY_AFTER_S, Reason, Refusal
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.config import GatewayConfig
-from bambootiller_core.gateway.log_lines import QuotaSeen
+from bambootiller_core.gateway.log_lines import QuotaSnapshot
 from bambootiller_core.gateway.quota_account import QuotaCharge
 from bambootiller_core.gateway.quota_limits import QuotaTolerance, limits_of
 from bambootiller_core.timers import TimerService
@@ -100,9 +100,9 @@
             # yet.
             if room_in_s < wire.MOST_ROOM_S:
                 reason, come_back_s = Reason.OVER_QUOTA, room_in_s
-        age_s = now - allowances.heard_at
+        age_s = now - allowances.last_received_at
         available = account.available(now, limit) if limit is not None else 0.0
-        seen = QuotaSeen(
+        seen = QuotaSnapshot(
             unit=quota.unit.value,
             rate_per_s=quota.rate_per_s,
             burst=quota.burst,
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -375,7 +375,7 @@
                 raise ConnectionLost("an event without an end", False, True)
             if first:
                 first = False
-                attempt.prompt_read()
+                attempt.prefill_done()
                 self._record_health(attempt, head)
             await self._forward_events(head, events)
         if splitter.rest:
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -23,7 +23,7 @@
 from bambootiller_core.gateway.incarnation import Incarnation
 from bambootiller_core.gateway.log_lines import BackendJudged
 from bambootiller_core.gateway.retry_budget import ASSUMED_ENTRIES, RetryBudget
-from bambootiller_core.gateway.returning import Returning
+from bambootiller_core.gateway.retry_prediction import RetryPredictor
 from bambootiller_core.gateway.service_levels import ServiceLevels
 
 #: Connections to one backend server where the configuration sets no limit.
@@ -47,7 +47,7 @@
     health: Health = field(default_factory=Health)
     budget: RetryBudget | None = None
     levels: ServiceLevels = field(default_factory=ServiceLevels)
-    returning: Returning = field(default_factory=Returning)
+    retry_predictor: RetryPredictor = field(default_factory=RetryPredictor)
 
 
 class RelayContext:
@@ -145,7 +145,9 @@
         found = self._pools.get(backend.incarnation)
         if found is None:
             limit = self._connection_limit(backend)
-            found = ConnectionPool(backend.registered.address, limit, self.running_time)
+            found = ConnectionPool(
+                backend.registration.address, limit, self.running_time
+            )
             self._pools[backend.incarnation] = found
         return found
 
@@ -161,21 +163,21 @@
 
     def sweep(self, now: float) -> None:
         """Close idle connections past their time, and forget what has ended."""
-        lives = self.knowledge.fleet.lives
+        is_current = self.knowledge.fleet.is_current
         for server, pool in list(self._pools.items()):
             pool.sweep(now)
-            if not lives(server):
+            if not is_current(server):
                 pool.close()
                 del self._pools[server]
         for state in self._services.values():
-            state.health.forget_ended(lives)
+            state.health.forget_ended(is_current)
 
     def _connection_limit(self, backend: Backend) -> int:
         config = self.knowledge.config
-        service = config.services.get(backend.registered.service) if config else None
+        service = config.services.get(backend.registration.service) if config else None
         if service is None or service.max_connections is None:
             return DEFAULT_MAX_CONNECTIONS
         limit = service.max_connections
         share = limit // max(2, len(self.engines.plans.entries))
-        wanted = CONNECTIONS_PER_SLOT * backend.registered.slots
+        wanted = CONNECTIONS_PER_SLOT * backend.registration.slots
         return max(MIN_CONNECTIONS, share, min(wanted, int(MAX_ENTRY_SHARE * limit)))
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -24,7 +24,7 @@
         self._context = context
         self._call = call
         self._progress = progress
-        self._chosen_on: lines.ChosenOn | None = None
+        self._chosen_on: lines.BackendSnapshot | None = None
         self._chosen_at = call.arrived
         self._first_at: float | None = None
         self._last_at = call.arrived
@@ -36,14 +36,14 @@
         health = self._context.service(self._call.service).health
         heard = backend.engine is not None
         self._chosen_at = now
-        self._chosen_on = lines.ChosenOn(
-            zone=backend.registered.zone,
+        self._chosen_on = lines.BackendSnapshot(
+            zone=backend.registration.zone,
             occupied=backend.occupied(now),
             candidates=candidates,
-            revision=backend.registered.revision,
+            revision=backend.registration.revision,
             standing=health.standing(backend.incarnation).value,
-            agent_age_ms=_ms(backend.unheard_s(now)) if heard else None,
-            unread=backend.unread_prompts(now),
+            agent_age_ms=_ms(backend.agent_silence_s(now)) if heard else None,
+            unread=backend.engine_pending_prefills(now),
         )
 
     def part_passed_on(self, now: float) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -109,7 +109,7 @@
         found = await self._allowances.obtain(name, CALL_COST, ALLOCATOR_TIMEOUT_S)
         if isinstance(found, QuotaCharge):
             return Permit(self._allowances, name, found)
-        backend.short_until = self._clock() + SHORTAGE_S
+        backend.throttled_until = self._clock() + SHORTAGE_S
         if found is Shortage.UNKNOWN:
             self._allowances.pause(name, NO_ALLOCATOR_PAUSE_S)
         else:
--- a/packages/bambootiller/src/bambootiller/gateway/silence.py
+++ b/packages/bambootiller/src/bambootiller/gateway/silence.py
@@ -27,7 +27,7 @@
     """A connection whose silence is watched."""
 
     #: The running time at which something came last.
-    heard_at: float
+    last_received_at: float
 
     @property
     def awaited(self) -> bool:
@@ -89,7 +89,7 @@
             # The caller takes its time; what comes isn't asked for meanwhile.
             self.again()
             return
-        silent_s = self._running_time() - max(self._silent_since, conn.heard_at)
+        silent_s = self._running_time() - max(self._silent_since, conn.last_received_at)
         if silent_s < self._seconds:
             self._arm(self._seconds - silent_s)
             return
--- a/tests/adapter/cover/test_documents.py
+++ b/tests/adapter/cover/test_documents.py
@@ -116,30 +116,32 @@
         self.directory = PlatformDirectory()
 
     def test_a_backend_server_is_decoded(self):
-        found = self.directory.registered(record(SERVER, "servers/i-1", 5))
+        found = self.directory.registration(record(SERVER, "servers/i-1", 5))
         self.assertEqual((found.instance, found.host), ("i-1", "10.1.0.9"))
         self.assertEqual(found.holdings, {"tutor": frozenset({"a1"})})
         self.assertFalse(found.leaving)
 
     def test_its_start_is_a_whole_number_of_milliseconds(self):
         form = {**SERVER, "born": 1700000000123}
-        found = self.directory.registered(record(form, "servers/i-1"))
+        found = self.directory.registration(record(form, "servers/i-1"))
         self.assertEqual(found.incarnation, Incarnation("i-1", 1700000000123))
-        found = self.directory.registered(record(SERVER, "servers/i-1"))
+        found = self.directory.registration(record(SERVER, "servers/i-1"))
         self.assertIsNone(found.incarnation.started_ms)
         for wrong in ("1700000000123", 17.5, True, []):
             form = {**SERVER, "born": wrong}
-            found = self.directory.registered(record(form, "servers/i-1"))
+            found = self.directory.registration(record(form, "servers/i-1"))
             self.assertIsInstance(found, Unreadable, wrong)
 
     def test_draining_means_leaving_and_another_state_is_no_entry(self):
         form = {**SERVER, "state": "draining"}
-        self.assertTrue(self.directory.registered(record(form, "servers/i-1")).leaving)
+        self.assertTrue(
+            self.directory.registration(record(form, "servers/i-1")).leaving
+        )
         for state in ("something-new", "", "READY"):
             form = {**SERVER, "state": state}
-            found = self.directory.registered(record(form, "servers/i-1"))
+            found = self.directory.registration(record(form, "servers/i-1"))
             self.assertIsInstance(found, Unreadable, state)
 
     def test_a_broken_entry_is_said(self):
-        found = self.directory.registered(record(b"{}", "servers/i-1"))
+        found = self.directory.registration(record(b"{}", "servers/i-1"))
         self.assertIsInstance(found, Unreadable)
--- a/tests/adapter/failures/test_foreign_entries.py
+++ b/tests/adapter/failures/test_foreign_entries.py
@@ -94,7 +94,7 @@
     def used(self):
         """The backend servers that calls, loads and orders may go to."""
         of_service = self.knowledge.fleet.of_service("llm")
-        iterated = [one for one in self.knowledge.fleet if not one.registered.leaving]
+        iterated = [one for one in self.knowledge.fleet if not one.registration.leaving]
         names = sorted(one.instance for one in of_service)
         assert names == sorted(one.instance for one in iterated)
         return names
@@ -240,18 +240,18 @@
         registry = Registry()
         registry.write("servers/i-1", {**SERVER, name: value})
         for backend in registry.knowledge.fleet:
-            host, _, port = backend.registered.address.rpartition(":")
+            host, _, port = backend.registration.address.rpartition(":")
             self.assertTrue(host)
             self.assertIn(int(port), range(1, 65536))
-            self.assertIn(backend.registered.slots, range(1, 2**16))
-            self.assertEqual(type(backend.registered.zone), str)
+            self.assertIn(backend.registration.slots, range(1, 2**16))
+            self.assertEqual(type(backend.registration.zone), str)
 
     @given(st.sampled_from(NEEDED), ANYTHING)
     def test_an_entry_is_back_whatever_stood_there_before(self, name, value):
         registry = Registry()
         for form in (SERVER, {**SERVER, name: value}, b"x"):
             registry.write("servers/i-1", form)
-        if not registry.knowledge.fleet.get("i-1").registered.leaving:
+        if not registry.knowledge.fleet.get("i-1").registration.leaving:
             registry.write("servers/i-1", {**SERVER, "slots": 3})
             self.assertEqual(registry.used(), ["i-1"])
 
--- a/tests/adapter/failures/test_silent_streams.py
+++ b/tests/adapter/failures/test_silent_streams.py
@@ -56,7 +56,7 @@
         fleet = self.bench.knowledge.fleet
         for backend in map(fleet.get, [replica.instance for replica in self.replicas]):
             pool = self.bench.context.pool(backend)
-            self.assertEqual((backend.in_flight, backend.unread), (0, 0))
+            self.assertEqual((backend.in_flight, backend.pending_prefills), (0, 0))
             self.assertEqual(pool.open, len(pool._idle))
 
     def assert_whole(self, answer):
@@ -125,7 +125,7 @@
         await self.assert_kept(misdirected)
         self.assertEqual(self.lost(), [])
         backend = self.bench.knowledge.fleet.get(self.others[0].instance)
-        self.assertIn(MODEL_NAME, backend.denied)
+        self.assertIn(MODEL_NAME, backend.denials)
 
     async def test_it_is_kept_if_the_other_resets_the_connection(self):
         await self.assert_kept(resets)
--- a/tests/gateway/common/fleets.py
+++ b/tests/gateway/common/fleets.py
@@ -7,7 +7,7 @@
 from bambootiller_core.gateway.engine_state import EngineState, Loading
 from bambootiller_core.gateway.fleet import (
     Backend,
-    Registered,
+    Registration,
 )
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.places import keep_values
@@ -116,11 +116,11 @@
     for number in range(rng.choice((1, 3, 9, 29))):
         state = _engine(rng, number, spec, demands, tight)
         leaving = rng.random() < 0.03
-        record = Registered(
+        record = Registration(
             f"i-{number}", "s", f"10.0.0.{number}:80", "z", 24, leaving, number
         )
-        heard_at = NOW - rng.choice((0.1, 0.1, 0.1, 0.8, 1.2, 2.0))
-        found = Backend(record, state, heard_at, rng.choice((0, 2, 30)))
+        last_received_at = NOW - rng.choice((0.1, 0.1, 0.1, 0.8, 1.2, 2.0))
+        found = Backend(record, state, last_received_at, rng.choice((0, 2, 30)))
         if rng.random() < 0.03:
             found.engine = None
         if rng.random() < 0.1:
--- a/tests/gateway/common/samples.py
+++ b/tests/gateway/common/samples.py
@@ -13,7 +13,7 @@
     ServiceSpec,
 )
 from bambootiller_core.gateway.engine_state import EngineState
-from bambootiller_core.gateway.fleet import Backend, Registered
+from bambootiller_core.gateway.fleet import Backend, Registration
 from bambootiller_core.gateway.log_lines import Refused
 
 HOST = "classes.example"
@@ -50,9 +50,9 @@
     return ServiceSpec(name, **fields)
 
 
-def registered(instance="b1", service="plain", address="127.0.0.1:1", **fields):
+def registration(instance="b1", service="plain", address="127.0.0.1:1", **fields):
     fields = {"zone": "z1", "slots": 4, "leaving": False, "revision": 1, **fields}
-    return Registered(instance, service, address, **fields)
+    return Registration(instance, service, address, **fields)
 
 
 def engine_state(instance="b1", holdings=(), **fields):
@@ -62,10 +62,10 @@
 
 
 def backend(instance="b1", now=0.0, state=None, **fields):
-    found = Backend(registered(instance, **fields))
+    found = Backend(registration(instance, **fields))
     if state is not None:
         found.engine = state
-        found.heard_at = now
+        found.last_received_at = now
     return found
 
 
--- a/tests/gateway/cover/test_copies.py
+++ b/tests/gateway/cover/test_copies.py
@@ -5,7 +5,7 @@
 
 from bambootiller_core.gateway.copies import copies_changed, copies_seen
 from bambootiller_core.gateway.engine_state import Loading
-from bambootiller_core.gateway.log_lines import CopySeen, PlanSeen
+from bambootiller_core.gateway.log_lines import ModelCopy, PlanSnapshot
 from bambootiller_core.gateway.order_messages import EngineReport
 from tests.gateway.common import samples
 
@@ -32,9 +32,9 @@
     def test_each_state_is_told_from_the_others(self):
         loading = Loading("poet", 9.0, True)
         unheard = with_copy()
-        unheard.heard_at = NOW - 60
+        unheard.last_received_at = NOW - 60
         lost = with_copy()
-        lost.ended = True
+        lost.replaced = True
         for backend, expected in (
             (with_copy(), "free"),
             (with_copy(state={"memory_mb_used": 80.0}), "full"),
@@ -52,7 +52,7 @@
         self.assertEqual(seen, ())
 
     def test_the_line_lists_them(self):
-        plan = PlanSeen(copies=(CopySeen("b1", "full"),))
+        plan = PlanSnapshot(copies=(ModelCopy("b1", "full"),))
         self.assertEqual(
             samples.refused(plan).to_json()["plan"]["copies"],
             [{"backend": "b1", "state": "full"}],
--- a/tests/gateway/cover/test_crash_ledger.py
+++ b/tests/gateway/cover/test_crash_ledger.py
@@ -22,7 +22,7 @@
 from bambootiller_core.gateway.fleet import Fleet
 from bambootiller_core.gateway.incarnation import Incarnation
 from bambootiller_core.gateway.update_filter import UpdateFilter
-from tests.gateway.common.samples import engine_state, registered
+from tests.gateway.common.samples import engine_state, registration
 
 
 def lost(name, crash, progressed=False, at=0.0):
@@ -177,8 +177,7 @@
 
     def names(self, *which):
         return [
-            run.fingerprint
-            for run in self.ledger.pending_updates(UpdateFilter(*which)).runs
+            run.fingerprint for run in self.ledger.unsent(UpdateFilter(*which)).runs
         ]
 
     def test_two_processes_that_tell_each_other_agree(self):
@@ -186,9 +185,9 @@
         for number in range(2):
             self.crash(number, "p")
         other.run_lost(lost("p", 2))
-        for run in self.ledger.pending_updates(UpdateFilter(0, False, "b")).runs:
+        for run in self.ledger.unsent(UpdateFilter(0, False, "b")).runs:
             other.run_lost(run, "a")
-        for run in other.pending_updates(UpdateFilter(0, False, "a")).runs:
+        for run in other.unsent(UpdateFilter(0, False, "a")).runs:
             self.ledger.run_lost(run, "b")
         for ledger in (self.ledger, other):
             ledger.settle(1.0, crashed)
@@ -198,23 +197,15 @@
     def test_who_is_told_of_a_sound_request_tells_others(self):
         self.crash(1, "s")
         self.ledger.completed("s", source="e1")
-        self.assertEqual(
-            self.ledger.pending_updates(UpdateFilter(0, False, "e2")).sound, ("s",)
-        )
-        self.assertEqual(
-            self.ledger.pending_updates(UpdateFilter(0, False, "e1")).sound, ()
-        )
+        self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e2")).sound, ("s",))
+        self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e1")).sound, ())
         self.assertTrue(self.ledger.is_empty)
 
     def test_who_knows_better_answers_a_suspicion(self):
         self.ledger.completed("s")
-        self.assertEqual(
-            self.ledger.pending_updates(UpdateFilter(0, False, "e1")).sound, ()
-        )
+        self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e1")).sound, ())
         self.ledger.run_lost(lost("s", 1), source="e1")
-        self.assertEqual(
-            self.ledger.pending_updates(UpdateFilter(0, False, "e1")).sound, ("s",)
-        )
+        self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e1")).sound, ("s",))
 
 
 class TestFate(unittest.TestCase):
@@ -223,7 +214,7 @@
     def begin(self, started_ms=5):
         self.started_ms = started_ms
         self.fleet = Fleet()
-        self.fleet.registry_changed(0.0, registered("b1", started_ms=started_ms))
+        self.fleet.registry_changed(0.0, registration("b1", started_ms=started_ms))
         self.run_ = LostRun("p", Incarnation("b1", started_ms), False, 10.0)
         self.before = CrashVerdict.UNDECIDED
 
@@ -238,7 +229,7 @@
     def test_another_start_or_none_means_that_it_ended(self):
         self.begin()
         self.assertIs(self.verdict(10.0), CrashVerdict.UNDECIDED)
-        self.fleet.registry_changed(11.0, registered("b1", started_ms=6))
+        self.fleet.registry_changed(11.0, registration("b1", started_ms=6))
         self.assertIs(self.verdict(11.0), CrashVerdict.CRASHED)
         self.fleet.registry_removed(12.0, "b1")
         self.assertIs(self.verdict(12.0), CrashVerdict.CRASHED)
--- a/tests/gateway/cover/test_relaying.py
+++ b/tests/gateway/cover/test_document_propagation.py
@@ -4,14 +4,14 @@
 from unittest import mock
 
 from bambootiller_core import rendezvous
-from bambootiller_core.gateway.relaying import (
-    AGENT_TURNS,
-    OWN_TIME_S,
-    TURN_S,
-    ForPeer,
-    agent_turn,
-    covers,
-    entry_turn,
+from bambootiller_core.gateway.document_propagation import (
+    AGENT_RANKS,
+    SELF_UPDATE_GRACE_S,
+    STAGGER_S,
+    PeerQueue,
+    agent_rank,
+    entry_rank,
+    is_covered,
 )
 from bambootiller_core.ports import Changed, Record
 
@@ -24,13 +24,13 @@
 
 class TestForPeer(unittest.TestCase):
     def setUp(self):
-        self.queue = ForPeer()
+        self.queue = PeerQueue()
 
     def due(self, now):
         return [item.record.key for item in self.queue.due(now)]
 
     def test_nothing_goes_out_before_the_peer_has_said_what_it_has(self):
-        self.queue.add(0.0, change(), turn=0)
+        self.queue.add(0.0, change(), rank=0)
         self.assertEqual(self.due(9.0), [])
         self.queue.peer_has({})
         self.assertEqual(self.due(9.0), ["config/x"])
@@ -43,27 +43,27 @@
         just read it from the store.
         """
         self.queue.peer_has({"config/": 6})
-        self.queue.add(0.0, change(), turn=1)
+        self.queue.add(0.0, change(), rank=1)
         self.queue.peer_has({"config/": 7})
         self.assertEqual(self.due(9.0), [])
 
     def test_a_peer_that_hangs_is_told_a_moment_later(self):
         self.queue.peer_has({"config/": 6})
-        self.queue.add(0.0, change(), turn=1)
-        self.assertEqual(self.due(OWN_TIME_S / 2), [])
+        self.queue.add(0.0, change(), rank=1)
+        self.assertEqual(self.due(SELF_UPDATE_GRACE_S / 2), [])
         self.assertFalse(self.queue.is_empty)
         self.queue.peer_has({"config/": 6})
-        self.assertEqual(self.due(OWN_TIME_S), ["config/x"])
+        self.assertEqual(self.due(SELF_UPDATE_GRACE_S), ["config/x"])
 
     def test_what_a_peer_has_of_one_part_says_nothing_of_another(self):
         self.queue.peer_has({"registry/": 90})
-        self.queue.add(0.0, change(), turn=0)
+        self.queue.add(0.0, change(), rank=0)
         self.assertEqual(self.due(0.0), ["config/x"])
 
     def test_only_the_newest_of_a_document_goes_out(self):
         self.queue.peer_has({})
         for revision in (7, 8):
-            self.queue.add(0.0, change(revision=revision), turn=0)
+            self.queue.add(0.0, change(revision=revision), rank=0)
         (sent,) = self.queue.due(0.0)
         self.assertEqual(sent.record.mod_revision, 8)
 
@@ -76,29 +76,29 @@
     of calls waited behind.
     """
 
-    def turns(self, entries=ENTRIES):
-        return {name: entry_turn(name, "a1", entries) for name in ENTRIES}
+    def ranks(self, entries=ENTRIES):
+        return {name: entry_rank(name, "a1", entries) for name in ENTRIES}
 
     def test_one_entry_tells_an_agent_at_once_and_the_others_one_by_one(self):
-        self.assertEqual(sorted(self.turns().values()), list(range(len(ENTRIES))))
+        self.assertEqual(sorted(self.ranks().values()), list(range(len(ENTRIES))))
 
     def test_an_entry_that_knows_of_no_other_tells_at_once(self):
-        self.assertEqual(entry_turn("e1", "a1", ()), 0)
+        self.assertEqual(entry_rank("e1", "a1", ()), 0)
 
     def test_an_entry_that_the_others_have_not_heard_counts_itself(self):
         without = tuple([name for name in ENTRIES if name != "e3"])
-        self.assertIn(0, self.turns(without).values())
+        self.assertIn(0, self.ranks(without).values())
 
     def test_agents_tell_an_entry_one_by_one_too_and_not_at_once(self):
-        turns = [agent_turn(f"a{number}", "e1") for number in range(400)]
-        self.assertEqual(set(turns), set(range(1, AGENT_TURNS + 1)))
+        ranks = [agent_rank(f"a{number}", "e1") for number in range(400)]
+        self.assertEqual(set(ranks), set(range(1, AGENT_RANKS + 1)))
 
     def test_a_peer_that_says_so_in_time_is_told_by_one(self):
         told = 0
-        for turn in range(len(ENTRIES)):
-            queue = ForPeer()
+        for rank in range(len(ENTRIES)):
+            queue = PeerQueue()
             queue.peer_has({"config/": 6})
-            queue.add(0.0, change(), turn)
+            queue.add(0.0, change(), rank)
             told += len(queue.due(0.3))
             queue.peer_has({"config/": 6, "config/x": 7})
             told += len(queue.due(60.0))
@@ -106,11 +106,11 @@
 
     def test_a_peer_that_says_nothing_is_told_by_few_within_a_second(self):
         told = 0
-        for turn in range(len(ENTRIES)):
-            queue = ForPeer()
+        for rank in range(len(ENTRIES)):
+            queue = PeerQueue()
             queue.peer_has({"config/": 6})
-            queue.add(0.0, change(), turn)
-            told += len(queue.due(OWN_TIME_S + 2 * TURN_S))
+            queue.add(0.0, change(), rank)
+            told += len(queue.due(SELF_UPDATE_GRACE_S + 2 * STAGGER_S))
         self.assertEqual(told, 4)
 
     def test_entries_are_not_weighed_anew_for_each_document(self):
@@ -120,16 +120,16 @@
         """
         with mock.patch.object(rendezvous, "weight", wraps=rendezvous.weight) as weigh:
             for _ in range(100):
-                entry_turn("e1", "weighed once", ENTRIES)
+                entry_rank("e1", "weighed once", ENTRIES)
         self.assertLessEqual(weigh.call_count, len(ENTRIES))
 
 
 class TestCovers(unittest.TestCase):
     def test_up_to_the_revision_and_not_beyond(self):
-        self.assertTrue(covers({"config/": 7}, change(revision=7)))
-        self.assertFalse(covers({"config/": 7}, change(revision=8)))
-        self.assertFalse(covers({}, change()))
+        self.assertTrue(is_covered({"config/": 7}, change(revision=7)))
+        self.assertFalse(is_covered({"config/": 7}, change(revision=8)))
+        self.assertFalse(is_covered({}, change()))
 
     def test_who_has_one_key_has_not_all_that_begins_like_it(self):
-        self.assertTrue(covers({"config/x": 7}, change(revision=7)))
-        self.assertFalse(covers({"config/x": 7}, change("config/xy", revision=7)))
+        self.assertTrue(is_covered({"config/x": 7}, change(revision=7)))
+        self.assertFalse(is_covered({"config/x": 7}, change("config/xy", revision=7)))
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -6,7 +6,7 @@
 from bambootiller.gateway.engine_plans import EnginePlans
 from bambootiller.gateway.knowledge import Changes
 from bambootiller_core.gateway.collecting import planners
-from bambootiller_core.gateway.fleet import AGENT_SILENT_S, Fleet
+from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, Fleet
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
 from bambootiller_core.timers import TimerService
@@ -40,7 +40,7 @@
         self.config = samples.config(services=[service])
         self.changed = Changes()
         self.fleet = Fleet()
-        self.fleet.registry_changed(app.at, samples.registered("b1", SERVICE))
+        self.fleet.registry_changed(app.at, samples.registration("b1", SERVICE))
         self.fleet.engine_told(app.at, samples.engine_state("b1"))
 
 
@@ -55,7 +55,7 @@
         plans.demand(SERVICE).asked(app.at, "m1")
         self.assertEqual(plans.own_demands(SERVICE)["m1"].holders, 1)
         known.fleet.get("b1").mark_unreachable(app.at)
-        app.at += AGENT_SILENT_S + 0.1
+        app.at += AGENT_TIMEOUT_S + 0.1
         demand = plans.own_demands(SERVICE)["m1"]
         self.assertEqual((demand.holders, demand.copies), (0, 0))
 
--- a/tests/gateway/cover/test_first_look.py
+++ b/tests/gateway/cover/test_first_look.py
@@ -92,7 +92,7 @@
         self.fleet = Fleet()
 
     def list(self, now, name, address):
-        record = samples.registered(name, SERVICE, address)
+        record = samples.registration(name, SERVICE, address)
         self.fleet.registry_changed(now, record)
 
 
@@ -122,7 +122,7 @@
         for _ in range(round(seconds / STEP_S)):
             self.app.at += STEP_S
             for backend in self.known.fleet:
-                backend.heard_at = self.app.at
+                backend.last_received_at = self.app.at
             self.plans.make(self.app.at)
 
     def test_nothing_is_fetched_that_an_engine_heard_later_has_a_copy_of(self):
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bambootiller_core.gateway.fleet import LAPSE_GRACE_S, Fleet
+from bambootiller_core.gateway.fleet import EXPIRY_GRACE_S, Fleet
 from bambootiller_core.gateway.running import TICK_S, RunningTime
 from tests.gateway.common import samples
 
@@ -10,19 +10,19 @@
 class TestRegistry(unittest.TestCase):
     def setUp(self):
         self.fleet = Fleet()
-        self.fleet.registry_changed(0.0, samples.registered())
+        self.fleet.registry_changed(0.0, samples.registration())
 
     def names(self):
         return [backend.instance for backend in self.fleet.of_service("plain")]
 
     def test_a_leaving_one_gets_no_work(self):
-        leaving = samples.registered(leaving=True, revision=2)
+        leaving = samples.registration(leaving=True, revision=2)
         self.fleet.registry_changed(1.0, leaving)
         self.assertEqual(self.names(), [])
 
     def test_an_older_entry_changes_nothing(self):
-        self.fleet.registry_changed(1.0, samples.registered(leaving=True, revision=5))
-        self.fleet.registry_changed(1.0, samples.registered(revision=4))
+        self.fleet.registry_changed(1.0, samples.registration(leaving=True, revision=5))
+        self.fleet.registry_changed(1.0, samples.registration(revision=4))
         self.assertEqual(self.names(), [])
 
     def test_a_start_that_leaves_does_not_come_back(self):
@@ -31,8 +31,8 @@
         It reports that it leaves; a heartbeat that was on its way then is written after
         the report, with a later revision and the old state.
         """
-        self.fleet.registry_changed(1.0, samples.registered(leaving=True, revision=2))
-        self.fleet.registry_changed(1.1, samples.registered(revision=3))
+        self.fleet.registry_changed(1.0, samples.registration(leaving=True, revision=2))
+        self.fleet.registry_changed(1.1, samples.registration(revision=3))
         self.assertEqual(self.names(), [])
 
     def test_a_removed_one_is_gone_at_once(self):
@@ -51,8 +51,8 @@
 
     def setUp(self):
         self.fleet = Fleet()
-        self.ended = samples.registered("b1", address="10.0.0.1:80", revision=7)
-        self.begun = samples.registered("b2", address="10.0.0.1:80", revision=9)
+        self.ended = samples.registration("b1", address="10.0.0.1:80", revision=7)
+        self.begun = samples.registration("b2", address="10.0.0.1:80", revision=9)
 
     def names(self):
         return [backend.instance for backend in self.fleet.of_service("plain")]
@@ -66,7 +66,7 @@
             self.assertEqual([found.instance for found in self.fleet], ["b2"])
 
     def test_another_service_may_have_the_address_now(self):
-        record = samples.registered(
+        record = samples.registration(
             "b2", service="other", address="10.0.0.1:80", revision=9
         )
         self.fleet.registry_changed(0.0, self.ended)
@@ -90,27 +90,27 @@
 
     def setUp(self):
         self.fleet = Fleet()
-        self.fleet.registry_changed(0.0, samples.registered())
+        self.fleet.registry_changed(0.0, samples.registration())
         self.fleet.store_returned(10.0)
 
     def test_one_that_is_missing_right_after_the_return_is_kept_for_a_while(self):
         self.fleet.registry_listed(10.0, [])
-        self.assertEqual(self.fleet.sweep(10.0 + LAPSE_GRACE_S - 0.1), [])
+        self.assertEqual(self.fleet.sweep(10.0 + EXPIRY_GRACE_S - 0.1), [])
         self.assertEqual(len(self.fleet.of_service("plain")), 1)
 
     def test_one_that_is_back_stays(self):
         self.fleet.registry_listed(10.0, [])
-        self.fleet.registry_changed(11.0, samples.registered(revision=9))
-        self.assertEqual(self.fleet.sweep(10.0 + LAPSE_GRACE_S), [])
+        self.fleet.registry_changed(11.0, samples.registration(revision=9))
+        self.assertEqual(self.fleet.sweep(10.0 + EXPIRY_GRACE_S), [])
         self.assertEqual(len(self.fleet.of_service("plain")), 1)
 
     def test_one_that_stays_missing_is_gone(self):
         self.fleet.registry_listed(10.0, [])
-        self.assertEqual(self.fleet.sweep(10.0 + LAPSE_GRACE_S), ["b1"])
+        self.assertEqual(self.fleet.sweep(10.0 + EXPIRY_GRACE_S), ["b1"])
         self.assertIsNone(self.fleet.get("b1"))
 
     def test_one_that_was_leaving_is_not_kept(self):
-        self.fleet.registry_changed(9.0, samples.registered(leaving=True, revision=2))
+        self.fleet.registry_changed(9.0, samples.registration(leaving=True, revision=2))
         self.fleet.registry_listed(10.0, [])
         self.assertIsNone(self.fleet.get("b1"))
 
@@ -118,12 +118,12 @@
 class TestAgents(unittest.TestCase):
     def setUp(self):
         self.fleet = Fleet()
-        self.fleet.registry_changed(0.0, samples.registered(service="llm"))
+        self.fleet.registry_changed(0.0, samples.registration(service="llm"))
         self.fleet.engine_told(1.0, samples.engine_state(holdings=["tutor"]))
 
     def test_what_a_silent_agent_said_of_holdings_still_holds(self):
         backend = self.fleet.get("b1")
-        self.assertFalse(backend.takes_orders(60.0))
+        self.assertFalse(backend.accepts_orders(60.0))
         self.assertIn("tutor", backend.holdings)
 
     def test_its_load_figures_do_not(self):
@@ -184,21 +184,21 @@
         """
         running = RunningTime(0.0)
         fleet = Fleet(running.running_time)
-        fleet.registry_changed(0.0, samples.registered("e1", "tutor"))
+        fleet.registry_changed(0.0, samples.registration("e1", "tutor"))
         fleet.engine_told(0.0, samples.engine_state("e1", ("m1",)))
         backend = fleet.get("e1")
-        self.assertTrue(backend.takes_orders(5.0))
+        self.assertTrue(backend.accepts_orders(5.0))
         running.tick(5.0)
-        self.assertTrue(backend.takes_orders(5.0))
+        self.assertTrue(backend.accepts_orders(5.0))
 
     def test_an_agent_that_falls_silent_while_this_process_runs_is_noticed(self):
         running = RunningTime(0.0)
         fleet = Fleet(running.running_time)
-        fleet.registry_changed(0.0, samples.registered("e1", "tutor"))
+        fleet.registry_changed(0.0, samples.registration("e1", "tutor"))
         fleet.engine_told(0.0, samples.engine_state("e1", ("m1",)))
         for step in range(1, 20):
             running.tick(step * TICK_S)
-        self.assertFalse(fleet.get("e1").takes_orders(19 * TICK_S))
+        self.assertFalse(fleet.get("e1").accepts_orders(19 * TICK_S))
 
 
 class TestDenials(unittest.TestCase):
@@ -209,10 +209,10 @@
         agent has spoken yet.
         """
         backend = samples.backend(service="llm")
-        backend.registered = samples.registered(
+        backend.registration = samples.registration(
             holdings={"tutor": frozenset({"a1"}), "poet": frozenset()}
         )
-        backend.denies(5.0, "tutor", "")
+        backend.record_denial(5.0, "tutor", "")
         self.assertFalse(backend.serves(5.5, "tutor"))
         self.assertFalse(backend.serves(5.5, "tutor", "a1"))
         self.assertTrue(backend.serves(5.5, "poet"))
@@ -220,17 +220,17 @@
 
     def test_a_denied_adapter_leaves_its_model(self):
         backend = samples.backend(service="llm")
-        backend.registered = samples.registered(
+        backend.registration = samples.registration(
             holdings={"tutor": frozenset({"a1", "a2"})}
         )
-        backend.denies(5.0, "tutor", "a1")
+        backend.record_denial(5.0, "tutor", "a1")
         self.assertFalse(backend.serves(5.5, "tutor", "a1"))
         self.assertTrue(backend.serves(5.5, "tutor", "a2"))
 
     def test_the_agents_word_is_newer(self):
         fleet = Fleet()
-        fleet.registry_changed(0.0, samples.registered(service="llm"))
+        fleet.registry_changed(0.0, samples.registration(service="llm"))
         backend = fleet.get("b1")
-        backend.denies(5.0, "tutor", "")
+        backend.record_denial(5.0, "tutor", "")
         fleet.engine_told(5.1, samples.engine_state(holdings=["tutor"]))
         self.assertTrue(backend.serves(5.2, "tutor"))
--- a/tests/gateway/cover/test_meters.py
+++ b/tests/gateway/cover/test_meters.py
@@ -57,7 +57,7 @@
             self.assertEqual(self.value("models_unserved", seconds="8"), 0)
 
     def test_what_keeps_engines_from_a_load_counts_by_engine(self):
-        plan = lines.PlanSeen(obstacles=lines.Obstacles(kept_for_adapters=3))
+        plan = lines.PlanSnapshot(obstacles=lines.Obstacles(kept_for_adapters=3))
         self.meters.count(samples.refused(plan))
         kept = self.value("load_obstacles_total", obstacle="kept_for_adapters")
         self.assertEqual(kept, 3)
--- a/tests/gateway/cover/test_obstacles.py
+++ b/tests/gateway/cover/test_obstacles.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bambootiller_core.gateway.log_lines import Obstacles, PlanSeen
+from bambootiller_core.gateway.log_lines import Obstacles, PlanSnapshot
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
 from tests.gateway.common import samples
@@ -42,6 +42,6 @@
         self.assertIsNone(planner.obstacles("nobody", Demand()))
 
     def test_a_refusal_tells_them(self):
-        line = samples.refused(PlanSeen(obstacles=Obstacles(no_room=2)))
+        line = samples.refused(PlanSnapshot(obstacles=Obstacles(no_room=2)))
         expected = {"no_orders": 0, "kept_for_adapters": 0, "no_room": 2, "able": 0}
         self.assertEqual(line.to_json()["plan"]["obstacles"], expected)
--- a/tests/gateway/cover/test_residency.py
+++ b/tests/gateway/cover/test_residency.py
@@ -98,7 +98,7 @@
 
     def test_a_model_that_only_a_lost_engine_holds_is_loaded_elsewhere(self):
         lost = engine_backend("b1", ("tutor",))
-        lost.heard_at = NOW - 2.0
+        lost.last_received_at = NOW - 2.0
         backends = [lost, engine_backend("b2")]
         demands = {"tutor": Demand(2.0, 3), "poet": Demand(90.0)}
         self.assertNotIn("tutor", self.plan(backends, **demands))
@@ -108,7 +108,7 @@
 
     def test_an_engine_whose_agent_is_silent_gets_no_load(self):
         backend = engine_backend("b1")
-        backend.heard_at = NOW - 60
+        backend.last_received_at = NOW - 60
         self.assertEqual(self.plan([backend], tutor=Demand(0.1, 1)), {})
 
     def test_a_long_load_goes_nowhere_where_it_costs_more_calls_than_it_serves(self):
--- a/tests/gateway/cover/test_returning.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -8,7 +8,7 @@
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.demand_tracker import DUE_BACK_LATE_S, DemandTracker
 from bambootiller_core.gateway.residency import PlannedLoad
-from bambootiller_core.gateway.returning import Returning
+from bambootiller_core.gateway.retry_prediction import RetryPredictor
 from bambootiller_core.gateway.service_levels import ServiceLevels
 from tests.gateway.common import samples
 
@@ -20,32 +20,34 @@
 
 class TestReturning(unittest.TestCase):
     def setUp(self):
-        self.returning = Returning()
-        self.returning.asked(call(30.0))
+        self.retry_predictor = RetryPredictor()
+        self.retry_predictor.asked(call(30.0))
 
-    def expected(self, given_s, told_s, held_s=0.0):
-        return self.returning.expected_in_s(call(given_s), held_s, told_s)
+    def expected(self, given_s, retry_after_s, held_s=0.0):
+        return self.retry_predictor.expected_retry_in_s(
+            call(given_s), held_s, retry_after_s
+        )
 
     def test_a_caller_is_back_when_it_was_told_to_be(self):
-        self.assertEqual(self.expected(30.0, told_s=4.0), 4.0)
+        self.assertEqual(self.expected(30.0, retry_after_s=4.0), 4.0)
 
     def test_but_stays_away_for_a_third_of_its_time_at_most(self):
-        self.assertEqual(self.expected(30.0, told_s=60.0), 10.0)
-        self.assertEqual(self.expected(30.0, told_s=60.0, held_s=12.0), 6.0)
+        self.assertEqual(self.expected(30.0, retry_after_s=60.0), 10.0)
+        self.assertEqual(self.expected(30.0, retry_after_s=60.0, held_s=12.0), 6.0)
 
     def test_one_that_has_been_back_is_not_expected_again(self):
-        self.assertIsNone(self.expected(20.0, told_s=4.0))
+        self.assertIsNone(self.expected(20.0, retry_after_s=4.0))
 
     def test_callers_of_a_route_whose_timeout_is_shortened_are_expected(self):
         """All of them counted as second tries from then on."""
         short = call(12.0, timeout_s=12.0)
-        self.returning.asked(short)
-        self.assertEqual(self.returning.expected_in_s(short, 0.0, 3.0), 3.0)
+        self.retry_predictor.asked(short)
+        self.assertEqual(self.retry_predictor.expected_retry_in_s(short, 0.0, 3.0), 3.0)
 
     def test_routes_differ_in_the_time_of_their_callers(self):
         short = call(10.0, name="/b/")
-        self.returning.asked(short)
-        self.assertEqual(self.returning.expected_in_s(short, 0.0, 2.0), 2.0)
+        self.retry_predictor.asked(short)
+        self.assertEqual(self.retry_predictor.expected_retry_in_s(short, 0.0, 2.0), 2.0)
 
 
 class TestCallers(unittest.TestCase):
@@ -90,7 +92,7 @@
         )
         context.engines.plans.demand.return_value = demand
         state = context.service.return_value
-        state.levels, state.returning = ServiceLevels(), Returning()
+        state.levels, state.retry_predictor = ServiceLevels(), RetryPredictor()
         for seconds in given_s:
             call = samples.call(
                 now=5.0, deadline=seconds, ask=samples.ask("tutor"), service="llm"
--- a/tests/gateway/cover/test_selection.py
+++ b/tests/gateway/cover/test_selection.py
@@ -45,14 +45,14 @@
 
     def test_one_more_goes_elsewhere_while_prompts_are_still_unread_there(self):
         for _ in range(4):
-            self.first.prompt_sent()
+            self.first.prefill_pending()
         self.assertIs(self.choose(), self.next)
 
     def test_it_comes_back_once_they_are_read(self):
         for _ in range(4):
-            self.first.prompt_sent()
+            self.first.prefill_pending()
         for _ in range(4):
-            self.first.prompt_read()
+            self.first.prefill_done()
         self.assertIs(self.choose(), self.first)
 
     def test_prompts_that_other_entries_sent_count_too(self):
@@ -65,13 +65,13 @@
         self.first.engine = samples.engine_state(
             self.first.instance, ["tutor"], queued=4
         )
-        self.first.heard_at = NOW - 1.2
+        self.first.last_received_at = NOW - 1.2
         self.assertIs(self.choose(), self.first)
 
     def test_a_burst_is_spread_over_all_holders(self):
         chosen = Counter()
         for _ in range(20):
             backend = self.choose()
-            backend.prompt_sent()
+            backend.prefill_pending()
             chosen[backend.instance] += 1
         self.assertLess(max(chosen.values()), 13, chosen)
--- a/tests/gateway/cover/test_service_levels.py
+++ b/tests/gateway/cover/test_service_levels.py
@@ -6,8 +6,8 @@
 from bambootiller_core.gateway.customers import Customer
 from bambootiller_core.gateway.demand_tracker import DemandTracker
 from bambootiller_core.gateway.service_levels import (
-    LEAST_WEIGHT,
-    MOST_WEIGHT,
+    MAX_WEIGHT,
+    MIN_WEIGHT,
     ServiceLevel,
     ServiceLevels,
     level_of,
@@ -39,8 +39,8 @@
 
     def test_a_lonely_caller_does_not_rule_the_loads(self):
         found = weights({FREQUENT: 300.0, RARE: 0.05})
-        self.assertEqual(found[RARE], MOST_WEIGHT)
-        self.assertGreaterEqual(found[FREQUENT], LEAST_WEIGHT)
+        self.assertEqual(found[RARE], MAX_WEIGHT)
+        self.assertGreaterEqual(found[FREQUENT], MIN_WEIGHT)
 
     def test_routes_of_one_rank_and_target_belong_together(self):
         first = samples.route(CallKind.STREAM, "/a/", priority=2, target_s=2.0)
--- a/tests/gateway/cover/test_silence.py
+++ b/tests/gateway/cover/test_silence.py
@@ -11,7 +11,7 @@
     awaited = True
 
     def __init__(self):
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         self.told = []
 
     def signal_silence(self, seconds):
--- a/tests/gateway/cover/test_store_speed.py
+++ b/tests/gateway/cover/test_store_speed.py
@@ -81,8 +81,8 @@
         for name in self.names:
             loading = Loading("tutor", 1.0, True) if name in self.ends else None
             state = samples.engine_state(name, loading=loading)
-            heard_at = self.silent.get(name, self.now)
-            found.append(samples.backend(name, heard_at, state, service="llm"))
+            last_received_at = self.silent.get(name, self.now)
+            found.append(samples.backend(name, last_received_at, state, service="llm"))
         return found
 
 
--- a/tests/gateway/cover/test_story.py
+++ b/tests/gateway/cover/test_timeline.py
@@ -3,7 +3,7 @@
 import json
 import unittest
 
-from bambootiller_core.gateway.story import read_lines, tell
+from bambootiller_core.gateway.timeline import build_timeline, read_lines
 
 
 def line(instance, uptime_s, event, clock=1000.0, **fields):
@@ -38,11 +38,11 @@
 
 
 class TestStory(unittest.TestCase):
-    def events(self, story):
-        return [step.line["event"] for step in story.steps]
+    def events(self, timeline):
+        return [step.line["event"] for step in timeline.steps]
 
     def test_a_request_that_nobody_names_has_no_story(self):
-        self.assertIsNone(tell([line("e", 1.0, "started")], "r-9"))
+        self.assertIsNone(build_timeline([line("e", 1.0, "started")], "r-9"))
 
     def test_orders_for_its_model_belong_to_it_and_others_do_not(self):
         lines = [
@@ -51,8 +51,8 @@
             order(4.2, model="critic", wanted_for="poet"),
             refused(5.0),
         ]
-        story = tell(lines, "r-1")
-        self.assertEqual(self.events(story), ["order", "order", "refused"])
+        timeline = build_timeline(lines, "r-1")
+        self.assertEqual(self.events(timeline), ["order", "order", "refused"])
 
     def test_lines_are_in_order_though_clocks_disagree(self):
         """Symptom: the order that loads a model seems to come after the refusal.
@@ -67,9 +67,9 @@
             config("agent", 2.1, 7, ahead),
             order(4.0, clock=ahead),
         ]
-        story = tell(lines, "r-1")
-        self.assertEqual(self.events(story), ["config_in_force", "order", "refused"])
-        self.assertEqual(story.unaligned, ())
+        timeline = build_timeline(lines, "r-1")
+        self.assertEqual(self.events(timeline), ["config_in_force", "order", "refused"])
+        self.assertEqual(timeline.unaligned, ())
 
     def test_a_clock_that_jumps_does_not_tear_a_process_apart(self):
         lines = [
@@ -79,13 +79,13 @@
             order(4.0, clock=980.0),
             order(4.5, clock=1000.0),
         ]
-        story = tell(lines, "r-1")
-        found = [step.at_s for step in story.steps if step.line["event"] == "order"]
+        timeline = build_timeline(lines, "r-1")
+        found = [step.at_s for step in timeline.steps if step.line["event"] == "order"]
         self.assertEqual(found, [-1.0, -0.5])
 
     def test_processes_without_a_common_event_are_named(self):
-        story = tell([refused(5.0), order(4.0)], "r-1")
-        self.assertEqual(story.unaligned, ("agent",))
+        timeline = build_timeline([refused(5.0), order(4.0)], "r-1")
+        self.assertEqual(timeline.unaligned, ("agent",))
 
     def test_each_start_of_a_process_is_placed_by_itself(self):
         """Symptom: what an agent did before its restart seems to happen after it."""
@@ -98,13 +98,13 @@
             config("agent", 1.5, 8, clock=1024.5),
             order(2.0, clock=1024.5, expected=2),
         ]
-        story = tell(lines, "r-1")
-        found = [step.at_s for step in story.steps if step.line["event"] == "order"]
+        timeline = build_timeline(lines, "r-1")
+        found = [step.at_s for step in timeline.steps if step.line["event"] == "order"]
         self.assertEqual(found, [-3.0, -0.5])
 
     def test_time_counts_from_the_arrival_not_from_the_refusal(self):
-        story = tell([refused(5.0, held_ms=800)], "r-1")
-        self.assertEqual(story.steps[-1].at_s, 0.8)
+        timeline = build_timeline([refused(5.0, held_ms=800)], "r-1")
+        self.assertEqual(timeline.steps[-1].at_s, 0.8)
 
     def test_other_calls_lost_at_the_same_backend_server_are_shown(self):
         lost = {"request": "r-1", "backend": "b1", "detail": "reset"}
@@ -114,8 +114,8 @@
             line("other", 5.0, "answer_lost", **other),
             line("other", 5.1, "answer_lost", **{**other, "backend": "b2"}),
         ]
-        story = tell(lines, "r-1")
-        self.assertEqual([step.own for step in story.steps], [True, False])
+        timeline = build_timeline(lines, "r-1")
+        self.assertEqual([step.own for step in timeline.steps], [True, False])
 
     def test_tries_of_the_same_request_are_shown_however_long_before(self):
         same = {"fingerprint": "f1"}
@@ -125,6 +125,6 @@
             line("other", 7.0, "request_quarantined", fingerprint="f2"),
             refused(300.0, reason="quarantined", **same),
         ]
-        story = tell(lines, "r-1")
-        events = [step.line["event"] for step in story.steps]
+        timeline = build_timeline(lines, "r-1")
+        events = [step.line["event"] for step in timeline.steps]
         self.assertEqual(events, ["answer_lost", "request_quarantined", "refused"])
--- a/tests/gateway/cover/test_wakes.py
+++ b/tests/gateway/cover/test_wakes.py
@@ -49,5 +49,5 @@
 
     def test_a_word_after_a_denial_wakes_calls(self):
         backend = samples.backend("b1", 0.0, STATE)
-        backend.denies(0.0, "tutor", "")
+        backend.record_denial(0.0, "tutor", "")
         self.assertTrue(wakes_waiting_calls(backend, STATE))
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -15,7 +15,7 @@
 from bambootiller_core.gateway.residency import Planner
 from bambootiller_core.timers import TimerService
 from tests.gateway.common import samples
-from tests.gateway.common.samples import engine_state, registered
+from tests.gateway.common.samples import engine_state, registration
 
 
 class App:
@@ -41,8 +41,8 @@
     def __init__(self):
         self.config = None
         self.fleet = Fleet()
-        self.fleet.registry_changed(0.0, registered("b1", "tutor"))
-        self.fleet.registry_changed(0.0, registered("b2", "judge"))
+        self.fleet.registry_changed(0.0, registration("b1", "tutor"))
+        self.fleet.registry_changed(0.0, registration("b2", "judge"))
 
 
 def told(instance, demands):
@@ -192,7 +192,7 @@
         self.known.config = samples.config(services=[service])
         for number in range(39):
             address = f"10.0.1.{number}:1"
-            record = registered(f"i{number}", "tutor", address)
+            record = registration(f"i{number}", "tutor", address)
             self.known.fleet.registry_changed(0.0, record)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").begin_waiting(self.app.time, "poet")
--- a/tests/gateway/failures/test_messages.py
+++ b/tests/gateway/failures/test_messages.py
@@ -7,7 +7,7 @@
 from bambootiller.gateway.knowledge import Knowledge
 from bambootiller.gateway.ports import Unreadable
 from bambootiller_core.ports import Changed, Record
-from tests.gateway.common.samples import engine_state, registered
+from tests.gateway.common.samples import engine_state, registration
 
 
 class Events:
@@ -28,8 +28,8 @@
             def config(self, record):
                 return None
 
-            def registered(self, record):
-                return registered("b1", revision=record.mod_revision)
+            def registration(self, record):
+                return registration("b1", revision=record.mod_revision)
 
             def instance_of(self, key):
                 return None
@@ -125,7 +125,7 @@
         self.assertEqual(len(passed_on), 2)
 
     def hold(self, models, revision):
-        self.knowledge._directory.registered = lambda record: registered(
+        self.knowledge._directory.registration = lambda record: registration(
             "b1",
             revision=revision,
             holdings=dict.fromkeys(models, frozenset()),
@@ -142,7 +142,7 @@
         passed_on = []
         self.knowledge.on_document(passed_on.append)
         starts = {3: 2000, 4: 1000}
-        self.knowledge._directory.registered = lambda record: registered(
+        self.knowledge._directory.registration = lambda record: registration(
             "b1",
             revision=record.mod_revision,
             started_ms=starts[record.mod_revision],
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -4,18 +4,18 @@
 
 from bambootiller.gateway import wire
 from bambootiller_core.gateway.engine_state import Loading
-from bambootiller_core.gateway.fleet import LAPSE_GRACE_S, Fleet
+from bambootiller_core.gateway.fleet import EXPIRY_GRACE_S, Fleet
 from bambootiller_core.gateway.incarnation import TAKEOVER_SILENCE_S, Incarnation
 from bambootiller_core.gateway.order_messages import EngineReport
-from bambootiller_core.gateway.report_naming import listed_at, named
+from bambootiller_core.gateway.report_identity import registration_at, with_identity
 from bambootiller_core.gateway.store_concurrency import StoreConcurrency
 from tests.gateway.common import samples
 
 FIRST_MS, SECOND_MS = 1_700_000_000_000, 1_700_000_009_000
 
 
-def registered(started_ms, **fields):
-    return samples.registered(service="llm", started_ms=started_ms, **fields)
+def registration(started_ms, **fields):
+    return samples.registration(service="llm", started_ms=started_ms, **fields)
 
 
 def told(started_ms, holdings=(), **fields):
@@ -25,13 +25,13 @@
 class Case(unittest.TestCase):
     def setUp(self):
         self.fleet = Fleet()
-        self.fleet.registry_changed(0.0, registered(FIRST_MS))
+        self.fleet.registry_changed(0.0, registration(FIRST_MS))
         self.fleet.engine_told(0.0, told(FIRST_MS, ["tutor"]))
         self.first = self.fleet.get("b1")
 
     def restart(self, now=1.0, **fields):
         """The registry lists the second start."""
-        record = registered(SECOND_MS, revision=5, **fields)
+        record = registration(SECOND_MS, revision=5, **fields)
         self.fleet.registry_changed(now, record)
         return self.fleet.get("b1")
 
@@ -47,10 +47,10 @@
     def test_its_holdings_and_figures_are_forgotten(self):
         second = self.restart()
         self.assertEqual(second.holdings, {})
-        self.assertFalse(second.agent_heard(1.0))
+        self.assertFalse(second.agent_responsive(1.0))
 
     def test_marks_against_it_are_forgotten(self):
-        self.first.denies(1.0, "poet", "")
+        self.first.record_denial(1.0, "poet", "")
         self.first.mark_unreachable(1.0)
         second = self.restart(holdings={"poet": frozenset()})
         self.assertTrue(second.serves(1.0, "poet"))
@@ -58,14 +58,14 @@
         self.assertFalse(second.lost(1.0))
 
     def test_that_it_was_leaving_does_not_hold_for_the_second_start(self):
-        leaving = registered(FIRST_MS, leaving=True, revision=2)
+        leaving = registration(FIRST_MS, leaving=True, revision=2)
         self.fleet.registry_changed(0.5, leaving)
         self.assertEqual(self.fleet.of_service("llm"), [])
         second = self.restart()
         self.assertEqual(self.fleet.of_service("llm"), [second])
 
     def test_a_start_that_is_not_known_says_nothing(self):
-        self.fleet.registry_changed(1.0, registered(None, revision=5))
+        self.fleet.registry_changed(1.0, registration(None, revision=5))
         self.assertIs(self.fleet.get("b1"), self.first)
         self.assertEqual(self.first.incarnation.started_ms, FIRST_MS)
 
@@ -101,7 +101,7 @@
 
     def setUp(self):
         super().setUp()
-        leaving = registered(FIRST_MS, leaving=True, revision=2)
+        leaving = registration(FIRST_MS, leaving=True, revision=2)
         self.fleet.registry_changed(0.5, leaving)
         self.fleet.engine_told(1.0, told(SECOND_MS, ["poet"]))
         self.second = self.fleet.get("b1")
@@ -118,7 +118,7 @@
         self.fleet.registry_removed(2.0, "b1")
         self.assertEqual(self.fleet.sweep(2.0), [])
         self.assertIs(self.fleet.get("b1"), self.second)
-        self.assertEqual(self.fleet.sweep(2.0 + LAPSE_GRACE_S), ["b1"])
+        self.assertEqual(self.fleet.sweep(2.0 + EXPIRY_GRACE_S), ["b1"])
 
 
 class TestLateWordOfTheStartBefore(Case):
@@ -130,19 +130,19 @@
 
     def test_of_the_registry(self):
         second = self.restart()
-        late = registered(
+        late = registration(
             FIRST_MS, leaving=True, revision=9, holdings={"tutor": frozenset()}
         )
         self.fleet.registry_changed(2.0, late)
         self.assertIs(self.fleet.get("b1"), second)
-        self.assertEqual(second.registered.revision, 5)
+        self.assertEqual(second.registration.revision, 5)
         self.assertEqual(self.fleet.of_service("llm"), [second])
 
     def test_of_its_agent(self):
         second = self.restart()
         self.assertFalse(self.fleet.engine_told(2.0, told(FIRST_MS, ["tutor"])))
         self.assertEqual(second.holdings, {})
-        self.assertFalse(second.agent_heard(2.0))
+        self.assertFalse(second.agent_responsive(2.0))
 
 
 class TestClockSetBack(Case):
@@ -155,12 +155,12 @@
     BACK_MS = FIRST_MS - 60_000
 
     def test_it_counts_once_nothing_is_heard_of_the_start_before(self):
-        back = registered(self.BACK_MS, revision=5)
+        back = registration(self.BACK_MS, revision=5)
         self.assertFalse(self.fleet.registry_changed(1.0, back))
-        back = registered(self.BACK_MS, revision=6)
+        back = registration(self.BACK_MS, revision=6)
         self.assertTrue(self.fleet.registry_changed(TAKEOVER_SILENCE_S, back))
         self.assertIsNot(self.fleet.get("b1"), self.first)
-        self.assertTrue(self.first.ended)
+        self.assertTrue(self.first.replaced)
 
     def test_its_agents_word_does_too(self):
         self.assertFalse(self.fleet.engine_told(1.0, told(self.BACK_MS)))
@@ -169,7 +169,7 @@
 
     def test_word_of_the_start_that_lives_renews_its_time(self):
         self.fleet.engine_told(TAKEOVER_SILENCE_S - 1, told(FIRST_MS, ["tutor"]))
-        back = registered(self.BACK_MS, revision=5)
+        back = registration(self.BACK_MS, revision=5)
         self.assertFalse(self.fleet.registry_changed(TAKEOVER_SILENCE_S, back))
 
 
@@ -183,7 +183,7 @@
 
     def test_the_address_of_the_start_before_is_free(self):
         self.restart(address="127.0.0.1:2")
-        other = samples.registered("b2", service="llm", revision=3)
+        other = samples.registration("b2", service="llm", revision=3)
         self.fleet.registry_changed(1.0, other)
         names = [backend.instance for backend in self.fleet.of_service("llm")]
         self.assertEqual(sorted(names), ["b1", "b2"])
@@ -199,7 +199,7 @@
     def test_a_load_that_its_engine_did_not_survive_has_not_ended(self):
         spec = samples.engine(samples.model("tutor", load_s=6.0))
         speed = StoreConcurrency(1)
-        self.fleet.registry_changed(0.0, samples.registered("b2", service="llm"))
+        self.fleet.registry_changed(0.0, samples.registration("b2", service="llm"))
         loading = Loading("tutor", 5.0, True)
         for step in range(140):
             now = step * 0.05
@@ -225,7 +225,7 @@
 
     def name(self, report_ms, listed_ms):
         report = EngineReport("", {}, 3, started_ms=report_ms)
-        return named(report, registered(listed_ms))
+        return with_identity(report, registration(listed_ms))
 
     def test_its_own_word_on_its_start_counts(self):
         self.assertEqual(
@@ -241,7 +241,9 @@
         self.assertIsNone(self.name(FIRST_MS, SECOND_MS))
 
     def test_one_from_an_address_that_nobody_has_is_nobodys(self):
-        self.assertIsNone(named(EngineReport("", {}, 3), listed_at([], "127.0.0.1:1")))
+        self.assertIsNone(
+            with_identity(EngineReport("", {}, 3), registration_at([], "127.0.0.1:1"))
+        )
 
 
 class TestTheStream(unittest.TestCase):
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -11,13 +11,13 @@
 from bambootiller.gateway.knowledge import Changes
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller_core.gateway.collecting import moved
-from bambootiller_core.gateway.fleet import AGENT_SILENT_S, FIGURES_LIFE_S, Fleet
+from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, FIGURES_TTL_S, Fleet
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_messages import EngineReport, LoadRequest
 from bambootiller_core.gateway.orders import OrderBook
 from bambootiller_core.timers import TimerService
 from tests.gateway.common import samples
-from tests.gateway.common.samples import engine, engine_state, registered
+from tests.gateway.common.samples import engine, engine_state, registration
 
 SERVICE = "tutor"
 
@@ -45,7 +45,7 @@
         self.config = None
         self.fleet = Fleet()
         self.changed = Changes()
-        self.fleet.registry_changed(0.0, registered("b1", SERVICE))
+        self.fleet.registry_changed(0.0, registration("b1", SERVICE))
 
 
 class Stream:
@@ -53,7 +53,7 @@
 
     def __init__(self, peer):
         self.peer = peer
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self.told = {}
         self.said = None
         self.sent = 0
@@ -108,7 +108,7 @@
         self.streams.all.append(self.stream)
 
     def hear(self, update):
-        self.stream.heard_at = self.clock.at
+        self.stream.last_received_at = self.clock.at
         self.engines.received(update, self.stream)
 
     def backend(self, instance="b1"):
@@ -119,15 +119,15 @@
         for _ in range(10):
             self.clock.at += 0.6
             self.hear(Update())
-        self.assertTrue(self.backend().agent_heard(self.clock.at))
+        self.assertTrue(self.backend().agent_responsive(self.clock.at))
         self.assertEqual(self.backend().occupied(self.clock.at), 3)
 
     def test_silence_makes_them_old_as_soon_as_ever(self):
         self.hear(figures(running=3))
         self.hear(Update())
         last = self.clock.at
-        self.assertEqual(self.backend().occupied(last + FIGURES_LIFE_S + 0.01), 0)
-        self.assertFalse(self.backend().agent_heard(last + AGENT_SILENT_S))
+        self.assertEqual(self.backend().occupied(last + FIGURES_TTL_S + 0.01), 0)
+        self.assertFalse(self.backend().agent_responsive(last + AGENT_TIMEOUT_S))
 
     def test_an_agent_that_began_anew_does_not_stand_for_what_the_last_one_said(self):
         """What goes wrong: an agent starts again and can't read its engine yet. Its
@@ -138,7 +138,7 @@
         self.hear(Update(sender="a1", begins=True))
         self.clock.at += 0.6
         self.hear(Update())
-        self.assertEqual(self.backend().heard_at, told_at)
+        self.assertEqual(self.backend().last_received_at, told_at)
 
     def test_figures_of_an_engine_that_is_listed_later_are_kept_for_it(self):
         """What goes wrong: the agent's first message comes before the registry's
@@ -147,7 +147,7 @@
         self.hear(figures("b2", running=2))
         self.assertIsNone(self.backend("b2"))
         self.known.fleet.registry_changed(
-            0.0, registered("b2", SERVICE, address="127.0.0.2:1")
+            0.0, registration("b2", SERVICE, address="127.0.0.2:1")
         )
         self.engines._recall(self.clock.at)
         self.assertEqual(self.backend("b2").engine.running, 2)
@@ -155,9 +155,9 @@
     def test_they_are_not_recalled_once_the_agent_is_silent(self):
         self.hear(figures("b2", running=2))
         self.known.fleet.registry_changed(
-            0.0, registered("b2", SERVICE, address="127.0.0.2:1")
+            0.0, registration("b2", SERVICE, address="127.0.0.2:1")
         )
-        self.engines._recall(self.clock.at + AGENT_SILENT_S)
+        self.engines._recall(self.clock.at + AGENT_TIMEOUT_S)
         self.assertIsNone(self.backend("b2").engine)
 
     def test_copies_left_out_are_those_of_the_same_stream(self):
@@ -289,7 +289,7 @@
         self.words.tell()
 
     def hear(self, update):
-        self.stream.heard_at = self.clock.at
+        self.stream.last_received_at = self.clock.at
         self.words.received(update, self.stream)
 
     def entry_says(self, in_use=2, collect=False):
@@ -370,7 +370,7 @@
         self.begin()
         for number in range(60):
             stream = Stream(f"e{number}")
-            stream.heard_at = self.clock.at
+            stream.last_received_at = self.clock.at
             self.words.received(self.entry_says(in_use=0), stream)
         self.fill()
         self.clock.at += 0.5
@@ -384,7 +384,7 @@
         """Entries without calls for any model."""
         others = [Stream(f"other-{number}") for number in range(count)]
         for stream in others:
-            stream.heard_at = self.clock.at
+            stream.last_received_at = self.clock.at
             update = Update(sender=stream.peer, begins=True)
             update.entry.CopyFrom(wire.entry_message({}, {}, False))
             self.words.received(update, stream)
--- a/tests/gateway/failures/test_store_turns_taken.py
+++ b/tests/gateway/failures/test_store_turns_taken.py
@@ -34,7 +34,7 @@
         self.fleet = Fleet()
         for number in range(6):
             instance, address = f"b{number}", f"10.0.0.{number}:1"
-            record = samples.registered(instance, SERVICE, address)
+            record = samples.registration(instance, SERVICE, address)
             self.fleet.registry_changed(app.at, record)
             self.fleet.engine_told(app.at, samples.engine_state(instance))
 
