--- a/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
+++ b/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
@@ -31,7 +31,7 @@
 #: A kept connection is used again only within this part of the time for which the
 #: backend server says it keeps it. Closer to the end, a call could cross its close, and
 #: nobody could tell whether it ran.
-KEEP_ALIVE_SHARE = 0.6
+KEEP_ALIVE_FRACTION = 0.6
 #: The same where the backend server doesn't say: times below a second aren't stated.
 #: Seconds.
 DEFAULT_KEEP_ALIVE_S = 0.3
@@ -372,7 +372,7 @@
             for part in value.split(b","):
                 key, _, number = part.strip().partition(b"=")
                 if key.lower() == b"timeout" and number.strip().isdigit():
-                    return int(number) * KEEP_ALIVE_SHARE
+                    return int(number) * KEEP_ALIVE_FRACTION
     return DEFAULT_KEEP_ALIVE_S
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
@@ -18,7 +18,7 @@
 #: A call is held no longer than this, and no more than this part of the time that it
 #: has left: a caller that would be refused in the end had better know at once. Seconds.
 MAX_HOLD_S = 2.5
-HOLD_SHARE = 0.5
+HOLD_FRACTION = 0.5
 
 
 class CrashIsolation:
@@ -61,7 +61,7 @@
 
     def _max_hold_s(self, now: float) -> float:
         due = min(self._call.deadline, self._call.next_event_due(self._progress))
-        return max(0.0, min(MAX_HOLD_S, (due - now) * HOLD_SHARE))
+        return max(0.0, min(MAX_HOLD_S, (due - now) * HOLD_FRACTION))
 
 
 def _refusal(reason: Reason, admission: Admission) -> Refusal:
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -126,9 +126,9 @@
         self._records = QuarantineRecords(
             app, platform.kv, self._engines.quarantine, events
         )
-        own_pages = pages(platform.dialect.ready_path, self.is_ready)
+        process_pages = pages(platform.dialect.ready_path, self.is_ready)
         self._front = HttpFront(
-            self._context, own_pages, self.is_ready, lambda: self._leaving
+            self._context, process_pages, self.is_ready, lambda: self._leaving
         )
         self._overload = Overload()
         self._stall_monitor.on_tick(self._on_tick)
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from bambootiller.gateway.relay_context import RelayContext
-from bambootiller.gateway.server_admission import Permit, Room
+from bambootiller.gateway.server_admission import Permit, PermitEstimate
 from bambootiller_core.gateway import attempts, selection
 from bambootiller_core.gateway.attempts import Reason, Refusal
 from bambootiller_core.gateway.calls import Call, Progress
@@ -51,7 +51,7 @@
         self._permit: Permit | None = None
         self._requested_instances: set[str] = set()
         #: The room under a named limit that the call waits for.
-        self._awaited_room: Room | None = None
+        self._awaited_permit: PermitEstimate | None = None
 
     def ask(self) -> None:
         """Count the call in the demand for its model."""
@@ -130,16 +130,16 @@
 
     def _choose(self, candidates: list[Backend]) -> Backend | None:
         context = self._context
-        admissible = [
+        not_exhausted = [
             backend
             for backend in candidates
-            if not context.server_admission.is_closed(backend)
+            if not context.server_admission.is_exhausted(backend)
         ]
-        self.candidates = len(admissible)
+        self.candidates = len(not_exhausted)
         return selection.choose(
             context.clock(),
             self._call,
-            admissible,
+            not_exhausted,
             self._health,
             context.zone,
             context.rng,
@@ -162,33 +162,34 @@
         free = [
             backend for backend in candidates if not selection.is_full(backend, now)
         ]
-        room = self._context.server_admission.room(free)
-        if room is None:
+        estimate = self._context.server_admission.estimate(free)
+        if estimate is None:
             return Refusal(Reason.OVERLOADED, attempts.DEFAULT_RETRY_AFTER_S)
         due = min(self._call.next_event_due(self._progress), self._call.deadline)
         begins = (
-            self._awaited_room is None and now + room.in_s < due - FIRST_EVENT_MARGIN_S
+            self._awaited_permit is None
+            and now + estimate.in_s < due - FIRST_EVENT_MARGIN_S
         )
-        if begins and room.known:
-            self._awaited_room = room
-            self._context.server_admission.begin_waiting(room)
+        if begins and estimate.known:
+            self._awaited_permit = estimate
+            self._context.server_admission.begin_waiting(estimate)
         if (
-            self._awaited_room is not None
-            and room.known
+            self._awaited_permit is not None
+            and estimate.known
             and now < due - FIRST_EVENT_MARGIN_S
         ):
             return None
-        detail = f"{room.instance} has room in {room.in_s:.2f} s"
+        detail = f"{estimate.instance} has room in {estimate.in_s:.2f} s"
         return Refusal(
             Reason.BACKEND_LIMITED,
-            max(room.in_s, attempts.DEFAULT_RETRY_AFTER_S),
+            max(estimate.in_s, attempts.DEFAULT_RETRY_AFTER_S),
             detail,
         )
 
     def _stop_waiting(self) -> None:
-        room, self._awaited_room = self._awaited_room, None
-        if room is not None:
-            self._context.server_admission.end_waiting(room)
+        estimate, self._awaited_permit = self._awaited_permit, None
+        if estimate is not None:
+            self._context.server_admission.end_waiting(estimate)
 
     async def _place_on_engine(self) -> Backend | Refusal:
         """An engine that holds the model and the adapter, waiting for one if need
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -38,8 +38,8 @@
 
 #: A stream that may be resumed is sent elsewhere when nothing has come for this part of
 #: the caller's patience, or for the longest pause times this factor, whichever is more.
-SILENCE_PATIENCE_SHARE = 0.35
-SILENCE_PAUSE_FACTOR = 3.0
+SILENCE_FRACTION = 0.35
+SILENCE_GAP_FACTOR = 3.0
 
 
 #: An answer up to this size is collected before its first byte goes out; a larger one
@@ -305,8 +305,8 @@
         if left_attempts < 1 or not call.may_rerun:
             return None
         if call.is_stream:
-            patience = call.route.event_timeout_s * SILENCE_PATIENCE_SHARE
-            return max(patience, call.route.max_event_gap_s * SILENCE_PAUSE_FACTOR)
+            timeout_s = call.route.event_timeout_s * SILENCE_FRACTION
+            return max(timeout_s, call.route.max_event_gap_s * SILENCE_GAP_FACTOR)
         return max(0.05, (call.deadline - now) * 0.5)
 
     async def _forward_answer(self, attempt: Attempt, head: AnswerHead) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -37,7 +37,7 @@
 #: being made count too.
 CONNECTIONS_PER_SLOT = 2
 #: But no more than this part of what the backend server takes.
-MAX_ENTRY_SHARE = 0.5
+MAX_ENTRY_FRACTION = 0.5
 
 
 @dataclass(slots=True)
@@ -180,4 +180,4 @@
         limit = service.max_connections
         share = limit // max(2, len(self.engines.plans.entries))
         wanted = CONNECTIONS_PER_SLOT * backend.registration.slots
-        return max(MIN_CONNECTIONS, share, min(wanted, int(MAX_ENTRY_SHARE * limit)))
+        return max(MIN_CONNECTIONS, share, min(wanted, int(MAX_ENTRY_FRACTION * limit)))
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Room:
+class PermitEstimate:
     """When a backend server has room for a call, in seconds; ``known`` is whether an
     allocator tells."""
 
@@ -92,7 +92,7 @@
         """Whether the backend server names a limit."""
         return self._limits.per_s(backend) is not None
 
-    def is_closed(self, backend: Backend) -> bool:
+    def is_exhausted(self, backend: Backend) -> bool:
         """Whether there is no use in trying for a permit now."""
         if not self.is_limited(backend):
             return False
@@ -116,27 +116,31 @@
             self._allowances.pause(name, ALLOCATOR_TIMEOUT_S)
         return None
 
-    def room(self, backends: Iterable[Backend]) -> Room | None:
+    def estimate(self, backends: Iterable[Backend]) -> PermitEstimate | None:
         """Where there is room first, behind the calls that wait for it already; None if
         none of them names a limit."""
-        rooms = [
-            self._room(backend) for backend in backends if self.is_limited(backend)
+        estimates = [
+            self._estimate_for(backend)
+            for backend in backends
+            if self.is_limited(backend)
         ]
-        return min(rooms, key=lambda room: room.in_s, default=None)
+        return min(estimates, key=lambda estimate: estimate.in_s, default=None)
 
-    def _room(self, backend: Backend) -> Room:
+    def _estimate_for(self, backend: Backend) -> PermitEstimate:
         allowances, name = self._allowances, limit_name(backend.instance)
         if allowances.allocator is None:
-            return Room(backend.instance, NO_ALLOCATOR_COME_BACK_S, known=False)
+            return PermitEstimate(
+                backend.instance, NO_ALLOCATOR_COME_BACK_S, known=False
+            )
         ahead = self._waiting[backend.instance]
         in_s = allowances.dry_s(name, CALL_COST) + ahead * allowances.next_in_s(name)
-        return Room(backend.instance, in_s, known=True)
+        return PermitEstimate(backend.instance, in_s, known=True)
 
-    def begin_waiting(self, room: Room) -> None:
+    def begin_waiting(self, estimate: PermitEstimate) -> None:
         """A call waits for room there."""
-        self._waiting[room.instance] += 1
+        self._waiting[estimate.instance] += 1
 
-    def end_waiting(self, room: Room) -> None:
+    def end_waiting(self, estimate: PermitEstimate) -> None:
         """It waits no more."""
-        self._waiting[room.instance] -= 1
+        self._waiting[estimate.instance] -= 1
         self._waiting += Counter()
--- a/packages/bambootiller/src/bambootiller/gateway/silence.py
+++ b/packages/bambootiller/src/bambootiller/gateway/silence.py
@@ -97,14 +97,14 @@
 
 
 async def wait_running_time(
-    running_time: RunningClock, seconds: float, work: Coroutine[Any, Any, T]
+    running_time: RunningClock, seconds: float, coroutine: Coroutine[Any, Any, T]
 ) -> T:
-    """Await ``work`` for ``seconds`` of running time at most, else TimeoutError.
+    """Await ``coroutine`` for ``seconds`` of running time at most, else TimeoutError.
 
     Making a connection takes several turns of the loop. In a process that is starved of
     its processor those alone last longer than a timeout meant for the other side.
     """
-    task = asyncio.ensure_future(work)
+    task = asyncio.ensure_future(coroutine)
     end = running_time() + seconds
     try:
         while not task.done():
