--- a/tests/adapter/common/outside.py
+++ b/tests/adapter/common/background_loop.py
@@ -7,16 +7,16 @@
 from bambootiller_platform_standins.store import StandinStore
 
 #: A thread that is asked to end does so within this time. Seconds.
-END_S = 5.0
+STOP_TIMEOUT_S = 5.0
 
 
-class OutsideLoop:
+class BackgroundLoop:
     """A second event loop on a thread of its own, for what runs outside of the process
     under test.
 
     Example::
 
-        outside = OutsideLoop()
+        outside = BackgroundLoop()
         replica = outside.start_replica("i-1", "plain")
         ...
         outside.close()
@@ -60,8 +60,10 @@
         for replica in self._replicas:
             self._run(replica.server.stop())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(END_S)
+        self._thread.join(STOP_TIMEOUT_S)
         self._loop.close()
 
     def _run(self, coroutine):
-        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(END_S)
+        return asyncio.run_coroutine_threadsafe(coroutine, self._loop).result(
+            STOP_TIMEOUT_S
+        )
--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -30,7 +30,7 @@
 HOST = b"classes.example"
 
 
-class Events:
+class RecordingEventLog:
     """Keeps what would be logged."""
 
     def __init__(self):
@@ -39,11 +39,11 @@
     def emit(self, line):
         self.lines.append(line)
 
-    def of(self, event):
+    def of_kind(self, event):
         return [line for line in self.lines if line.event == event]
 
 
-class NoPlans:
+class EmptyPlans:
     """Plans without engines that take orders."""
 
     def __init__(self):
@@ -75,11 +75,11 @@
         return None
 
 
-class NoEngines:
+class EnginesWithoutAgents:
     """Engines without agents: nothing can be ordered."""
 
     def __init__(self):
-        self.plans = NoPlans()
+        self.plans = EmptyPlans()
         self.load_requests = []
 
     def load_request(self, backend, load_request):
@@ -87,7 +87,7 @@
         return True
 
 
-class Answer:
+class ReceivedResponse:
     """What a caller received."""
 
     def __init__(self):
@@ -109,10 +109,10 @@
     """
 
     def __init__(self):
-        self.events = Events()
+        self.events = RecordingEventLog()
         loop = asyncio.get_running_loop()
         self.knowledge = Knowledge(PlatformDirectory(), self.events, loop.time)
-        self.engines = NoEngines()
+        self.engines = EnginesWithoutAgents()
         self._running = RunningTime(loop.time())
         self._ticking = loop.create_task(self._tick())
         allowances = Allowances("e1", lambda peer: True, lambda: False)
@@ -166,9 +166,9 @@
             "routes": [{**ROUTE, **fields}, ROUTE],
             "services": [SERVICE, {"name": "plain"}],
         }
-        self.learn("op/config", form)
+        self.add_document("op/config", form)
 
-    def learn(self, key, form):
+    def add_document(self, key, form):
         """Have a document known."""
         self.revision += 1
         value = form if isinstance(form, bytes) else json.dumps(form).encode()
@@ -178,7 +178,7 @@
         """Start a replica and list it."""
         await replica.server.start()
         self.replicas.append(replica)
-        self.learn(f"servers/{replica.instance}", replica.entry())
+        self.add_document(f"servers/{replica.instance}", replica.entry())
         return replica
 
     async def close(self):
@@ -202,7 +202,7 @@
             "query_string": b"",
             "headers": fields,
         }
-        answer = Answer()
+        answer = ReceivedResponse()
         told = []
 
         async def receive():
--- a/tests/adapter/common/fleet.py
+++ b/tests/adapter/common/fleet.py
@@ -23,11 +23,11 @@
 from tests.adapter.cover.test_documents import CONFIG, ROUTE, SERVICE
 
 #: Waiting for a condition is bounded generously: a busy machine proves nothing.
-WAIT_S = 40.0
+WAIT_TIMEOUT_S = 40.0
 #: One question whether an entry is ready; a stopped one never answers.
-ASK_LIMIT = aiohttp.ClientTimeout(total=2.0)
+READINESS_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
 #: Lines of a program's output that a failure shows.
-TAIL_LINES = 30
+LOG_TAIL_LINES = 30
 HOST = "classes.example"
 
 
@@ -35,7 +35,7 @@
     """A program didn't get ready; the text tells how all programs fare."""
 
 
-async def until(condition, what, pause_s=0.05, seconds=WAIT_S):
+async def until(condition, what, pause_s=0.05, seconds=WAIT_TIMEOUT_S):
     """Wait until ``await condition()`` is true."""
     end = asyncio.get_running_loop().time() + seconds
     while not await condition():
@@ -65,18 +65,18 @@
         """Its events of one kind."""
         return [line for line in self.lines() if line.get("event") == kind]
 
-    def account(self):
+    def status_summary(self):
         """How it fares, and the last lines of its output."""
         code = self.process.returncode
         standing = "running" if code is None else f"exit code {code}"
-        output = self.log.read_text(errors="replace").splitlines()[-TAIL_LINES:]
+        output = self.log.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:]
         return "\n".join((f"{self.form['node-name']}: {standing}", *output))
 
     async def stop(self, signum=signal.SIGTERM):
         """Signal it, and return its exit code."""
         if self.process.returncode is None:
             self.process.send_signal(signum)
-        return await asyncio.wait_for(self.process.wait(), WAIT_S)
+        return await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT_S)
 
 
 class Fleet:
@@ -158,12 +158,12 @@
         """Whether the entry says that it is ready."""
         url = f"http://{entry.form['listen']['ready']}/bambootiller/ready"
         try:
-            async with self.session.get(url, timeout=ASK_LIMIT) as response:
+            async with self.session.get(url, timeout=READINESS_TIMEOUT) as response:
                 return response.status == 200
         except (aiohttp.ClientError, TimeoutError):
             return False
 
-    async def wait_ready(self, entry, seconds=WAIT_S):
+    async def wait_ready(self, entry, seconds=WAIT_TIMEOUT_S):
         """Wait until the entry is ready; tells of all programs if it doesn't get so.
 
         The logs are removed with the fleet, so without that nobody would know why.
@@ -178,7 +178,7 @@
         try:
             await until(is_ready, what, seconds=seconds)
         except AssertionError as exc:
-            accounts = [program.account() for program in self._programs]
+            accounts = [program.status_summary() for program in self._programs]
             raise NotReady("\n--- ".join((str(exc), *accounts))) from exc
 
     async def call(
--- a/tests/adapter/cover/test_boundary.py
+++ b/tests/adapter/cover/test_boundary.py
@@ -9,7 +9,7 @@
 from tests.adapter import PLATFORM, ROOT
 
 #: Names on the wire that have no meaning of their own outside the platform.
-FOREIGN = (
+PLATFORM_NAMES = (
     "x-request-attempt",
     "x-response-seal",
     "x-not-executed",
@@ -39,8 +39,8 @@
 
 
 class TestBoundary(unittest.TestCase):
-    def test_no_name_of_the_platform_stands_outside_its_folder(self):
-        pattern = re.compile("|".join(map(re.escape, FOREIGN)), re.IGNORECASE)
+    def test_platform_names_occur_only_in_the_adapter(self):
+        pattern = re.compile("|".join(map(re.escape, PLATFORM_NAMES)), re.IGNORECASE)
         found = []
         for path in sorted((ROOT / "packages").rglob("*.py")):
             for number, line in enumerate(path.read_text().splitlines(), 1):
@@ -69,7 +69,7 @@
         self.assertEqual(done.returncode, 0, done.stderr)
         return done.stdout.strip()
 
-    def test_the_standard_library_module_is_not_hidden(self):
+    def test_the_standard_library_module_is_not_shadowed(self):
         """Symptom: every library that asks for its platform fails to import.
 
         The folder has the name of a module of the standard library. With an
--- a/tests/adapter/cover/test_days.py
+++ b/tests/adapter/cover/test_days.py
@@ -16,13 +16,13 @@
     "class": re.compile(r"@c\d+"),
 }
 #: Fields that mean the same on every deployment; `region`, for one, has no placeholder.
-PLAIN = {"at", "kind", "for_s", "gap_s", "share", "count", "x", "how", "on"}
-DAY = {"name", "slot", "seed", "closing", "plan", "faults"}
-CLOSING = {"kind", "down_s", "how"}
-MACHINES = {"front", "side", "core"}
+GENERIC_FIELDS = {"at", "kind", "for_s", "gap_s", "share", "count", "x", "how", "on"}
+DAY_FIELDS = {"name", "slot", "seed", "closing", "plan", "faults"}
+CLOSING_FIELDS = {"kind", "down_s", "how"}
+MACHINE_ROLES = {"front", "side", "core"}
 
 
-def opening(text):
+def leading_comment(text):
     """Return the comment that stands above all else in a file, in one line."""
     lines = []
     for line in text.splitlines():
@@ -32,7 +32,7 @@
     return " ".join(lines)
 
 
-def strangers(entry):
+def deployment_specific_fields(entry):
     """Return the fields of a disruption that tie it to one deployment."""
     return [
         f"{field} = {value!r}"
@@ -40,9 +40,9 @@
         if not (
             isinstance(value, str) and PLACEHOLDERS[field].fullmatch(value)
             if field in PLACEHOLDERS
-            else field in PLAIN
+            else field in GENERIC_FIELDS
         )
-        or (field == "on" and value not in MACHINES)
+        or (field == "on" and value not in MACHINE_ROLES)
     ]
 
 
@@ -51,11 +51,11 @@
         self.texts = {path: path.read_text() for path in sorted(FOLDER.glob("*.toml"))}
         self.files = {path: tomllib.loads(text) for path, text in self.texts.items()}
 
-    def test_there_are_days_and_nothing_else(self):
+    def test_the_folder_holds_only_day_files(self):
         self.assertTrue(self.texts)
         self.assertEqual(sorted(FOLDER.iterdir()), list(self.texts))
 
-    def test_the_days_stand_in_one_place(self):
+    def test_no_day_file_lies_elsewhere(self):
         elsewhere = [
             path
             for path in (ROOT / "tests").rglob("*.toml")
@@ -63,13 +63,13 @@
         ]
         self.assertEqual(elsewhere, [])
 
-    def test_each_file_opens_with_a_sentence_on_what_it_brings_about(self):
+    def test_each_file_begins_with_a_description(self):
         for path, text in self.texts.items():
             with self.subTest(path.name):
-                self.assertRegex(opening(text), r"^[A-Z].{20,}\.$")
-                self.assertNotIn("@", opening(text))
+                self.assertRegex(leading_comment(text), r"^[A-Z].{20,}\.$")
+                self.assertNotIn("@", leading_comment(text))
 
-    def test_each_file_holds_one_day_of_its_own_name_and_seed(self):
+    def test_each_file_holds_one_day_with_a_unique_name_and_seed(self):
         for path, data in self.files.items():
             with self.subTest(path.name):
                 self.assertEqual(list(data), ["day"])
@@ -77,12 +77,12 @@
         seeds = [day["seed"] for data in self.files.values() for day in data["day"]]
         self.assertEqual(len(set(seeds)), len(seeds))
 
-    def test_each_day_holds_disruptions_alone(self):
+    def test_each_day_holds_only_disruptions(self):
         for path, data in self.files.items():
             for day in data["day"]:
                 with self.subTest(path.name):
-                    self.assertLessEqual(set(day), DAY)
-                    self.assertLessEqual(set(day.get("closing", {})), CLOSING)
+                    self.assertLessEqual(set(day), DAY_FIELDS)
+                    self.assertLessEqual(set(day.get("closing", {})), CLOSING_FIELDS)
                     self.assertTrue(day.get("plan", []) + day.get("faults", []))
 
     def test_parts_of_a_deployment_are_placeholders(self):
@@ -90,10 +90,10 @@
             for day in data["day"]:
                 for entry in day.get("plan", []) + day.get("faults", []):
                     with self.subTest(path.name, kind=entry["kind"], at=entry["at"]):
-                        self.assertEqual(strangers(entry), [])
+                        self.assertEqual(deployment_specific_fields(entry), [])
 
 
-class TestStrangers(unittest.TestCase):
+class TestDeploymentSpecificFields(unittest.TestCase):
     def test_names_of_a_deployment_are_found(self):
         for entry in (
             {"zone": "north"},
@@ -105,9 +105,14 @@
         ):
             with self.subTest(entry):
                 self.assertEqual(
-                    len(strangers({"at": 1.0, "kind": "burst"} | entry)), 1
+                    len(
+                        deployment_specific_fields({"at": 1.0, "kind": "burst"} | entry)
+                    ),
+                    1,
                 )
 
-    def test_placeholders_are_taken(self):
+    def test_placeholders_are_accepted(self):
         entry = {"zone": "@z0", "to_zone": "@z12", "service": "@s1", "class": "@c0"}
-        self.assertEqual(strangers(entry | {"on": "core", "x": 2.0}), [])
+        self.assertEqual(
+            deployment_specific_fields(entry | {"on": "core", "x": 2.0}), []
+        )
--- a/tests/adapter/cover/test_dialect.py
+++ b/tests/adapter/cover/test_dialect.py
@@ -19,11 +19,11 @@
     }
 
 
-class TestReading(unittest.TestCase):
+class TestRequestParsing(unittest.TestCase):
     def setUp(self):
         self.dialect = PlatformDialect()
 
-    def test_what_a_call_asks_for_is_read(self):
+    def test_headers_of_a_model_call_are_parsed(self):
         found = self.dialect.read(
             scope(
                 (b"x-model", b"tutor/a3"),
@@ -41,7 +41,7 @@
         self.assertEqual((found.deadline_s, found.resume_after), (10.0, 12))
         self.assertEqual(found.target, b"/a/b?q=1")
 
-    def test_headers_of_the_system_are_taken_off(self):
+    def test_internal_headers_are_removed(self):
         """Symptom: a caller chooses its backend server, or claims memory of one.
 
         It sends a header that only this system may set, and the entry passes it on.
@@ -59,21 +59,21 @@
         found = self.dialect.read(scope(*((name, b"1") for name in names)))
         self.assertFalse({name for name, _ in found.headers} & set(names))
 
-    def test_headers_of_one_connection_are_taken_off(self):
+    def test_hop_by_hop_headers_are_removed(self):
         found = self.dialect.read(
             scope((b"connection", b"x-mine, close"), (b"x-mine", b"1"), (b"te", b"x"))
         )
         names = {name for name, _ in found.headers}
         self.assertFalse(names & {b"connection", b"x-mine", b"te"})
 
-    def test_a_deadline_that_is_no_number_is_named(self):
+    def test_an_invalid_deadline_is_reported(self):
         found = self.dialect.read(scope((b"x-deadline-ms", b"soon")))
         self.assertIsInstance(found, Unreadable)
         self.assertIn("soon", found.detail)
 
 
-class TestSending(unittest.TestCase):
-    def test_the_attempt_names_its_backend_server_and_where_to_go_on(self):
+class TestBackendHeaders(unittest.TestCase):
+    def test_an_attempt_carries_its_backend_server_and_resume_position(self):
         dialect = PlatformDialect()
         incoming = dialect.read(scope((b"x-model", b"tutor"), (b"accept", b"*/*")))
         route = samples.route(CallKind.STREAM, priority=1)
@@ -86,30 +86,30 @@
         self.assertEqual(dialect.time_left_header(1.5), (b"x-deadline-ms", b"1500"))
 
 
-class TestJudging(unittest.TestCase):
+class TestResponseClassification(unittest.TestCase):
     def classify(self, status, *headers):
         call = samples.call()
         return PlatformDialect().classify(call, AnswerHead(status, headers))
 
-    def test_a_signed_answer_is_the_backend_servers_own(self):
+    def test_a_signed_response_is_accepted(self):
         seal = (b"x-response-seal", b"s")
         for status in (200, 500, 404):
             self.assertIs(self.classify(status, seal), AnswerKind.ANSWER)
 
-    def test_an_answer_to_another_call_is_a_stray(self):
+    def test_a_response_to_another_call_is_stray(self):
         found = self.classify(
             200, (b"x-response-seal", b"s"), (b"x-request-attempt", b"r-0")
         )
         self.assertIs(found, AnswerKind.STRAY)
 
-    def test_promises_not_to_have_run(self):
+    def test_responses_that_promise_no_execution(self):
         self.assertIs(self.classify(503, (b"x-not-executed", b"1")), AnswerKind.NOT_RUN)
         self.assertIs(self.classify(421), AnswerKind.MISDIRECTED)
 
-    def test_a_bare_503_promises_nothing(self):
+    def test_a_bare_503_may_have_been_executed(self):
         self.assertIs(self.classify(503), AnswerKind.USELESS)
 
-    def test_a_success_without_signature_or_encoded_is_no_answer(self):
+    def test_an_unsigned_or_encoded_success_is_useless(self):
         self.assertIs(self.classify(200), AnswerKind.USELESS)
         found = self.classify(
             200, (b"x-response-seal", b"s"), (b"content-encoding", b"gzip")
@@ -125,34 +125,34 @@
         incoming = self.read(*headers)
         return dict(PlatformDialect().request_headers(incoming, call, "i-1", None))
 
-    def test_the_holders_name_goes_out_and_nothing_that_the_caller_says(self):
+    def test_the_customer_name_replaces_what_the_caller_sent(self):
         call = samples.call(keyed=True, customer=Customer("first", priority=0))
         claimed = ((b"authorization", b"Bearer k"), (b"x-tenant", b"second"))
         sent = self.sent(call, *claimed)
         self.assertEqual(sent[b"x-tenant"], b"first")
         self.assertNotIn(b"authorization", sent)
 
-    def test_a_public_route_passes_no_key_on(self):
+    def test_a_public_route_forwards_no_key(self):
         sent = self.sent(samples.call(keyed=True), (b"authorization", b"Bearer k"))
         self.assertNotIn(b"authorization", sent)
         self.assertNotIn(b"x-tenant", sent)
 
-    def test_without_customers_fields_go_on_as_they_are(self):
+    def test_without_customers_credentials_are_forwarded(self):
         sent = self.sent(samples.call(), (b"authorization", b"Bearer k"))
         self.assertEqual(sent[b"authorization"], b"Bearer k")
 
-    def test_a_customers_priority_goes_before_the_routes(self):
+    def test_customer_priority_overrides_route_priority(self):
         ask = samples.ask()
         call = samples.call(ask=ask, keyed=True, customer=Customer("c", priority=0))
         self.assertEqual(self.sent(call)[b"x-request-priority"], b"0")
 
-    def test_a_key_that_connection_names_is_read_all_the_same(self):
+    def test_a_key_listed_in_the_connection_header_is_still_read(self):
         incoming = self.read(
             (b"authorization", b"Bearer k"), (b"connection", b"authorization")
         )
         self.assertIsNotNone(incoming.key)
 
-    def test_tokens_are_both_numbers_or_none(self):
+    def test_token_usage_needs_two_valid_numbers(self):
         for text, tokens in (
             (b"1460,80", 1540),
             (b"1460", None),
@@ -166,15 +166,15 @@
                 self.assertEqual(found, tokens)
 
 
-class TestNamedLimit(unittest.TestCase):
+class TestServerLimit(unittest.TestCase):
     def limit(self, *headers):
         return PlatformDialect().limit(AnswerHead(200, headers))
 
-    def test_it_is_a_decimal_number(self):
+    def test_a_limit_is_a_decimal_number(self):
         self.assertEqual(self.limit((b"server-limit", b"1.9")), 1.9)
         self.assertIsNone(self.limit((b"retry-after", b"1.9")))
 
-    def test_anything_else_is_told(self):
+    def test_invalid_limits_are_reported(self):
         for text in (b"", b"many", b"-1", b"nan", b"inf"):
             with self.subTest(text=text):
                 found = self.limit((b"server-limit", text))
--- a/tests/adapter/cover/test_documents.py
+++ b/tests/adapter/cover/test_documents.py
@@ -99,7 +99,7 @@
         config = self.directory.config(record({**CONFIG, "new-field": 1}))
         self.assertEqual(config.version, 7)
 
-    def test_what_cannot_be_read_is_said_and_not_guessed(self):
+    def test_invalid_documents_are_reported(self):
         for form in (b"", b"[]", {**CONFIG, "version": "x"}):
             found = self.directory.config(record(form))
             self.assertIsInstance(found, Unreadable, form)
@@ -107,7 +107,7 @@
         found = self.directory.config(record({**CONFIG, "routes": [route]}))
         self.assertIsInstance(found, Unreadable)
 
-    def test_another_key_is_another_matter(self):
+    def test_other_keys_are_ignored(self):
         self.assertIsNone(self.directory.config(record(CONFIG, "op/else")))
 
 
@@ -121,7 +121,7 @@
         self.assertEqual(found.holdings, {"tutor": frozenset({"a1"})})
         self.assertFalse(found.leaving)
 
-    def test_its_start_is_a_whole_number_of_milliseconds(self):
+    def test_the_start_time_is_an_integer_of_milliseconds(self):
         form = {**SERVER, "born": 1700000000123}
         found = self.directory.registration(record(form, "servers/i-1"))
         self.assertEqual(found.incarnation, Incarnation("i-1", 1700000000123))
@@ -132,7 +132,7 @@
             found = self.directory.registration(record(form, "servers/i-1"))
             self.assertIsInstance(found, Unreadable, wrong)
 
-    def test_draining_means_leaving_and_another_state_is_no_entry(self):
+    def test_draining_means_leaving_and_unknown_states_are_rejected(self):
         form = {**SERVER, "state": "draining"}
         self.assertTrue(
             self.directory.registration(record(form, "servers/i-1")).leaving
@@ -142,6 +142,6 @@
             found = self.directory.registration(record(form, "servers/i-1"))
             self.assertIsInstance(found, Unreadable, state)
 
-    def test_a_broken_entry_is_said(self):
+    def test_an_invalid_registration_is_reported(self):
         found = self.directory.registration(record(b"{}", "servers/i-1"))
         self.assertIsInstance(found, Unreadable)
--- a/tests/adapter/cover/test_key_changes.py
+++ b/tests/adapter/cover/test_key_changes.py
@@ -12,7 +12,7 @@
 FIRST, SECOND = Customer("first"), Customer("second")
 
 
-class TestWaitingCalls(unittest.IsolatedAsyncioTestCase):
+class TestQueuedCalls(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.bench = Bench()
         self.call = samples.call(keyed=True, key=digest(KEY.encode()), customer=FIRST)
@@ -24,14 +24,14 @@
         refusal = self.bench.context.key_refusal(call or self.call)
         return refusal and refusal.reason
 
-    async def test_a_key_that_is_still_there_changes_nothing(self):
+    async def test_a_kept_key_changes_nothing(self):
         self.assertIsNone(self.refusal((FIRST, (KEY, "k-2"))))
 
-    async def test_one_that_is_gone_ends_the_call(self):
+    async def test_a_removed_key_ends_the_call(self):
         self.assertIs(self.refusal((FIRST, ("k-2",))), Reason.UNKNOWN_KEY)
 
-    async def test_one_that_another_customer_holds_ends_it_too(self):
+    async def test_a_key_given_to_another_customer_ends_the_call(self):
         self.assertIs(self.refusal((SECOND, (KEY,))), Reason.KEY_CHANGED_HANDS)
 
-    async def test_a_call_without_a_key_is_not_judged(self):
+    async def test_a_call_without_a_key_is_not_checked(self):
         self.assertIsNone(self.refusal((FIRST, ("k-2",)), call=samples.call()))
--- a/tests/adapter/cover/test_start.py
+++ b/tests/adapter/cover/test_start.py
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 #: Parts of the product's own roles, which the gateway doesn't use.
-NEEDLESS = (
+UNUSED_MODULES = (
     "bambootiller.catalogue",
     "bambootiller.entry.role",
     "bambootiller.templates",
@@ -26,7 +26,7 @@
 """
 
 
-def loaded_by(role):
+def loaded_modules(role):
     """The names of the modules that a program of the platform has loaded."""
     script = SCRIPT.format(folder=str(ROOT / "platform"), role=role)
     done = subprocess.run(
@@ -35,11 +35,11 @@
     return set(done.stdout.split())
 
 
-class TestGarbage(unittest.TestCase):
+class TestGarbageCollection(unittest.TestCase):
     """Symptom: a process with hundreds of modules holds up calls for a twentieth of a
     second, each time that it looks through all of them for garbage."""
 
-    def test_modules_are_not_looked_through_and_what_comes_later_is(self):
+    def test_modules_are_frozen_and_collection_is_enabled(self):
         script = SCRIPT.format(folder=str(ROOT / "platform"), role="agent")
         script += "import gc; print(gc.get_freeze_count(), gc.isenabled())"
         done = subprocess.run(
@@ -52,11 +52,11 @@
 
 class TestLoadedModules(unittest.TestCase):
     def check(self, role):
-        found = loaded_by(role).intersection(NEEDLESS)
+        found = loaded_modules(role).intersection(UNUSED_MODULES)
         self.assertEqual(found, set(), f"{role} loads what it doesn't use")
 
-    def test_an_entry_loads_nothing_of_the_roles_that_it_is_not(self):
+    def test_an_entry_loads_no_other_role(self):
         self.check("entry")
 
-    def test_an_agent_loads_nothing_of_the_roles_that_it_is_not(self):
+    def test_an_agent_loads_no_other_role(self):
         self.check("agent")
--- a/tests/adapter/failures/test_calls.py
+++ b/tests/adapter/failures/test_calls.py
@@ -84,7 +84,7 @@
         calling = asyncio.ensure_future(self.bench.call(path=b"/a/x", x_model="poet"))
         await asyncio.sleep(0.2)
         replica.held["poet"] = set()
-        self.bench.learn("servers/i-1", replica.entry())
+        self.bench.add_document("servers/i-1", replica.entry())
         self.assertEqual((await calling).status, 200)
 
 
@@ -136,14 +136,14 @@
             b"HTTP/1.1 200 OK\r\nx-response-seal: s\r\nx-request-attempt: r-0\r\n"
             b"content-length: 5\r\n\r\nother"
         )
-        replica.next_replies = [lambda req: replica.answer(req, before=stray)]
+        replica.next_replies = [lambda req: replica.answer(req, bytes_before=stray)]
         answer = await self.bench.call()
         self.assertEqual(answer.body, b"done")
 
     async def test_bytes_behind_an_answer_spoil_the_connection(self):
         replica = await self.plain()
         extra = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra"
-        replica.next_replies = [lambda req: replica.answer(req, behind=extra)]
+        replica.next_replies = [lambda req: replica.answer(req, bytes_after=extra)]
         self.assertEqual((await self.bench.call()).body, b"done")
         await asyncio.sleep(0.05)
         self.assertEqual((await self.bench.call()).body, b"done")
@@ -159,7 +159,9 @@
     async def test_bytes_that_are_no_answer_end_a_call_truthfully(self):
         self.bench.configure(kind="unsafe", **{"max-attempts": 1})
         replica = await self.plain()
-        replica.next_replies = [lambda req: replica.answer(req, before=b"garbage\r\n")]
+        replica.next_replies = [
+            lambda req: replica.answer(req, bytes_before=b"garbage\r\n")
+        ]
         self.assertEqual((await self.bench.call()).status, 502)
 
 
@@ -168,14 +170,14 @@
         self.bench.configure(kind="unsafe", **{"max-attempts": 2})
         replica = await self.plain()
         await self.plain("i-2")
-        replica.next_replies = [replica.not_run] * 3
+        replica.next_replies = [replica.not_executed_reply] * 3
         answers = [await self.bench.call() for _ in range(3)]
         self.assertEqual({answer.status for answer in answers}, {200})
 
     async def test_with_one_attempt_the_caller_is_told_that_it_has_not_run(self):
         self.bench.configure(kind="unsafe", **{"max-attempts": 1})
         replica = await self.plain()
-        replica.next_replies = [replica.not_run]
+        replica.next_replies = [replica.not_executed_reply]
         answer = await self.bench.call()
         self.assertEqual(answer.status, 503)
         self.assertEqual(replica.runs, [])
@@ -345,7 +347,7 @@
         self.assertEqual(resumed[0].headers["last-event-id"], "2")
 
     async def test_a_stream_that_may_not_be_resumed_is_cut_where_it_broke(self):
-        self.bench.learn("op/config", self.not_resumable())
+        self.bench.add_document("op/config", self.not_resumable())
         replicas = [await self.llm("i-1"), await self.llm("i-2")]
         for replica in replicas:
             self.break_off(replica)
@@ -397,7 +399,7 @@
         started_at = loop.time()
         answer = await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
         self.assertFalse(answer.status == 200 and answer.whole)
-        tries = len(self.bench.events.of("cannot_connect"))
+        tries = len(self.bench.events.of_kind("cannot_connect"))
         self.assertLessEqual(tries, 2)
         self.assertLess(loop.time() - started_at, 1.0)
 
@@ -490,4 +492,4 @@
             await asyncio.sleep(0.01)
         answers = await asyncio.gather(*calls)
         self.assertEqual([answer.status for answer in answers], [200] * self.CALLS)
-        self.assertEqual(bench.events.of("cannot_connect"), [])
+        self.assertEqual(bench.events.of_kind("cannot_connect"), [])
--- a/tests/adapter/failures/test_endless_answers.py
+++ b/tests/adapter/failures/test_endless_answers.py
@@ -69,9 +69,9 @@
             self.assertNotIsInstance(exc, AssertionError)
             return None
 
-    async def several(self, fleet, entry, before, endless, count=4):
+    async def several(self, fleet, entry, bytes_before, endless, count=4):
         def reply(request):
-            return Reply(before=before, endless=endless)
+            return Reply(bytes_before=bytes_before, endless=endless)
 
         self.replica.next_replies = [reply] * count
         memory = psutil.Process(entry.process.pid).memory_info
@@ -90,11 +90,11 @@
     async def test_bytes_that_never_become_an_answer(self):
         async with Fleet() as fleet:
             entry = await self.begin(fleet)
-            for name, (before, endless) in NEVER.items():
+            for name, (bytes_before, endless) in NEVER.items():
                 with self.subTest(name):
                     loop = asyncio.get_running_loop()
                     began = loop.time()
-                    ends = await self.several(fleet, entry, before, endless)
+                    ends = await self.several(fleet, entry, bytes_before, endless)
                     # Not 503 or 429: the call may have run.
                     self.assertTrue(set(ends) <= {502, 504, 200, None}, ends)
                     if name != "an event":
@@ -114,9 +114,9 @@
     async def test_bodies_without_an_end(self):
         async with Fleet() as fleet:
             entry = await self.begin(fleet)
-            for name, (before, endless) in BODIES.items():
+            for name, (bytes_before, endless) in BODIES.items():
                 with self.subTest(name):
-                    ends = await self.several(fleet, entry, before, endless)
+                    ends = await self.several(fleet, entry, bytes_before, endless)
                     # Cut: what has come doesn't look whole.
                     self.assertEqual(set(ends), {None})
 
@@ -124,8 +124,8 @@
         async with Fleet() as fleet:
             entry = await self.begin(fleet)
             head = b"HTTP/1.1 503 X\r\nX-Not-Executed: 1\r\n"
-            before = head + b"transfer-encoding: chunked\r\n\r\n"
-            ends = await self.several(fleet, entry, before, BODIES["chunks"][1])
+            bytes_before = head + b"transfer-encoding: chunked\r\n\r\n"
+            ends = await self.several(fleet, entry, bytes_before, BODIES["chunks"][1])
             self.assertEqual(set(ends), {503})
 
     async def test_a_head_that_drips_is_silence(self):
@@ -133,7 +133,7 @@
             entry = await self.begin(fleet, kind="safe", **{"timeout-ms": 3000})
 
             def drip(request):
-                return Reply(before=OK + b"X-A: ", endless=b"a", gap_s=0.02)
+                return Reply(bytes_before=OK + b"X-A: ", endless=b"a", gap_s=0.02)
 
             other = await fleet.replica("127.0.0.3", "i-2", "plain")
 
@@ -150,9 +150,9 @@
 class TestOwnCalls(unittest.IsolatedAsyncioTestCase):
     """An agent read a report without end, and any process an answer of the store."""
 
-    async def serve(self, before, endless):
+    async def serve(self, bytes_before, endless):
         async def handle(request):
-            return Reply(before=before, endless=endless)
+            return Reply(bytes_before=bytes_before, endless=endless)
 
         server = Server(handle)
         await server.start("127.0.0.2")
@@ -163,9 +163,9 @@
         process = psutil.Process()
         bomb = OK + b"content-encoding: gzip\r\nconnection: close\r\n\r\n"
         cases = {**NEVER, **BODIES, "compressed": (bomb, BLOCK)}
-        for name, (before, endless) in cases.items():
+        for name, (bytes_before, endless) in cases.items():
             with self.subTest(name):
-                address = await self.serve(before, endless)
+                address = await self.serve(bytes_before, endless)
                 engine = PlatformEngine(address, "a1")
                 kv = PlatformKeyValue(f"http://{address}")
                 resting = process.memory_info().rss
--- a/tests/adapter/failures/test_foreign_entries.py
+++ b/tests/adapter/failures/test_foreign_entries.py
@@ -17,7 +17,7 @@
 from bambootiller.gateway.meters import Meters
 from bambootiller_core.ports import Changed, Found, Record
 from bambootiller_platform.documents import PlatformDirectory
-from tests.adapter.common.entry import Events
+from tests.adapter.common.entry import RecordingEventLog
 from tests.adapter.common.fleet import Fleet, until
 from tests.adapter.cover.test_documents import CONFIG, ROUTE, SERVER, SERVICE
 from tests.adapter.failures.test_explained import PLAIN_ROUTE
@@ -76,7 +76,7 @@
     """What a process knows, and a counter of revisions."""
 
     def __init__(self):
-        self.events = Events()
+        self.events = RecordingEventLog()
         self.now = 100.0
         self.knowledge = Knowledge(PlatformDirectory(), self.events, lambda: self.now)
         self.revision = 0
@@ -100,7 +100,7 @@
         return names
 
     def said(self):
-        return [line.detail for line in self.events.of("backend_unreadable")]
+        return [line.detail for line in self.events.of_kind("backend_unreadable")]
 
 
 class TestUnreadable(unittest.TestCase):
@@ -191,23 +191,23 @@
         for form in (b"x", SERVER, b"x", b"x"):
             self.registry.write("servers/i-1", form)
         self.assertEqual(len(self.registry.said()), 2)
-        self.assertEqual(len(self.registry.events.of("backend_listed")), 1)
+        self.assertEqual(len(self.registry.events.of_kind("backend_listed")), 1)
 
     def test_that_an_entry_is_back_is_said(self):
         for form in (SERVER, b"x", SERVER):
             self.registry.write("servers/i-1", form)
-        self.assertEqual(len(self.registry.events.of("backend_listed")), 2)
+        self.assertEqual(len(self.registry.events.of_kind("backend_listed")), 2)
 
     def test_that_a_backend_server_begins_to_leave_is_said(self):
         """Symptom: the log says of a planned leave only that the entry went. Cause: the
         state of before was read after the new one had been taken over."""
         for form in (SERVER, SERVER, {**SERVER, "state": "draining"}):
             self.registry.write("servers/i-1", form)
-        said = [line.leaving for line in self.registry.events.of("backend_listed")]
+        said = [line.leaving for line in self.registry.events.of_kind("backend_listed")]
         self.assertEqual(said, [False, True])
         for form in (SERVER, b"x", SERVER, {**SERVER, "slots": 2}):
             self.registry.write("servers/i-1", form)
-        self.assertEqual(len(self.registry.events.of("backend_listed")), 2)
+        self.assertEqual(len(self.registry.events.of_kind("backend_listed")), 2)
 
     def test_it_counts(self):
         meters = Meters()
--- a/tests/adapter/failures/test_processes.py
+++ b/tests/adapter/failures/test_processes.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from bambootiller_platform_standins.store import Trouble
+from bambootiller_platform_standins.store import FailureMode
 
 from tests.adapter.common.fleet import Fleet, until
 from tests.adapter.cover.test_documents import MODEL
@@ -56,7 +56,7 @@
             await fleet.replica("127.0.0.2", "i-1", "llm", (MODEL_NAME,))
             entry = await fleet.entry("e1")
             await fleet.wait_ready(entry)
-            fleet.store.trouble = Trouble.SILENT
+            fleet.store.failure_mode = FailureMode.SILENT
 
             async def noticed():
                 return bool(entry.events("dependency_lost"))
@@ -77,7 +77,7 @@
             await fleet.replica("127.0.0.2", "i-1", "llm", (MODEL_NAME,))
             first = await fleet.entry("e1")
             await fleet.wait_ready(first)
-            fleet.store.trouble = Trouble.BUSY
+            fleet.store.failure_mode = FailureMode.BUSY
             seed = first.form["listen"]["control"]
             second = await fleet.entry("e2", seeds=[seed])
             await fleet.wait_ready(second)
@@ -93,7 +93,7 @@
             entry = await fleet.entry("e1")
             await fleet.wait_ready(entry)
             fleet.configure(version=2)
-            fleet.store.forget_history()
+            fleet.store.compact_history()
             fleet.configure(version=4)
 
             async def in_force():
--- a/tests/adapter/failures/test_restarts.py
+++ b/tests/adapter/failures/test_restarts.py
@@ -40,7 +40,7 @@
 
     def restart(self):
         self.replica.restart()
-        self.bench.learn("servers/i-1", self.replica.entry())
+        self.bench.add_document("servers/i-1", self.replica.entry())
 
     def backend(self):
         return self.bench.knowledge.fleet.get("i-1")
@@ -48,7 +48,7 @@
     async def test_no_call_goes_out_on_a_connection_to_the_start_before(self):
         self.assertEqual((await self.bench.call()).status, 200)
         before = self.bench.context.pool(self.backend())
-        self.bench.learn("servers/i-1", self.replica.entry())
+        self.bench.add_document("servers/i-1", self.replica.entry())
         self.assertIs(self.bench.context.pool(self.backend()), before)
         self.restart()
         self.assertIsNot(self.bench.context.pool(self.backend()), before)
@@ -74,7 +74,7 @@
     async def test_the_restart_is_logged(self):
         before_ms = self.replica.born
         self.restart()
-        (line,) = self.bench.events.of("backend_restarted")
+        (line,) = self.bench.events.of_kind("backend_restarted")
         self.assertEqual(
             (line.backend, line.before_ms, line.started_ms, line.source),
             ("i-1", before_ms, self.replica.born, "test"),
--- a/tests/adapter/failures/test_silent_streams.py
+++ b/tests/adapter/failures/test_silent_streams.py
@@ -66,19 +66,19 @@
         self.assert_nothing_held()
 
     def lost(self):
-        return [line.backend for line in self.bench.events.of("answer_lost")]
+        return [line.backend for line in self.bench.events.of_kind("answer_lost")]
 
     def borne(self, why):
-        lines = self.bench.events.of("silence_borne")
+        lines = self.bench.events.of_kind("silence_borne")
         return [line for line in lines if line.why == why]
 
 
 def refuses(other, request):
-    return other.not_run(request)
+    return other.not_executed_reply(request)
 
 
 def misdirected(other, request):
-    return other.not_run(request, 421)
+    return other.not_executed_reply(request, 421)
 
 
 def takes(other, request):
@@ -112,7 +112,7 @@
         self.assert_whole(await self.calling)
         self.assertEqual(len(self.running.runs), 1)
         self.assertEqual(len(self.asked), 1)
-        self.assertEqual(self.bench.events.of("attempt_failed"), [])
+        self.assertEqual(self.bench.events.of_kind("attempt_failed"), [])
 
     async def test_it_is_kept_if_the_other_refuses_it(self):
         await self.assert_kept(refuses)
@@ -148,9 +148,9 @@
         (resumed,) = self.others[0].runs
         self.assertEqual(resumed.headers["last-event-id"], "1")
         self.assertEqual(len(self.running.runs), 1)
-        (failed,) = self.bench.events.of("attempt_failed")
+        (failed,) = self.bench.events.of_kind("attempt_failed")
         self.assertEqual((failed.attempts, failed.next), (1, "SendAgain"))
-        (answered,) = self.bench.events.of("answered")
+        (answered,) = self.bench.events.of_kind("answered")
         self.assertEqual(answered.attempts, 2)
 
     async def test_it_is_kept_if_it_speaks_before_the_other_does(self):
@@ -195,9 +195,9 @@
         await self.begin(gap_s=5.0)
         self.others_do(hangs)
         await self.until(lambda: self.asked)
-        self.outside.stop_replica(self.running)
+        self.background_loop.stop_replica(self.running)
         await self.until(self.lost)
-        (line,) = self.bench.events.of("answer_lost")
+        (line,) = self.bench.events.of_kind("answer_lost")
         self.assertEqual(line.backend, self.running.instance)
         self.assertNotIn("silent", line.detail)
         await asyncio.sleep(0.1)
@@ -251,7 +251,7 @@
 
     async def test_the_second_is_asked_at_once_if_the_first_refuses(self):
         route = {**ROUTE, "max-attempts": 3}
-        self.bench.learn("op/config", {**CONFIG, "routes": [route]})
+        self.bench.add_document("op/config", {**CONFIG, "routes": [route]})
         await self.begin()
         self.others_do(refuses, takes)
         self.assert_whole(await self.calling)
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_standstills.py
@@ -24,8 +24,8 @@
 from bambootiller_core.gateway.running import TICK_S, RunningTime
 from bambootiller_platform import store as store_module
 from bambootiller_platform.documents import PlatformDirectory
-from tests.adapter.common.entry import MODEL_NAME, Bench, Events
-from tests.adapter.common.outside import OutsideLoop
+from tests.adapter.common.background_loop import BackgroundLoop
+from tests.adapter.common.entry import MODEL_NAME, Bench, RecordingEventLog
 from tests.adapter.cover.test_documents import SERVER
 from tests.gateway.common import samples
 
@@ -34,12 +34,12 @@
     async def asyncSetUp(self):
         self.bench = Bench()
         self.bench.configure(**{"max-attempts": 2})
-        self.outside = OutsideLoop()
-        self.addCleanup(self.outside.close)
+        self.background_loop = BackgroundLoop()
+        self.addCleanup(self.background_loop.close)
 
     def add(self, instance, service, models=()):
-        replica = self.outside.start_replica(instance, service, models)
-        self.bench.learn(f"servers/{instance}", replica.entry())
+        replica = self.background_loop.start_replica(instance, service, models)
+        self.bench.add_document(f"servers/{instance}", replica.entry())
         return replica
 
     def holders(self):
@@ -68,7 +68,7 @@
         answer = await calling
         self.assertTrue(answer.whole)
         self.assertEqual(sum(len(replica.runs) for replica in replicas), 1)
-        self.assertEqual(self.bench.events.of("answer_lost"), [])
+        self.assertEqual(self.bench.events.of_kind("answer_lost"), [])
 
     async def test_a_stream_is_whole_though_no_second_attempt_is_left(self):
         """As above, but the budget of second attempts was used up, as it is after a
@@ -98,7 +98,7 @@
         starving.cancel()
         self.assertEqual(answer.status, 200)
         self.assertEqual(len(replica.runs), 1)
-        self.assertEqual(self.bench.events.of("cannot_connect"), [])
+        self.assertEqual(self.bench.events.of_kind("cannot_connect"), [])
 
 
 class TestNowhereToGo(Case):
@@ -132,7 +132,7 @@
         known, and had to be begun again.
         """
         calling, running, other = await self.paused_stream()
-        self.outside.stop_replica(other)
+        self.background_loop.stop_replica(other)
         answer = await calling
         self.assertTrue(answer.whole)
         self.assertEqual(len(running.runs), 1)
@@ -191,7 +191,7 @@
         self.bench.knowledge.fleet.get("i-2").in_flight = 1
         self.bench.knowledge.fleet.get("i-3").in_flight = 2
         first.next_replies.append(lambda request: Reply(silent=True))
-        self.outside.stop_replica(second)
+        self.background_loop.stop_replica(second)
         answer = await self.bench.call(path=b"/plain/x")
         self.assertEqual(len(first.runs), 1)
         self.assertEqual(answer.status, 200)
@@ -218,16 +218,18 @@
         """An entry stood still for longer than it waits for the store, and took that
         for the store's absence. Entries that vanish right after an absence count as
         lapsed for 2.3 s: calls went on to a backend server that had left."""
-        outside = OutsideLoop()
-        self.addCleanup(outside.close)
-        store = outside.start_store()
+        background_loop = BackgroundLoop()
+        self.addCleanup(background_loop.close)
+        store = background_loop.start_store()
         store.put("servers/i-1", json.dumps(SERVER).encode())
-        shorter = mock.patch.multiple(store_module, WATCH_MS=250, WATCH_GRACE_S=0.1)
+        shorter = mock.patch.multiple(
+            store_module, WATCH_WAIT_MS=250, WATCH_TIMEOUT_MARGIN_S=0.1
+        )
         shorter.start()
         self.addCleanup(shorter.stop)
         kv = store_module.PlatformKeyValue(f"http://{store.server.address}")
         self.addAsyncCleanup(kv.close)
-        loop, events = asyncio.get_running_loop(), Events()
+        loop, events = asyncio.get_running_loop(), RecordingEventLog()
         running = RunningTime(loop.time())
         knowledge = Knowledge(
             PlatformDirectory(), events, loop.time, running.running_time
@@ -241,13 +243,13 @@
         self.assertIsNotNone(knowledge.fleet.get("i-1"))
         time.sleep(0.8)
         await asyncio.sleep(0.5)
-        outside.call(store.remove, "servers/i-1")
+        background_loop.call(store.remove, "servers/i-1")
         await asyncio.sleep(0.8)
         held = knowledge.fleet.get("i-1")
         for task in tasks:
             task.cancel()
         self.assertIsNone(held)
-        self.assertEqual(events.of("dependency_lost"), [])
+        self.assertEqual(events.of_kind("dependency_lost"), [])
 
 
 class TestStoreThatReturned(unittest.IsolatedAsyncioTestCase):
@@ -261,12 +263,12 @@
     """
 
     async def test_what_comes_back_is_read_in_time(self):
-        outside = OutsideLoop()
-        self.addCleanup(outside.close)
-        store = outside.start_store()
+        background_loop = BackgroundLoop()
+        self.addCleanup(background_loop.close)
+        store = background_loop.start_store()
         kv = store_module.PlatformKeyValue(f"http://{store.server.address}")
         self.addAsyncCleanup(kv.close)
-        loop, events = asyncio.get_running_loop(), Events()
+        loop, events = asyncio.get_running_loop(), RecordingEventLog()
         knowledge = Knowledge(PlatformDirectory(), events, loop.time)
         watcher = StoreWatcher(
             kv, knowledge, events, loop.time, bounds=lambda: Bounds(leaving_s=20.0)
@@ -278,7 +280,7 @@
         for number in (1, 2):
             server = {**SERVER, "address": f"127.0.0.1:{number}"}
             body = json.dumps(server).encode()
-            outside.call(store.put, f"servers/i-{number}", body)
+            background_loop.call(store.put, f"servers/i-{number}", body)
             await asyncio.sleep(0.5)
         self.assertIsNotNone(knowledge.fleet.get("i-2"))
 
--- a/tests/adapter/failures/test_store_turns.py
+++ b/tests/adapter/failures/test_store_turns.py
@@ -56,7 +56,7 @@
     def loading(self, load):
         """The replica that carries out the load."""
         for replica in self.replicas.values():
-            if replica.from_weights is load:
+            if replica.weight_load is load:
                 return replica
         raise AssertionError(f"no replica loads {load.model}")
 
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -200,7 +200,7 @@
 
 def _replicas(world, injuries):
     for replica in world.all_replicas():
-        for text in replica.overfull:
+        for text in replica.memory_overcommits:
             yield f"{replica.instance}: memory overcommitted: {text}"
         if replica.left_at is None:
             continue
--- a/tests/soak/cover/test_checks.py
+++ b/tests/soak/cover/test_checks.py
@@ -21,7 +21,12 @@
 class TestChecks(unittest.TestCase):
     def broken(self, made, runs=1, injuries=(), poisonings=(), **replica):
         run = SimpleNamespace(headers={"x-request-attempt": made.id})
-        fields = {"instance": "r-1", "overfull": [], "left_at": None, "run_times": []}
+        fields = {
+            "instance": "r-1",
+            "memory_overcommits": [],
+            "left_at": None,
+            "run_times": [],
+        }
         fields |= {"crash_times": [], "poison_times": []}
         fields |= {"part_crash_times": [], "part_times": []}
         fields |= {"arrived": [], "named": []}
@@ -82,7 +87,7 @@
         self.assertEqual(self.broken(attempt(), injuries=[away], **fields), [])
 
     def test_memory_that_is_overcommitted_is_found(self):
-        (text,) = self.broken(attempt(), overfull=["tutor: 3 of 2 MB"])
+        (text,) = self.broken(attempt(), memory_overcommits=["tutor: 3 of 2 MB"])
         self.assertIn("overcommitted", text)
 
     def test_late_runs_of_a_request_that_ended_three_engines_are_found(self):
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from bambootiller_platform_standins.httpd import Reply
-from bambootiller_platform_standins.store import Trouble
+from bambootiller_platform_standins.store import FailureMode
 
 from tests.soak.proxy import Mode
 from tests.soak.world import POISON, POISON_PART, Client
@@ -219,9 +219,9 @@
         lambda req: replica.answer(req, status=500),
         lambda req: replica.answer(req, cut=True),
         lambda req: replica.stream(req, cut=True),
-        lambda req: replica.not_run(req),
+        lambda req: replica.not_executed_reply(req),
         lambda req: Reply(200, {}, (b"not signed",)),
-        lambda req: replica.answer(req, behind=b"HTTP/1.1 200 OK\r\n\r\nextra"),
+        lambda req: replica.answer(req, bytes_after=b"HTTP/1.1 200 OK\r\n\r\nextra"),
     )
     for _ in range(rng.randint(1, 6)):
         replica.next_replies.append(rng.choice(wrong))
@@ -282,10 +282,10 @@
 @on(_store)
 async def store(world, target, rng):
     """The store is busy, silent, or loses answers."""
-    kinds = [kind for kind in Trouble if kind is not Trouble.NONE]
-    world.store.trouble = rng.choice(kinds)
+    kinds = [kind for kind in FailureMode if kind is not FailureMode.NONE]
+    world.store.failure_mode = rng.choice(kinds)
     await asyncio.sleep(rng.uniform(0.5, 4.0))
-    world.store.trouble = Trouble.NONE
+    world.store.failure_mode = FailureMode.NONE
 
 
 @fault("history")
@@ -293,7 +293,7 @@
 async def history(world, target, rng):
     """The store forgets its history, with changes before and after."""
     world.change_config()
-    world.store.forget_history()
+    world.store.compact_history()
     world.change_config()
 
 
