--- a/packages/bambootiller-core/src/bambootiller_core/gateway/initial_discovery.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/initial_discovery.py
@@ -1,13 +1,13 @@
-"""Whether an entry knows the engines of a service, some seconds after its start.
+"""Decides when an entry that has just started knows the engines of a service.
 
-Engines are listed one after the other, and their agents speak a moment later. Until
-then a model whose only copy is at an engine that hasn't been heard of looks as if
-nobody had a copy, and the weight store would be asked for it in vain.
+The registry lists engines one after the other, and their agents report a moment later.
+Until then a model whose only copy is at an engine that hasn't reported yet seems to
+have no copy at all, and would be loaded from the weight store for nothing.
 
 Example::
 
-    look = InitialDiscovery()
-    if look.is_complete(now, backends, quiet_s=1.2): ...
+    discovery = InitialDiscovery()
+    if discovery.is_complete(now, backends, quiet_s=1.2): ...
 """
 
 from __future__ import annotations
@@ -16,32 +16,36 @@
 
 from bambootiller_core.gateway.fleet import Backend
 
-#: An agent that hasn't spoken by then isn't waited for: its process may be gone.
-#: Seconds.
+#: Discovery ends if nothing new has become known for this long, even if some agents
+#: haven't reported: their processes may be gone. Seconds.
 MAX_STALL_S = 5.0
-#: Nor are engines that come and go waited for longer than this, or the weight store
-#: would be asked for nothing while they do. Seconds since the first one was heard.
+#: Discovery ends this long after the first agent's report, even if engines still come
+#: and go. Otherwise nothing would be loaded from the weight store while they do.
+#: Seconds.
 MAX_DISCOVERY_S = 10.0
 
 
 class InitialDiscovery:
-    """The look at one service, which is over once and for all."""
+    """The discovery of one service's engines; once complete, it stays complete."""
 
     def __init__(self) -> None:
         self._complete = False
         self._counts: tuple[int, int] = (0, 0)
-        #: When the number of listed engines changed last, and when that or the number
-        #: of those heard did.
+        #: When the number of listed engines last changed.
         self._listed_changed_at: float | None = None
+        #: When that number, or the number of engines with a report, last changed.
         self._changed_at: float | None = None
         self._first_heard_at: float | None = None
 
     def is_complete(
         self, now: float, backends: Collection[Backend], quiet_s: float
     ) -> bool:
-        """Whether no engine has been listed for ``quiet_s``, and all were heard, or
-        nothing at all has come to be known for :data:`MAX_STALL_S`, or the look has taken
-        :data:`MAX_DISCOVERY_S`."""
+        """Whether the engines are known well enough to load from the weight store.
+
+        This is so if all listed engines have reported and none has been listed for
+        ``quiet_s`` seconds, if nothing new has become known for :data:`MAX_STALL_S`, or
+        if :data:`MAX_DISCOVERY_S` have passed since the first report.
+        """
         if self._complete:
             return True
         heard = sum([backend.engine is not None for backend in backends])
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_admission.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_admission.py
@@ -1,7 +1,7 @@
-"""Which models may draw on the weight store in one plan.
+"""Decides which models of a plan may be loaded from the weight store.
 
-The store serves a few loads at a time, each for seconds, so what draws on it first is
-what nobody has a copy of and somebody waits for.
+The store serves a few loads at a time, each for seconds, so models that calls wait for
+and no engine has a copy of come first.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.store_queue import StoreQueue
 
-#: A second copy keeps its engine from all other orders for seconds, so there is one
-#: such load at a time.
+#: How many loads of second copies are under way at a time. Such a load keeps its engine
+#: from all other orders for seconds.
 SECOND_COPY_LOADS = 1
 
 
 class StoreAdmission:
-    """The store's queue, and who may join it.
+    """The store's queue, and the rules by which loads may join it.
 
-    ``is_busy`` tells whether any load from the store is under way, ``order`` the
-    models of the plan in their order, ``copied`` those of which an engine has a copy,
-    ``demands`` the demand for them.
+    ``is_busy`` tells whether any load from the store is under way. ``order`` are the
+    models of the plan in their order, ``copied`` those of which some engine has a copy,
+    and ``demands`` is the demand for them.
 
     Example::
 
-        turns.mark_planned(spec.name)
-        if turns.admit(rank, is_loading=False):
-            begins_in_s, ready_in_s = turns.queue.add(spec.load_s)
-            turns.took(rank)
+        admission.mark_planned(spec.name)
+        if admission.admit(rank, is_loading=False):
+            starts_in_s, ready_in_s = admission.queue.add(spec.load_s)
+            admission.record_load(rank)
     """
 
     def __init__(
@@ -55,16 +55,17 @@
         return self._demands.get(spec.name, NO_DEMAND).turn_value / spec.load_s
 
     def mark_planned(self, name: str) -> None:
-        """The model is planned next."""
+        """Note that the plan has reached the model: it is no longer one of those that
+        come later."""
         self._uncopied.pop(name, None)
 
     def admit(self, rank: Rank, is_loading: bool) -> bool:
-        """Whether a load is worth the store's time; ``is_loading``: one of the same
-        model is under way.
+        """Whether a load from the store is worth its time. ``is_loading`` tells whether
+        a load of the same model is under way.
 
-        What waits would wait longer for a second engine from the store than the calls
-        of the first; it comes later, as a second copy, while the store has nothing else
-        to do.
+        If one is, waiting calls are served sooner by the engine that is loading the
+        model than by a second one. The second engine gets its copy later, while the
+        store has nothing else to do.
         """
         if is_loading or rank is Rank.HELD_ONCE:
             return False
@@ -73,12 +74,12 @@
         return True
 
     def defers_to_uncopied(self, spec: ModelSpec) -> bool:
-        """Whether models without any copy, which come later in the plan, need all that
-        the store can begin now. One with a copy leaves it to them: the engine with the
-        copy has its turn later.
+        """Whether a model with a copy leaves the store to models without one that come
+        later in the plan, as these need all the loads that can start now. The model can
+        be loaded from its copy later.
 
-        But not for ever: where that engine has made no room for as long as a load
-        takes, the model is weighed like the others.
+        A model doesn't wait forever: if the engine with the copy hasn't made room for
+        as long as a load takes, only models of at least the same value go first.
         """
         others = self._uncopied.values()
         if self._demands.get(spec.name, NO_DEMAND).unserved_s >= spec.load_s:
@@ -87,5 +88,5 @@
         return len(others) >= max(1, self.queue.room())
 
     def record_load(self, rank: Rank) -> None:
-        """A load draws on the store."""
+        """Count a load that has joined the store's queue."""
         self._second_copies += rank is Rank.SECOND_COPY
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -1,15 +1,17 @@
-"""How many loads the weight store serves at full speed, learnt from the loads.
+"""Estimates how many loads the weight store serves at full speed at the same time.
 
-Nothing states it. Beyond that number a load takes longer in proportion to how many are
-under way when it begins. A store that is asked for too many at a time keeps engines
-busy with loads that end no sooner; one that is asked for too few is idle while calls
-wait.
+No setting states this number, so it is learnt from the duration of loads. Beyond it a
+load takes longer in proportion to how many are under way when it starts. If too many
+loads are requested at a time, engines are busy with loads that end no sooner; if too
+few are, the store is idle while calls wait.
 
 Example::
 
-    speed = StoreConcurrency(initial_loads(engine))
-    speed.observe(now, backends, engine)
-    planner = Planner(engine, speed.loads, allows_probe=speed.allows_probe)
+    concurrency = StoreConcurrency(initial_loads(engine))
+    concurrency.observe(now, backends, engine)
+    planner = Planner(
+        engine, concurrency.loads, allows_probe=concurrency.allows_probe
+    )
 """
 
 from __future__ import annotations
@@ -24,34 +26,37 @@
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.incarnation import Incarnation
 
-#: What is assumed at the start: stated by the first users for their sites.
+#: The estimate at the start; the first users stated this number for their sites.
 ASSUMED_LOADS = 4
-#: Fewer are assumed if so many loads, one after the other, would take longer than this.
-#: A store that serves one at a time keeps four engines from all other orders for four
-#: times a load's time: with loads of 13 s the models that they alone had copies of were
-#: out of reach for 52 s. Seconds.
+#: The initial estimate is lower if that many loads, one after the other, would take
+#: longer than this. A store that serves one load at a time keeps four engines from all
+#: other orders for four times the duration of a load: with loads of 13 s, the models of
+#: which these engines held the only copies were unavailable for 52 s. Seconds.
 MAX_INITIAL_TOTAL_S = 25.0
-#: A load that takes this many times its stated time is slowed by others.
+#: A load that takes more than this multiple of its nominal time was slowed by others.
 SLOW_RATIO = 1.15
-#: One that takes no longer than this ran at full speed.
+#: A load that takes at most this multiple of its nominal time ran at full speed.
 FULL_SPEED_RATIO = 1.08
-#: A store that serves a fraction more than a whole number still counts as serving it.
+#: Added to the measured number of loads before it is rounded down, so that a figure
+#: just below a whole number counts as that number.
 ROUNDING_MARGIN = 0.25
-#: One slow load may be its engine's doing; so many at different engines aren't.
+#: How many loads must be slow at the same time for the estimate to fall. A single slow
+#: load may be due to its engine; this many, at different engines, aren't.
 MIN_SLOW_LOADS = 2
-#: Loads that are seen to begin within this time may have begun in any order. Seconds;
-#: agents speak at least so often.
+#: Loads whose starts are observed within this time may have started in any order.
+#: Seconds; agents report at least this often.
 SIMULTANEOUS_S = 0.5
-#: One that was tried beside the others and was lost with its engine has shown nothing.
-#: Another isn't tried for so long: while engines come and go each would be lost the
-#: same way. Seconds.
+#: How long to wait before the next probe after the engine of one was lost, which leaves
+#: its outcome unknown. While engines come and go, each probe would be lost in the same
+#: way. Seconds.
 PROBE_RETRY_S = 60.0
-#: A load that has outlived its estimate is expected to last this part of it longer.
+#: A load that has exceeded its expected time is expected to need this fraction of that
+#: time from now on.
 OVERRUN_FRACTION = 0.15
 
 
 def initial_loads(engine: EngineSpec) -> int:
-    """How many loads the store is taken to serve before any has been seen."""
+    """Return the estimate to use before any load has been observed."""
     times = [spec.load_s for spec in engine.models.values()]
     if not times:
         return ASSUMED_LOADS
@@ -59,16 +64,17 @@
     return max(1, min(ASSUMED_LOADS, most))
 
 
-#: A load: the start of the engine where it runs, and the model.
+#: Identifies a load: the incarnation of the engine where it runs, and the model.
 _Key = tuple[Incarnation, str]
 
 
 @dataclass(slots=True)
 class _Group:
-    """Loads that began at about the same time, in an order that isn't known.
+    """Loads that started at about the same time, in an unknown order.
 
-    ``running_before`` were under way already. ``at_full_speed`` of the group have ended in
-    their stated time, so these were the first.
+    ``running_before`` counts the loads that were under way already. ``at_full_speed``
+    counts the loads of the group that have ended within their nominal time, which must
+    have been the first to start.
     """
 
     began: float
@@ -78,8 +84,9 @@
 
     @property
     def most_under_way(self) -> int:
-        """The loads under way when the slowest of the group began, itself included, as
-        few of them as what has ended allows."""
+        """The number of loads under way when the slowest load of the group started,
+        itself included: the lowest number that agrees with the loads that have ended.
+        """
         if self.at_full_speed:
             return self.running_before + self.at_full_speed + 1
         return self.running_before + self.size
@@ -87,7 +94,7 @@
 
 @dataclass(slots=True)
 class _TrackedLoad:
-    """A load under way; ``position`` is its own among those under way as it began."""
+    """A load under way. ``position`` is 1 plus the loads under way when it started."""
 
     nominal_s: float
     began: float
@@ -97,7 +104,7 @@
 
 
 class StoreConcurrency:
-    """The estimate for one service."""
+    """The estimate for one service; ``loads`` is how many loads run at full speed."""
 
     def __init__(self, loads: int = ASSUMED_LOADS) -> None:
         self.loads = loads
@@ -111,20 +118,23 @@
 
     @property
     def allows_probe(self) -> bool:
-        """Whether one load beyond the estimate may be under way: while that is low and
-        nothing has shown that the store serves no more.
+        """Whether one load beyond the estimate may be under way: while the estimate is
+        low and no slow load has shown that the store serves no more.
 
-        A load that is late may show it soon, as may one begun beyond the estimate.
-        Begun beside it, a third load would be slowed by it in any case, and keep its
-        engine twice as long.
+        No probe starts while a load is overdue or another probe is under way: either
+        may soon show the limit. One more load would be slowed in any case, and occupy
+        its engine for twice as long.
         """
         known = self._bound_is_known or self.loads >= ASSUMED_LOADS
         undecided = self._load_is_overdue or self._probe_under_way
         return self._may_probe and not known and not undecided
 
     def left_s(self, now: float, incarnation: Incarnation, loading: Loading) -> float:
-        """When a load from the store ends. Its agent, which doesn't see the others,
-        tells what it would need alone."""
+        """Return in how many seconds a load from the store ends.
+
+        The agent's own estimate assumes that the load has the store to itself, as the
+        agent doesn't know the other loads.
+        """
         tracked = self._tracked.get((incarnation, loading.model))
         if tracked is None:
             return loading.left_s
@@ -135,7 +145,8 @@
     def observe(
         self, now: float, backends: Iterable[Backend], engine: EngineSpec
     ) -> None:
-        """Take a look at the loads under way; to be called several times a second."""
+        """Update the estimate from the loads under way. To be called several times a
+        second."""
         backends = list(backends)
         current = self._reported_loads(now, backends, engine)
         present = {backend.instance: backend for backend in backends}
@@ -161,8 +172,8 @@
         self._may_probe = now >= self._probe_not_before
 
     def ends_elsewhere(self, now: float, known: Collection[str]) -> list[float]:
-        """When the loads end, in seconds, that are under way at engines other than the
-        ``known`` ones: the store serves them all the same."""
+        """Return in how many seconds the loads end that are under way at engines other
+        than the ``known`` ones. The store serves these loads all the same."""
         return [
             max(0.0, tracked.began + self._expected_s(tracked) - now)
             for (incarnation, _), tracked in self._tracked.items()
@@ -170,7 +181,7 @@
         ]
 
     def _expected_s(self, tracked: _TrackedLoad) -> float:
-        """How long a load takes from its begin."""
+        """Return how long a load is expected to take from its start."""
         return tracked.nominal_s * max(1.0, tracked.position / self.loads)
 
     def _is_still_running(
@@ -180,16 +191,16 @@
         tracked: _TrackedLoad,
         present: Mapping[str, Backend],
     ) -> bool:
-        """Whether a load that nobody tells of is still under way.
+        """Whether a load that no agent reports is still under way.
 
-        Its agent may be silent for a moment. Taken for over, the load would be joined
-        by another that it slows; and seen again, it would look as if it had just begun,
-        or had ended as fast as if it were alone.
+        Its agent may be silent for a moment. If the load counted as ended, another load
+        would start beside it and be slowed by it; and once reported again, it would
+        seem to have just started, or to have ended as fast as a load that runs alone.
         """
         incarnation, _ = key
         backend = present.get(incarnation.instance)
         if backend is None or incarnation.precedes(backend.incarnation):
-            # A load is cut off where its engine is gone, or starts anew.
+            # The load was aborted: its engine is gone or has restarted.
             return False
         if backend.agent_responsive(now):
             return False
@@ -204,7 +215,7 @@
         tracked: _TrackedLoad,
         present: Mapping[str, Backend],
     ) -> None:
-        """Learn from a load that has ended, if its end was seen."""
+        """Update the estimate from a load that has ended, if its end was observed."""
         incarnation, _ = key
         backend = present.get(incarnation.instance)
         unseen_s = now - tracked.seen_at
@@ -235,8 +246,8 @@
                 or backend.engine.silent
             ):
                 continue
-            # While an engine makes room, its load is told as one to come, with at
-            # least all of its time left.
+            # While an engine frees memory, its next load is reported already, with at
+            # least its full time left.
             if loading.left_s < spec.load_s:
                 found[(backend.incarnation, loading.model)] = loading
         return found
@@ -251,7 +262,8 @@
         position = len(self._tracked) + 1
         began = now
         if loading.left_s <= OVERRUN_FRACTION * nominal_s:
-            # It was under way before this process saw it, and is late.
+            # The load was under way before this process first observed it, and is
+            # overdue.
             began -= nominal_s
         self._tracked[key] = _TrackedLoad(nominal_s, began, now, position, group)
 
@@ -265,8 +277,8 @@
             self.loads = max(self.loads, group.running_before + group.at_full_speed)
 
     def _lower_estimate(self) -> None:
-        """Take the estimate down as soon as loads are overdue: the longer they are, the
-        lower is the number that explains it."""
+        """Lower the estimate as soon as loads are overdue. The longer they take, the
+        lower the number of loads at full speed that explains their duration."""
         bounds = []
         for tracked in self._tracked.values():
             seconds = tracked.seen_at - tracked.began
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency_by_service.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency_by_service.py
@@ -1,9 +1,11 @@
-"""The speed of the weight store, learnt for each service of engines by itself.
+"""The estimates of the weight store's concurrency, one for each service of engines.
 
 Example::
 
-    speed = speeds.observe(now, service, backends)
-    planner = Planner(service.engine, speed.loads, remaining_time(speed, now))
+    concurrency = by_service.observe(now, service, backends)
+    planner = Planner(
+        service.engine, concurrency.loads, remaining_time(concurrency, now)
+    )
 """
 
 from __future__ import annotations
@@ -16,15 +18,15 @@
 
 
 class StoreConcurrencyByService:
-    """The estimates by service."""
+    """Creates and updates the estimate of each service."""
 
     def __init__(self) -> None:
         self._by_service: dict[str, StoreConcurrency] = {}
 
     @property
     def min_loads(self) -> float:
-        """The loads that the store is taken to serve at full speed, by the slowest of
-        the services; 0 if there are none."""
+        """The lowest estimate among the services, in loads at a time; 0 if there are no
+        services."""
         return min(
             (concurrency.loads for concurrency in self._by_service.values()), default=0
         )
@@ -32,7 +34,8 @@
     def observe(
         self, now: float, service: ServiceSpec, backends: Collection[Backend]
     ) -> StoreConcurrency:
-        """Take a look at the loads under way; to be called several times a second."""
+        """Update the estimate of a service from the loads under way and return it. To
+        be called several times a second."""
         concurrency = self._by_service.get(service.name)
         if concurrency is None:
             concurrency = StoreConcurrency(initial_loads(service.engine))
@@ -44,7 +47,8 @@
 def remaining_time(
     concurrency: StoreConcurrency, now: float
 ) -> Callable[[Backend], float]:
-    """When the load under way at an engine ends, the store's speed considered."""
+    """Return a function that tells in how many seconds the load under way at an engine
+    ends, with the store's concurrency taken into account."""
 
     def left_s(backend: Backend) -> float:
         loading = backend.engine.loading
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_idle.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_idle.py
@@ -1,30 +1,33 @@
-"""How long the weight store serves nobody while callers wait for what only it has.
+"""Measures for how long the weight store is idle while calls wait for models that only
+the store has.
 
 Example::
 
     idle = StoreIdleTracker()
-    spell = idle.observe(now, loads_under_way=0, awaited={"tutor"})
-    idle.total_s  # a level for the metrics page
+    idle_s = idle.observe(now, loads_under_way=0, awaited={"tutor"})
+    idle.total_s  # a gauge on the metrics page
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
 
-#: A load begins some moments after the one before has ended: the agent has to see the
-#: end, and an entry to plan. A spell shorter than this is no finding. Seconds.
+#: Idle periods shorter than this aren't reported. Some idle time between two loads is
+#: normal: the agent has to notice the end of the first, and an entry has to make a
+#: plan. Seconds.
 MIN_IDLE_S = 1.0
-#: A spell that goes on is told again after this time. Seconds.
+#: How often an idle period that continues is reported again. Seconds.
 REPEAT_S = 5.0
-#: Looks that lie further apart than this say nothing of the time between. Seconds.
+#: The time between two samples counts as idle only if they are no further apart than
+#: this. Seconds.
 MAX_SAMPLE_GAP_S = 1.0
 
 
 class StoreIdleTracker:
-    """The weight store of one service, as one process sees it."""
+    """The idle time of one service's weight store, as observed by one process."""
 
     def __init__(self) -> None:
-        #: All idle time so far. Seconds.
+        #: The total idle time so far. Seconds.
         self.total_s = 0.0
         self._idle_since: float | None = None
         self._observed_at = 0.0
@@ -33,8 +36,12 @@
     def observe(
         self, now: float, loads_under_way: int, awaited: Collection[str]
     ) -> float | None:
-        """Take a look; ``awaited`` are models that no engine has a copy of. Returns how
-        long the store has been idle where that is to be told, in seconds."""
+        """Record a sample of the store's state.
+
+        ``awaited`` are the models that calls wait for and no engine has a copy of.
+        Returns for how many seconds the store has been idle if that is due to be
+        reported, otherwise None.
+        """
         if loads_under_way or not awaited:
             self._idle_since = self._reported_at = None
             return None
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_load_requests.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_load_requests.py
@@ -1,13 +1,14 @@
-"""Which loads from the weight store an entry asks for, until agents tell of them.
+"""The weight store loads that an entry has requested and agents haven't reported yet.
 
-Between the wish for a load and the agent's word that it has begun lie some plans. The
-next caller may change their order, and each of them would give the store's one turn to
-another model at another engine: two loads would begin, and each would take longer.
+Several plans are made between the request for a load and the agent's report that it has
+started. A new call may change their order, and without this record each plan could give
+the store's only free permit to another model at another engine: two loads would start,
+and both would take longer.
 
 Example::
 
-    asks = StoreLoadRequests()
-    for load in asks.choose(now, planned, is_reported): ...
+    requests = StoreLoadRequests()
+    for load in requests.choose(now, planned, is_reported): ...
 """
 
 from __future__ import annotations
@@ -20,13 +21,15 @@
 from bambootiller_core.gateway.store_concurrency import PROBE_RETRY_S
 from bambootiller_core.gateway.store_queue import StartReason
 
-#: An agent tells of a load that it begins, or makes room for, well within this time. If
-#: it doesn't, it can't, and another load is asked for. Seconds.
+#: An agent that starts a load, or frees memory for it, reports that well within this
+#: time. If it hasn't, it can't start the load, and another one is requested. Seconds.
 REPORT_TIMEOUT_S = 0.5
-#: An engine whose agent didn't begin a load isn't asked for the same one again for so
-#: long, and twice as long for each further engine, so many times at most. The plan
-#: would choose the model again and again, and nothing else would be loaded. Seconds.
+#: For how long a load that an agent didn't start isn't requested from the same engine
+#: again. Without this cooldown the plan would choose the model again and again, and
+#: nothing else would be loaded. Seconds.
 RETRY_COOLDOWN_S = 2.0
+#: The cooldown doubles with each further engine that doesn't start the model, at most
+#: this many times.
 MAX_DOUBLINGS = 2
 
 
@@ -37,20 +40,21 @@
 
 
 class StoreLoadRequests:
-    """The loads of one service that an entry has asked for and not been told of."""
+    """The loads of one service that an entry requested and no agent has reported."""
 
     def __init__(self) -> None:
         self._requests: list[_Request] = []
-        #: Until when a load of a model isn't asked for at an engine.
+        #: When the cooldown of a (model, instance) pair ends.
         self._cooling_down: dict[tuple[str, str], float] = {}
-        #: How often in a row the load of a model hasn't begun.
+        #: How many requests in a row for a model's load have expired.
         self._failures: Counter[str] = Counter()
-        #: Those of the last choice that were asked for the first time.
+        #: The loads that the last call of :meth:`choose` requested for the first time.
         self.newly_requested: list[PlannedLoad] = []
-        #: Those that were given up with the last choice: their agents didn't begin.
+        #: The requests that the last call of :meth:`choose` dropped, as their agents
+        #: hadn't started the load in time.
         self.expired: list[PlannedLoad] = []
-        #: Loads beyond the store's known speed whose outcome isn't known yet, and
-        #: whether their agents have told of them.
+        #: Probes (loads beyond the store's known concurrency) whose outcome is open,
+        #: and whether their agents have reported them.
         self._probes: dict[PlannedLoad, bool] = {}
         self._probe_not_before = float("-inf")
 
@@ -61,9 +65,12 @@
         is_reported: Callable[[PlannedLoad], bool],
         is_listed: Callable[[PlannedLoad], bool] = lambda load: True,
     ) -> list[PlannedLoad]:
-        """The loads to ask for now. ``planned`` are those that the store has turns for,
-        ``is_reported`` whether the agent has told of the load, so that the plan counts it
-        as under way, ``is_listed`` whether the registry has its engine."""
+        """Return the loads to request now.
+
+        ``planned`` are the loads for which the store has a permit. ``is_reported``
+        tells whether the agent has reported the load, so that the plan counts it as
+        under way; ``is_listed`` whether the registry lists the load's engine.
+        """
         self._review_probes(now, is_reported, is_listed)
         planned = [load for load in planned if self._may_request(now, load)]
         reported = [request for request in self._requests if is_reported(request.load)]
@@ -80,7 +87,7 @@
             self._failures.pop(request.load.model, None)
         for load in self.expired:
             self._start_cooldown(now, load)
-        # The plan was made before that.
+        # The plan was made before these cooldowns began.
         planned = [
             load
             for load in planned
@@ -100,10 +107,10 @@
         return [request.load for request in self._requests]
 
     def may_probe(self, now: float) -> bool:
-        """Whether one load more than the store is known to serve may be asked for.
+        """Whether a load beyond the store's known concurrency may be requested.
 
-        A trial whose engine leaves the registry is neither seen to end nor to fail, but
-        the store may go on serving it.
+        No probe starts for a while after the engine of one has left the registry: that
+        load is seen neither to end nor to fail, but the store may still be serving it.
         """
         return now >= self._probe_not_before
 
@@ -126,7 +133,8 @@
             elif is_reported(load):
                 self._probes[load] = True
             elif was_reported:
-                # Its end was seen; the store's speed is learnt from it.
+                # The end of the load was observed, and counts in the estimate of the
+                # store's concurrency.
                 del self._probes[load]
 
     def _start_cooldown(self, now: float, load: PlannedLoad) -> None:
@@ -136,7 +144,7 @@
         self._failures[load.model] += 1
 
     def cooling_down(self, now: float) -> frozenset[tuple[str, str]]:
-        """The models and engines that an agent hasn't begun a load for."""
+        """The (model, instance) pairs that are in their cooldown."""
         for pair, until in list(self._cooling_down.items()):
             if until <= now:
                 del self._cooling_down[pair]
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_record.py
@@ -1,8 +1,8 @@
-"""Who holds a turn of the weight store, as it is kept in the key-value service.
+"""The records of the weight store's permits in the key-value service.
 
-Each load from the store takes one key from before it is ordered until it is over. The
-keys of a service are numbered from 0; whoever wants a turn takes the first that is
-free, so no more are held than those who take them allow.
+Each load from the store holds one key, from before it is ordered until it has ended.
+The keys of a service are numbered from 0. An agent takes the first free one below the
+number of permits that it assumes, so no more permits are held than agents allow.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StorePermitRecord:
-    """An agent and the model for which it took the turn."""
+    """An agent, and the model for which it acquired the permit."""
 
     holder: str
     model: str
 
     def encode(self) -> bytes:
-        """The value of the key.
+        """Encode the record as the value of a key.
 
         >>> StorePermitRecord.decode(StorePermitRecord("a1", "tutor").encode())
         StorePermitRecord(holder='a1', model='tutor')
@@ -33,7 +33,8 @@
 
     @classmethod
     def decode(cls, value: bytes) -> StorePermitRecord | None:
-        """The same, read; None if it can't be. Its key is taken all the same."""
+        """Decode the value of a key. Returns None if it is malformed; the permit counts
+        as held even so."""
         try:
             document = json.loads(value)
             return cls(str(document["holder"]), str(document["model"]))
@@ -42,12 +43,12 @@
 
 
 def prefix_of(service: str) -> str:
-    """Where the turns of a service are kept."""
+    """Return the prefix of the keys of a service's permits."""
     return f"{PREFIX}{service}/"
 
 
 def key_of(service: str, number: int) -> str:
-    """Where one turn is kept.
+    """Return the key of one permit.
 
     >>> key_of("tutor", 0)
     'bambootiller/store-turns/tutor/0'
@@ -56,7 +57,7 @@
 
 
 def free_key(service: str, held: Iterable[Record], permits: int) -> str | None:
-    """The first free one of so many turns, None if as many are held.
+    """Return the key of the first free permit, None if ``permits`` or more are held.
 
     >>> free_key("tutor", [Record("bambootiller/store-turns/tutor/0", b"", 7)], 2)
     'bambootiller/store-turns/tutor/1'
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
@@ -1,7 +1,8 @@
-"""When the weight store will have served the loads that a plan gives it.
+"""Predicts when the loads of a plan that use the weight store start and end.
 
-A load takes its stated time while the store serves no more than it can at full speed,
-and longer in proportion to how many are under way as it begins.
+A load takes its nominal time as long as no more loads are under way than the store
+serves at full speed. Beyond that it takes longer, in proportion to the number of loads
+under way when it starts.
 """
 
 from __future__ import annotations
@@ -10,25 +11,26 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-#: A load that isn't sooner by this much if it begins now waits: it would keep its
-#: engine from other orders all the while. Seconds.
+#: A load starts beside others on a full store only if it ends at least this much sooner
+#: than by waiting. It keeps its engine from other orders for all of that time. Seconds.
 MIN_GAIN_S = 1.0
-#: Nor does one begin now that would take longer than so many times its own time. What
-#: the store slows as it begins stays slow, so that crowding it would look like a gain
-#: to each load after that, until most engines wait for the store.
+#: Nor does a load start on a full store if it would take more than this multiple of its
+#: nominal time. A load that starts slow stays slow, so oversubscribing would look like
+#: a gain to each further load, until most engines wait for the store.
 MAX_SLOWDOWN = 1.5
-#: One more than the store is known to serve is tried only where its turn is further
-#: away than this part of its time. If the store serves no more, it takes twice its time
-#: from its begin, so what the load before had done by then is lost for both.
+#: A probe starts only if the load would otherwise wait for longer than this fraction of
+#: its nominal time. If the store serves no more loads, the probe takes twice that time
+#: from its start, and what the load before it had done by then is lost for both.
 MIN_PROBE_WAIT_FRACTION = 0.8
 
 
 class Oversubscription(enum.IntEnum):
-    """How much a load is worth beginning beyond what the store serves at full speed.
+    """How far a load may exceed the number that the store serves at full speed.
 
-    ``MUST_QUEUE``: it waits for its turn. ``MAY_PROBE``: it may be the one that is tried, as it
-    would have one of the next turns whatever else is asked for until then. ``MAY_OVERSUBSCRIBE``: it
-    may also begin where the store is known to be full, if that is sooner.
+    ``MUST_QUEUE``: the load waits until the store has room. ``MAY_PROBE``: it may be
+    the probe, as it would be among the next loads whatever else is requested until
+    then. ``MAY_OVERSUBSCRIBE``: it may also start while the store is known to be full,
+    if it ends sooner that way.
     """
 
     MUST_QUEUE = 0
@@ -37,11 +39,12 @@
 
 
 class StartReason(enum.Enum):
-    """Why a load begins when it does.
+    """Why a load starts when it does.
 
-    ``FREE``: the store serves it at capacity speed. ``PROBE``: it is begun to see
-    whether the store serves one more. ``OVERSUBSCRIBED``: it is over sooner beside the others.
-    ``QUEUED``: it waits for its turn.
+    ``FREE``: the store has room and serves it at full speed. ``PROBE``: it starts to
+    find out whether the store serves one more load at full speed. ``OVERSUBSCRIBED``:
+    the store is full, but the load ends sooner if it starts beside the others.
+    ``QUEUED``: it waits until the store has room.
     """
 
     FREE = "free"
@@ -52,17 +55,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _Load:
-    """A load under way or planned; seconds from now."""
+    """A load under way or planned; times are in seconds from now."""
 
     begins: float
     ends: float
 
 
 class StoreQueue:
-    """The loads of a plan, from those under way on.
+    """The loads from the store that are under way, and those that a plan adds.
 
-    ``capacity`` is how many the store is known to serve at capacity speed, ``allow_probe`` whether
-    another may be begun beside these, to see whether it serves that as well.
+    ``capacity`` is how many loads the store is known to serve at full speed.
+    ``allow_probe`` tells whether one more load may start beside these, to find out
+    whether the store serves that many.
 
     Example::
 
@@ -82,10 +86,11 @@
         load_s: float,
         oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
     ) -> tuple[float, float]:
-        """Plan one more load; returns when it begins and when it is over."""
+        """Plan one more load. Returns in how many seconds it starts and ends."""
         begins, ready = self.preview(load_s, oversubscription)
         self._loads.append(_Load(begins, ready))
-        # What is tried may be served first, and the one that has the turn slowed by it.
+        # The store may serve a probe first and slow down the load planned here, so no
+        # probe starts after it.
         self._allow_probe = False
         return begins, ready
 
@@ -94,11 +99,11 @@
         load_s: float,
         oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
     ) -> bool:
-        """Whether :meth:`add` would have the load begin now."""
+        """Whether :meth:`add` would start the load now."""
         return self.preview(load_s, oversubscription)[0] <= 0
 
     def room(self) -> int:
-        """How many more loads could begin now."""
+        """Return how many more loads could start now at full speed."""
         return max(0, self._capacity - self._under_way(0.0))
 
     def preview(
@@ -106,7 +111,7 @@
         load_s: float,
         oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
     ) -> tuple[float, float]:
-        """What :meth:`add` would return."""
+        """Return what :meth:`add` would, without planning the load."""
         begins, ends, _ = self._schedule(load_s, oversubscription)
         return begins, ends
 
@@ -115,7 +120,7 @@
         load_s: float,
         oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
     ) -> StartReason:
-        """Why :meth:`add` would have the load begin when it does."""
+        """Return why :meth:`add` would start the load when it does."""
         _, _, start_reason = self._schedule(load_s, oversubscription)
         return start_reason
 
@@ -129,7 +134,7 @@
         slowed_s = load_s * max(1.0, (under_way + 1) / self._capacity)
         can_probe = self._allow_probe and oversubscription >= Oversubscription.MAY_PROBE
         if can_probe and under_way == len(self._loads) <= self._capacity:
-            # None waits before it.
+            # No other load is waiting.
             if begins > MIN_PROBE_WAIT_FRACTION * load_s:
                 return 0.0, slowed_s, StartReason.PROBE
         is_sooner = slowed_s + MIN_GAIN_S <= begins + load_s
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/wakeups.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/wakeups.py
@@ -1,8 +1,9 @@
-"""Which news of an engine has waiting calls look again at once.
+"""Decides which reports of an agent wake the calls that wait.
 
-Agents speak several times a second each, mostly of calls that begin and end at their
-engines. A call that waits for a model or an adapter waits for what an engine holds or
-loads; all else that it considers comes with time, and is looked at every 0.1 s anyway.
+Each agent reports several times a second, mostly about calls that start and end at its
+engine. A call that waits for a model or an adapter depends on what engines hold or
+load. Everything else that matters to it depends on time alone, and waiting calls
+re-evaluate that every 0.1 s anyway.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 
 
 def wakes_waiting_calls(backend: Backend, state: EngineState) -> bool:
-    """Whether what the agent says now could end a call's wait, or decide it.
+    """Whether an agent's new report could end the wait of a call.
 
-    ``backend`` is as it was before.
+    ``backend`` holds the state before the report.
     """
     before = backend.engine
     if before is None or backend.denials:
