--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -1,4 +1,4 @@
-"""Sends one call to backend servers, and keeps what each attempt takes up."""
+"""Sends the attempts of one call and tracks the resources that each one holds."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class Attempt:
-    """One attempt that has gone out.
+    """One attempt that has been sent.
 
-    It is counted at its backend server, and has its connection, until :meth:`end`.
+    It occupies a slot of its backend server and a connection until :meth:`end`.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         self._prompt_unread = call.ask is not None
         self.backend = backend
         self.conn = conn
-        #: The running time at which it went out, and the time by the clock.
+        #: When it was sent, in running time and by the clock. Seconds.
         self.sent_running_time = context.running_time()
         self.sent_at_clock = context.clock()
         self._may_have_run_before = progress.may_have_run
@@ -44,21 +44,23 @@
 
     @property
     def progressed(self) -> bool:
-        """Whether it has brought an event."""
+        """Whether an event of it has been forwarded."""
         return self._progress.last_event != self._last_event
 
     def mark_not_run(self) -> None:
-        """The backend server promises that it hasn't run the call."""
+        """Record that the backend server guarantees that it hasn't run the call."""
         self._progress.may_have_run = self._may_have_run_before
 
     def prefill_done(self) -> None:
-        """The first event has come, or the attempt has ended."""
+        """Record that the prompt has been processed: the first event was received, or
+        the attempt has ended."""
         if self._prompt_unread:
             self._prompt_unread = False
             self.backend.prefill_done()
 
     def end(self, answered: bool) -> None:
-        """Nothing more is read; unless it was ``answered`` the connection is closed."""
+        """Release the slot and the connection, which is closed unless the attempt was
+        ``answered``."""
         self.prefill_done()
         self.backend.call_ended(*self._model_and_adapter())
         pool = self._context.pool(self.backend)
@@ -74,7 +76,7 @@
 
 
 class AttemptSender:
-    """The attempts of one call.
+    """Sends the attempts of one call and records how they ended.
 
     Example::
 
@@ -101,7 +103,7 @@
         self._service = context.service(call.service)
 
     def send(self, backend: Backend, conn: BackendConnection) -> Attempt:
-        """Send the call, from behind the last event that was passed on."""
+        """Send the call, to be resumed after the last event that was forwarded."""
         context, call = self._context, self._call
         if self._progress.may_have_run:
             context.quotas.ran_again(call)
@@ -117,7 +119,7 @@
         return attempt
 
     def resume_after(self) -> int | None:
-        """The last event that the caller has."""
+        """The number of the last event that the caller has, None if it has none."""
         if self._progress.last_event is not None:
             return self._progress.last_event
         return self._call.resume_after
@@ -127,20 +129,23 @@
         return self._context.dialect.classify(self._call, head) is AnswerKind.STRAY
 
     def is_refusal(self, attempt: Attempt, head: AnswerHead) -> bool:
-        """Whether the backend server promises that it hasn't run the call; notes it.
+        """Whether the backend server guarantees that it hasn't run the call; if so the
+        refusal is recorded.
 
-        Raises :class:`ConnectionLost` if the answer is of no use.
+        Raises :class:`ConnectionLost` if the answer is unusable.
         """
         context, call, backend = self._context, self._call, attempt.backend
         answer_kind = context.dialect.classify(call, head)
         self._record_limit(attempt, head, answer_kind)
         if answer_kind is AnswerKind.USELESS:
-            raise ConnectionLost(f"useless answer of status {head.status}", False, True)
+            raise ConnectionLost(
+                f"unusable answer with status {head.status}", False, True
+            )
         if answer_kind not in (AnswerKind.NOT_RUN, AnswerKind.MISDIRECTED):
             if self._progress.forwarded and not 200 <= head.status < 300:
-                # The caller has the head of another answer already.
+                # The caller already has the head of another answer.
                 raise ConnectionLost(
-                    f"status {head.status} in the middle of a stream", False, True
+                    f"status {head.status} after a part of the stream", False, True
                 )
             return False
         attempt.mark_not_run()
@@ -152,14 +157,14 @@
     def _record_limit(
         self, attempt: Attempt, head: AnswerHead, answer_kind: AnswerKind
     ) -> None:
-        """Note what limit an answer names. That it names none counts only where the
-        call was served: what else answers may not know."""
+        """Record the limit that an answer reports. A missing limit counts only if the
+        call was served: whatever else sent the answer may not know the limit."""
         backend, limits = attempt.backend, self._context.server_limits
         limit = self._context.dialect.limit(head)
         if isinstance(limit, Unreadable):
             limits.unreadable(backend, limit.detail)
         elif answer_kind is AnswerKind.MISDIRECTED:
-            # It may come from another backend server.
+            # The limit may be that of another backend server.
             return
         elif limit is not None:
             limits.named(backend, limit)
@@ -167,10 +172,10 @@
             limits.named_none(backend, attempt.sent_at_clock)
 
     def lost(self, attempt: Attempt, exc: ConnectionLost) -> None:
-        """The run of an attempt is lost, as far as this entry can tell."""
+        """Record that the answer to an attempt was lost, and possibly its run."""
         context, backend, conn = self._context, attempt.backend, attempt.conn
         if conn.reused:
-            # What took this connection may have taken the other idle ones too.
+            # Whatever broke this reused connection may have broken the idle ones too.
             context.pool(backend).close()
         self.failed(backend)
         progressed = attempt.progressed
@@ -178,7 +183,7 @@
         context.quarantine.run_lost(self._call, backend, progressed)
 
     def failed(self, backend: Backend) -> None:
-        """The backend server is judged by an attempt that failed."""
+        """Record a failed attempt in the health of the backend server."""
         context = self._context
         self._service.health.failed(context.clock(), backend.incarnation)
         context.review_health(self._call.service, backend.incarnation)
--- a/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
+++ b/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
@@ -1,17 +1,17 @@
-"""Connections to backend servers, on which answers are told apart with care.
+"""HTTP/1.1 client connections to backend servers.
 
 A client library that hides its connections can't be used here. Whether a call was sent
 at all decides if it may be sent again; an answer that belongs to an earlier call has to
-be skipped, not returned; and bytes behind a whole answer make a connection useless for
-the next call. So this is a small client on the parser that the HTTP server uses too.
+be skipped, not returned; and bytes after a complete answer make a connection unusable
+for the next call. So this is a small client on the same parser as the HTTP server's.
 
 Example::
 
-    conn = await pool.acquire(timeout_s)
+    conn = await pool.acquire(now, timeout_s)
     conn.send(head, body)
     head = await conn.head(is_stray)
     while (data := await conn.chunk()) is not None: ...
-    pool.release(conn)
+    pool.release(conn, now)
 """
 
 from __future__ import annotations
@@ -28,38 +28,39 @@
 from bambootiller.gateway.ports import AnswerHead
 from bambootiller.gateway.silence import RunningClock, SilenceTimeout
 
-#: A kept connection is used again only within this part of the time for which the
-#: backend server says it keeps it. Closer to the end, a call could cross its close, and
-#: nobody could tell whether it ran.
+#: An idle connection is reused only within this fraction of the keep-alive timeout that
+#: the backend server states. Later, a call could cross the server's close, and it would
+#: be unknown whether it ran.
 KEEP_ALIVE_FRACTION = 0.6
-#: The same where the backend server doesn't say: times below a second aren't stated.
-#: Seconds.
+#: How long an idle connection is reused if the backend server states no timeout: the
+#: header can't express timeouts below a second. Seconds.
 DEFAULT_KEEP_ALIVE_S = 0.3
-#: An idle connection is probed after this time and then as often; after so many
-#: unanswered probes it is closed. Seconds, the least that the kernel takes.
+#: TCP keep-alive: an idle connection is probed after this time and at this interval,
+#: and closed after this many unanswered probes. Seconds, the kernel's minimum.
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-#: Bytes that the other side hasn't acknowledged within this time end the connection.
+#: A connection is closed if sent bytes aren't acknowledged within this time.
 #: Milliseconds; far above any delay between availability zones.
 UNACKNOWLEDGED_TIMEOUT_MS = 1500
-#: Linger for no time: closing a socket sends a reset and drops what is unsent.
+#: SO_LINGER with a timeout of 0: closing sends a reset and drops unsent data.
 _LINGER_ZERO = struct.pack("ii", 1, 0)
-#: Reading pauses while more than this waits to be passed on. Bytes.
+#: Reading from the socket pauses while more than this is buffered. Bytes.
 MAX_UNREAD_BYTES = 256 * 1024
-#: Answers to other calls that are skipped before a connection is given up, and the
-#: bytes of all of them.
+#: How many answers to other calls are skipped before a connection is given up, and how
+#: many bytes of them in total.
 MAX_STRAY_ANSWERS = 4
 MAX_STRAY_BYTES = 256 * 1024
-#: So much may come without a whole head or a part of a body: heads, informational
-#: answers, trailers, extensions of chunks. More of it isn't an answer. Bytes.
+#: How much may be received without a complete head or a part of a body: heads,
+#: informational answers, trailers, chunk extensions. Bytes; guards against answers that
+#: send these endlessly.
 MAX_BYTES_WITHOUT_PROGRESS = 64 * 1024
 
 
 class ConnectionLost(Exception):
-    """The answer broke off or isn't HTTP.
+    """The answer broke off or isn't valid HTTP.
 
-    ``closed_cleanly`` tells an ordinary close from a reset; ``received_any`` whether
-    anything of an answer had come.
+    ``closed_cleanly`` tells an ordinary close from a reset; ``received_any`` is whether
+    any byte of an answer was received.
     """
 
     def __init__(self, detail: str, closed_cleanly: bool, received_any: bool) -> None:
@@ -70,7 +71,7 @@
 
 @dataclass(slots=True)
 class _Answer:
-    """An answer being read; ``data`` are the parts of its body not taken yet."""
+    """An answer being read; ``data`` are the parts of its body not read yet."""
 
     status: int = 0
     headers: list[tuple[bytes, bytes]] = field(default_factory=list)
@@ -85,20 +86,21 @@
 
     def __init__(self, running_time: RunningClock) -> None:
         self._running_time = running_time
-        #: The running time at which bytes came last, and how often some have come.
+        #: The running time at which the answer last progressed, and how often it has.
         self.last_received_at = 0.0
         self.progress_count = 0
         self._silence_s: float | None = None
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        #: The answers to the present call, strays first; the last is being parsed.
+        #: The answers received for the current call, strays first; the last one is
+        #: being parsed.
         self._answers: deque[_Answer] = deque()
         self._unread_bytes = 0
         self._waiter: asyncio.Future[None] | None = None
         self._loss: ConnectionLost | None = None
         self._in_call = False
         self._received_any = False
-        #: Bytes since a whole head, a part of a body or an end of an answer came last.
+        #: Bytes received since the last complete head, body part or end of an answer.
         self._bytes_without_progress = 0
         self._unusable = False
         self._paused = False
@@ -109,14 +111,14 @@
     # -- asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection is up."""
+        """The connection is established."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
             _enable_keepalive(sock)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come; outside of a call they spoil the connection."""
+        """Parse received bytes; outside of a call they make the connection unusable."""
         if not self._in_call:
             self._unusable = True
             return
@@ -127,28 +129,28 @@
         except httptools.HttpParserError as exc:
             self._unusable = True
             if not self._is_complete():
-                self._mark_lost(f"the answer isn't HTTP: {exc}", False)
+                self._mark_lost(f"the answer isn't valid HTTP: {exc}", False)
         if (
             self._bytes_without_progress > MAX_BYTES_WITHOUT_PROGRESS
             and not self._is_complete()
         ):
             self._mark_lost(
-                f"{self._bytes_without_progress} bytes that bring nothing", False
+                f"{self._bytes_without_progress} bytes without progress", False
             )
             self._unusable = True
             self._transport.abort()
         self._notify()
 
     def _note_progress(self) -> None:
-        """Something of an answer has come. Bytes alone don't show that the backend
-        server does anything: a head can go on for ever, a byte at a time."""
+        """Record that the answer has progressed. Received bytes alone don't show that
+        the backend server works: a head can go on forever, a byte at a time."""
         self._bytes_without_progress = 0
         self.last_received_at = self._running_time()
         self.progress_count += 1
         self._silence_s = None
 
     def eof_received(self) -> bool:
-        """The other side closes: an answer without a length ends with that."""
+        """The peer closes the connection, which ends an answer without a length."""
         self._unusable = True
         if self._in_call and not self._is_complete():
             last = self._answers[-1] if self._answers else None
@@ -162,7 +164,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is down."""
+        """The connection is closed."""
         self._unusable = True
         if self._in_call and not self._is_complete():
             self._mark_lost(f"the connection was lost: {exc!r}", exc is None)
@@ -171,18 +173,18 @@
     # -- httptools callbacks
 
     def on_message_begin(self) -> None:
-        """An answer begins; more than one on a call are told apart by the relay."""
+        """An answer begins; the relay decides which one belongs to the call."""
         if not self._answers or self._answers[-1].complete:
             self._answers.append(_Answer())
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header of the answer; trailers are dropped."""
+        """Store a header of the answer; trailers are dropped."""
         answer = self._answers[-1]
         if not answer.has_head:
             answer.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """The head is there."""
+        """The head is complete; those of informational answers are dropped."""
         answer = self._answers[-1]
         answer.status = self._parser.get_status_code()
         if 100 <= answer.status < 200:
@@ -193,7 +195,7 @@
         answer.keep_alive = self._parser.should_keep_alive()
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Buffer a part of the body, and pause reading if too much is buffered."""
         self._note_progress()
         self._answers[-1].data.append(data)
         self._unread_bytes += len(data)
@@ -202,7 +204,7 @@
             self._transport.pause_reading()
 
     def on_message_complete(self) -> None:
-        """The answer is whole, unless it was an informational one."""
+        """The answer is complete, unless it is an informational one."""
         answer = self._answers[-1]
         answer.complete = answer.has_head
         if answer.complete:
@@ -225,12 +227,13 @@
 
     @property
     def awaited(self) -> bool:
-        """Whether the relay waits for something to come."""
+        """Whether the relay waits for data from this connection."""
         return self._waiter is not None
 
     def has_changed_since(self, seen_count: int) -> bool:
-        """Whether something has come since :attr:`progress_count` was ``seen_count``, an end
-        included. Counted, because running time stands still with the process."""
+        """Whether the answer has progressed or ended since :attr:`progress_count` was
+        ``seen_count``. It is counted because running time doesn't advance while the
+        process stalls."""
         return (
             self.progress_count > seen_count
             or self._loss is not None
@@ -239,16 +242,20 @@
 
     @property
     def loss(self) -> ConnectionLost | None:
-        """What became of the connection if it is lost before its answer's end."""
+        """Why the connection was lost before the end of the answer, None if it
+        wasn't."""
         return self._loss
 
     def signal_silence(self, seconds: float) -> None:
-        """Have the relay, which waits, get :class:`SilenceTimeout`."""
+        """Raise :class:`SilenceTimeout` in the relay that waits for data."""
         self._silence_s = seconds
         self._notify()
 
     async def head(self, is_stray: Callable[[AnswerHead], bool]) -> AnswerHead:
-        """The head of the answer; answers for which ``is_stray`` holds are skipped."""
+        """The head of the answer; answers for which ``is_stray`` holds are skipped.
+
+        Raises :class:`ConnectionLost`, and :class:`SilenceTimeout` if it is signalled.
+        """
         skipped = 0
         for _ in range(MAX_STRAY_ANSWERS):
             while not (self._answers and self._answers[0].has_head):
@@ -260,12 +267,15 @@
             while (data := await self.chunk()) is not None:
                 skipped += len(data)
                 if skipped > MAX_STRAY_BYTES:
-                    raise ConnectionLost("an answer to another call", False, True)
+                    raise ConnectionLost(
+                        "too many bytes of answers to other calls", False, True
+                    )
             self._answers.popleft()
         raise ConnectionLost("too many answers to other calls", False, True)
 
     async def chunk(self) -> bytes | None:
-        """The next part of the body; None once the answer is whole."""
+        """The next part of the body, None once the answer is complete; raises the same
+        errors as :meth:`head`."""
         answer = self._answers[0]
         while not answer.data:
             if answer.complete:
@@ -280,7 +290,7 @@
         return data
 
     def finish(self, now: float) -> bool:
-        """End the call; True if the connection can carry another one."""
+        """End the call; returns whether the connection can be reused."""
         usable = (
             self._in_call
             and len(self._answers) == 1
@@ -301,17 +311,17 @@
         return usable
 
     def fresh(self, now: float) -> bool:
-        """Whether an idle connection may still be used."""
+        """Whether an idle connection may still be reused."""
         if self._unusable or self._transport is None or self._transport.is_closing():
             return False
         return now - self.idle_since < self.keep_alive_s
 
     def close(self) -> None:
-        """Close at once, which has the backend server drop the call.
+        """Close immediately, so that the backend server drops the call.
 
-        A call that is given up resets its connection. Closed in the ordinary way, bytes
-        that a cut path has held up would still be delivered once the path is whole, and
-        a backend server would begin to work for a caller who left seconds before.
+        During a call the connection is reset. After an ordinary close, bytes held up by
+        a network partition would still be delivered once it heals, and the backend
+        server would begin to work for a caller that left seconds before.
         """
         if self._transport is None:
             return
@@ -346,11 +356,11 @@
 
 
 def _enable_keepalive(sock: socket.socket) -> None:
-    """Have the kernel close a connection whose other end has gone without a word.
+    """Configure the kernel to close a connection whose peer silently disappeared.
 
-    A link that was cut, or a table that forgot the connection, sends no reset. Without
-    this, a call sent on such a kept connection hangs until its deadline, and its caller
-    is told that the outcome isn't known, although the call never arrived.
+    A broken link, or a connection-tracking table that dropped the entry, sends no
+    reset. Without this, a call sent on such an idle connection hangs until its
+    deadline, and its caller gets an unknown outcome although the call never arrived.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
@@ -364,7 +374,7 @@
 
 
 def _reuse_time_s(answer: _Answer) -> float:
-    """For how long the connection may be used again. Seconds."""
+    """For how long the connection may be reused, in seconds; 0 if not at all."""
     for name, value in answer.headers:
         if name == b"connection" and b"close" in value.lower():
             return 0.0
--- a/packages/bambootiller/src/bambootiller/gateway/boot_clock.py
+++ b/packages/bambootiller/src/bambootiller/gateway/boot_clock.py
@@ -1,4 +1,4 @@
-"""A clock that goes on while the instance is suspended."""
+"""A monotonic clock that includes the time for which the instance was suspended."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def boot_now() -> float:
-    """Seconds; only differences mean something.
+    """The time in seconds; only differences are meaningful.
 
-    The event loop's clock stands still while the instance is suspended. What others
-    take for ended by then would go on here: a lease, a share.
+    The event loop's clock stops while the instance is suspended. By that clock, a lease
+    or a share of a quota that others consider expired would still be valid here.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/bambootiller/src/bambootiller/gateway/connection_pool.py
+++ b/packages/bambootiller/src/bambootiller/gateway/connection_pool.py
@@ -1,8 +1,8 @@
-"""The kept connections to backend servers.
+"""Pools of connections to backend servers.
 
 Example::
 
-    pool = ConnectionPool("10.1.0.9:8080", most=32, ran=ran)
+    pool = ConnectionPool("10.1.0.9:8080", max_open=32, running_time=running_time)
     conn = await pool.acquire(now, timeout_s)
     ...
     pool.release(conn, now)
@@ -16,24 +16,24 @@
 from bambootiller.gateway.backend_connection import BackendConnection
 from bambootiller.gateway.silence import RunningClock, wait_running_time
 
-#: A connection is made or given up within this time. Seconds.
+#: Timeout for establishing a connection. Seconds of running time.
 CONNECT_TIMEOUT_S = 0.8
 
 
 class CannotConnect(Exception):
-    """No connection was made, so nothing was sent."""
+    """No connection was established, so nothing was sent."""
 
 
 class PoolExhausted(CannotConnect):
-    """This process has as many connections there as it may; that says nothing of the
-    backend server."""
+    """This process has reached its connection limit; the backend server may be
+    healthy."""
 
 
 class ConnectionPool:
-    """The kept connections to one backend server.
+    """The connections to one backend server.
 
-    ``max_open`` bounds this process's connections, idle ones included, because a backend
-    server resets those beyond what it takes from all callers together.
+    ``max_open`` limits the connections of this process, idle ones included, because a
+    backend server resets those beyond its limit for all clients together.
     """
 
     def __init__(self, address: str, max_open: int, running_time: RunningClock) -> None:
@@ -48,8 +48,8 @@
     async def acquire(
         self, now: float, timeout_s: float, fresh: bool = False
     ) -> BackendConnection:
-        """An idle connection, unless it is to be ``fresh``, or a new one;
-        :class:`CannotConnect` if there is none."""
+        """An idle connection or a new one; with ``fresh`` the idle ones are closed
+        first. Raises :class:`CannotConnect` if there is none."""
         if fresh:
             self.close()
         while self._idle:
@@ -58,7 +58,7 @@
                 return conn
             self._drop(conn)
         if self.open >= self._max_open:
-            raise PoolExhausted(f"{self.open} connections are open, the most allowed")
+            raise PoolExhausted(f"the limit of {self.open} connections is reached")
         self.open += 1
         try:
             return await self._connect(min(CONNECT_TIMEOUT_S, timeout_s))
@@ -67,15 +67,15 @@
             raise
 
     def release(self, conn: BackendConnection, now: float) -> None:
-        """Give a connection back after a call, whole or not."""
+        """Return a connection after a call; it is closed if it can't be reused."""
         if conn.finish(now):
             self._idle.append(conn)
         else:
             self.open -= 1
 
     def release_unused(self, conn: BackendConnection, now: float) -> None:
-        """Give a connection back on which nothing was sent; a kept one is no younger
-        for that."""
+        """Return a connection on which nothing was sent. The idle time of a reused one
+        isn't reset."""
         if not conn.reused:
             conn.idle_since = now
         self._idle.append(conn)
@@ -85,7 +85,7 @@
         self._drop(conn)
 
     def sweep(self, now: float) -> None:
-        """Close idle connections that can't be used again."""
+        """Close idle connections that can't be reused."""
         for conn in list(self._idle):
             if not conn.fresh(now):
                 self._idle.remove(conn)
@@ -111,7 +111,7 @@
         except (OSError, TimeoutError) as exc:
             raise CannotConnect(f"{self._host}:{self._port}: {exc!r}") from exc
         except BaseException:
-            # Made in the moment in which its caller left, it would stay open for ever.
+            # Otherwise a connection established just as its caller left would leak.
             conn.close()
             raise
         return conn
--- a/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
@@ -1,4 +1,4 @@
-"""Holds a call back while its request may not run because of crashes."""
+"""Delays a call while its request is suspected of crashing backend servers."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
     AdmissionDecision,
 )
 
-#: A call is held no longer than this, and no more than this part of the time that it
-#: has left: a caller that would be refused in the end had better know at once. Seconds.
+#: A call is held no longer than this, and for no more than this fraction of its
+#: remaining time: a caller that would finally be refused is better refused at once.
+#: Seconds.
 MAX_HOLD_S = 2.5
 HOLD_FRACTION = 0.5
 
 
 class CrashIsolation:
-    """The wait of one call before each of its attempts.
+    """Delays the attempts of one call, so that they run apart from those of other
+    suspected requests.
 
     Example::
 
-        refusal = await CrashIsolation(relays, call, progress, report).wait()
+        refusal = await CrashIsolation(context, call, progress, report).wait()
     """
 
     def __init__(
@@ -38,8 +40,8 @@
         self._report = report
 
     async def wait(self) -> Refusal | None:
-        """Wait until the call may be sent; returns a refusal if it may not, or not
-        soon."""
+        """Wait until the call may be sent; returns a refusal if it is quarantined or
+        the wait would be too long."""
         admission = self._admission()
         if admission.decision is AdmissionDecision.ADMITTED:
             return None
--- a/packages/bambootiller/src/bambootiller/gateway/failover.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -1,4 +1,4 @@
-"""Finds another backend server for a call whose own has fallen silent."""
+"""Moves a call to another backend server when its current one is silent."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from bambootiller_core.gateway.calls import Call, Progress
 from bambootiller_core.gateway.fleet import Backend
 
-#: While a connection is being made, the silent one is looked at this often. Seconds;
-#: what it says meanwhile is passed on so much later at most.
+#: Interval at which the silent connection is checked while another one is being made.
+#: Seconds; also the most by which data that arrives meanwhile is delayed.
 SILENT_POLL_S = 0.02
-#: A backend server that the call was sent to may say for this long that it doesn't run
-#: it. Seconds of running time.
+#: How long a new backend server may take to refuse the call before the silent one is
+#: left. Seconds of running time.
 REFUSAL_WAIT_S = 0.25
-#: Then the silent one is left, by the clock: no two may work on one call for 0.4 s,
-#: whether this process runs or not. Seconds.
+#: The same in elapsed time, stalls of this process included: no two backend servers may
+#: work on one call for 0.4 s. Seconds.
 MAX_OVERLAP_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class FailoverTarget:
-    """A backend server that takes the call over, and a connection to it. The second
-    attempt is paid for; ``attempt`` is set if it has gone out already."""
+    """A backend server that takes the call over, and a connection to it. The retry has
+    been charged to the budget; ``attempt`` is set if it has already been sent."""
 
     backend: Backend
     conn: BackendConnection
@@ -55,20 +55,21 @@
 
 
 class Failover:
-    """Prepares the move of one call.
+    """Prepares the failover of one call.
 
-    Silence proves nothing. So the attempt that runs is given up only once everything
-    for the next is there: it is allowed, the budget has room, a backend server has a
-    place, a connection to it is up, and the call, sent there, isn't refused. Given up
-    first, a stream that was only slow got cut whenever one of these was missing.
+    Silence doesn't prove a failure. So the running attempt is given up only once
+    everything for the next one is ready: another attempt is allowed, the retry budget
+    isn't exhausted, a backend server has a free slot, a connection to it is open, and
+    it hasn't refused the call. When the running attempt was given up first, streams
+    that were only slow were cut off whenever one of these was missing.
 
-    A request of which a run was lost before isn't sent early: the run that is about to
-    be given up counts against it, and may be what holds it back.
+    A request that has lost a run before isn't sent early: the run that is about to be
+    given up counts as another crash suspicion, which may forbid the next attempt.
 
     Example::
 
-        elsewhere = Failover(relays, call, progress, placing, sender, report)
-        found = await elsewhere.prepare(attempt, "silent for 0.70 s")
+        failover = Failover(context, call, progress, placement, sender, report)
+        found = await failover.find_target(attempt, "silent for 0.70 s")
         if isinstance(found, StayReason): ...
     """
 
@@ -91,7 +92,8 @@
     async def find_target(
         self, silent: Attempt, detail: str
     ) -> FailoverTarget | StayReason:
-        """Where the call goes next, or why it stays with the ``silent`` attempt."""
+        """The target of the next attempt, or why the call stays with the ``silent``
+        one."""
         seen_count = silent.conn.progress_count
         while True:
             target = await self._connect_first(silent.conn, seen_count)
@@ -112,7 +114,8 @@
     def _stay_reason(
         self, silent: BackendConnection, seen_count: int
     ) -> StayReason | None:
-        """Why the call isn't sent, though a connection is up; pays for it if it is."""
+        """Why the call isn't sent although a connection is open; otherwise None, and
+        the retry is charged to the budget."""
         if silent.has_changed_since(seen_count):
             return StayReason.SPOKE
         if not self._context.quarantine.admits(self._call):
@@ -123,8 +126,8 @@
     async def _send_unless_refused(
         self, target: FailoverTarget, silent: BackendConnection, seen_count: int
     ) -> FailoverTarget | StayReason:
-        """Send the call, and see whether it is refused there; the silent one goes on
-        meanwhile."""
+        """Send the call and wait briefly for a refusal, while the silent attempt keeps
+        running."""
         attempt = self._sender.send(target.backend, target.conn)
         keep_attempt = answered = False
         try:
@@ -150,8 +153,8 @@
     async def _head_unless_resumed(
         self, attempt: Attempt, silent: BackendConnection, seen_count: int
     ) -> AnswerHead | None:
-        """The head of the answer, unless the time for it ends or the silent one speaks
-        first. The head stays with the connection."""
+        """The head of the answer, or None if it takes too long or the silent backend
+        server resumes first. The head stays buffered in the connection."""
         running_time, clock = self._context.running_time, self._context.clock
         end, latest = (
             attempt.sent_running_time + REFUSAL_WAIT_S,
@@ -174,7 +177,7 @@
     async def _connect_first(
         self, silent: BackendConnection, seen_count: int
     ) -> FailoverTarget | StayReason:
-        """A connection to the first of the others that takes one."""
+        """A connection to the first other backend server that accepts one."""
         failed = False
         while True:
             backend = self._choose_backend()
@@ -190,8 +193,8 @@
     async def _connect_unless_resumed(
         self, backend: Backend, silent: BackendConnection, seen_count: int
     ) -> BackendConnection | None:
-        """A connection, unless the silent one speaks first: what it says would wait
-        for as long as a connection may take."""
+        """A connection, or None if it fails or the silent backend server resumes first:
+        its data would otherwise wait for as long as connecting may take."""
         connect_task = asyncio.ensure_future(self._connect(backend))
         conn = None
         try:
@@ -209,14 +212,14 @@
     def _release_late(
         self, backend: Backend, connect_task: asyncio.Future[BackendConnection | None]
     ) -> None:
-        """A connection may have come up as its call went away."""
+        """Release a connection that was established just as it was cancelled."""
         if connect_task.cancelled() or connect_task.exception() is not None:
             return
         if connect_task.result() is not None:
             self.release_target(FailoverTarget(backend, connect_task.result()))
 
     def release_target(self, target: FailoverTarget) -> None:
-        """The call doesn't go there."""
+        """End the target's attempt, or return its unused connection to the pool."""
         if target.attempt is not None:
             target.attempt.end(answered=False)
             return
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -1,4 +1,4 @@
-"""Carries one call from its arrival to its final answer."""
+"""Relays one call to backend servers, from its arrival to its final answer."""
 
 from __future__ import annotations
 
@@ -36,31 +36,32 @@
 
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
-#: A stream that may be resumed is sent elsewhere when nothing has come for this part of
-#: the caller's patience, or for the longest pause times this factor, whichever is more.
+#: A resumable stream fails over when nothing has been received for this fraction of
+#: the route's event timeout, or for this multiple of its maximum gap between events,
+#: whichever is longer.
 SILENCE_FRACTION = 0.35
 SILENCE_GAP_FACTOR = 3.0
 
 
-#: An answer up to this size is collected before its first byte goes out; a larger one
-#: is passed on as it comes, so that one without an end takes no more memory. Bytes.
+#: An answer up to this size is buffered before its first byte is sent to the caller. A
+#: larger one is streamed, so that an endless answer uses no more memory. Bytes.
 MAX_COLLECTED_BYTES = 1 << 20
-#: What is read behind the head of a backend server's refusal, and for how long, so that
-#: the connection can be used again. Bytes and seconds.
+#: How much of the body of a backend server's refusal is read, and for how long, so that
+#: the connection can be reused. Bytes and seconds.
 MAX_REFUSAL_BYTES = 64 * 1024
 REFUSAL_READ_TIMEOUT_S = 0.2
 
 
 class AnswerTruncated(Exception):
-    """An answer that has begun can't be finished; the connection is to be cut."""
+    """A partially sent answer can't be finished; the caller's connection is closed."""
 
 
 class Relay:
-    """One call.
+    """Relays one call, with retries and failover between backend servers.
 
     Example::
 
-        refusal = await Relay(relays, incoming, call, body, send).run()
+        refusal = await Relay(context, incoming, call, body, send).run()
     """
 
     def __init__(
@@ -87,16 +88,18 @@
         self._crash_isolation = CrashIsolation(
             context, call, self._progress, self.report
         )
-        #: Where the call goes on, found while its attempt before was still running.
+        #: The target of the next attempt, if it was found while the previous attempt
+        #: was still running.
         self._target: FailoverTarget | None = None
         self._silence_detector: SilenceDetector | None = None
         self._admission: Admission | None = None
         self._last_stay_reason: StayReason | None = None
 
     async def run(self) -> Refusal | None:
-        """Serve the call; returns the gateway's own final answer if there is to be one.
+        """Serve the call. Returns a refusal if the gateway itself has to answer, or
+        None if an answer was forwarded completely.
 
-        Raises :class:`AnswerTruncated` if an answer that has begun can't be finished.
+        Raises :class:`AnswerTruncated` if a partially sent answer can't be finished.
         """
         call = self._call
         try:
@@ -133,7 +136,8 @@
                 self._target = target
                 return self._refuse_unplaced(found)
             if not sent and not self._context.quarantine.admits(self._call):
-                # Its request ended a backend server while the call was being placed.
+                # A crash was attributed to this request while the call was being
+                # placed.
                 self._target = target
                 continue
             self.report.chosen(found, self._placement.candidates)
@@ -146,7 +150,7 @@
                 return self._finish(decision, ended.value)
 
     def _refuse_unplaced(self, refusal: Refusal) -> Refusal:
-        """The final answer of a call that is sent nowhere from now on."""
+        """The final answer of a call that gets no further attempt."""
         if self._progress.forwarded or self._progress.may_have_run:
             decision = attempts.give_up(self._progress)
             return self._finish(decision, refusal.reason.value)
@@ -154,7 +158,7 @@
 
     @property
     def _next_is_sent(self) -> bool:
-        """Whether the next attempt has gone out already."""
+        """Whether the next attempt has already been sent by the failover."""
         return self._target is not None and self._target.attempt is not None
 
     def _decide_next(self, ended: AttemptOutcome) -> Decision:
@@ -182,8 +186,8 @@
     async def _attempt(
         self, backend: Backend, target: FailoverTarget | None
     ) -> AttemptOutcome | None:
-        """Send the call to one backend server, unless it has gone out already; None if
-        the answer was passed on whole."""
+        """Send the call to one backend server, unless the failover already has. Returns
+        None if the complete answer was forwarded."""
         attempt = target.attempt if target else None
         if attempt is None:
             conn = target.conn if target else await self._connect(backend)
@@ -204,7 +208,8 @@
                 else AttemptOutcome.UNKNOWN
             )
         except asyncio.CancelledError:
-            # Its time is over, or its caller left, while an engine was gone silently.
+            # The deadline passed or the caller left while the engine was silent: it may
+            # have crashed, so the run counts as lost.
             if backend.engine is not None and backend.engine.silent:
                 progressed = attempt.progressed
                 self._context.quarantine.run_lost(self._call, backend, progressed)
@@ -216,7 +221,8 @@
         context, progress = self._context, self._progress
         now = context.clock()
         try:
-            # What took the answer of the attempt before took the kept connections too.
+            # Whatever lost the previous answer from this backend server has probably
+            # broken its idle connections as well.
             again = backend.incarnation in progress.tried
             pool = context.pool(backend)
             return await pool.acquire(now, self._call.deadline - now, fresh=again)
@@ -249,7 +255,7 @@
             attempt, lambda: conn.head(sender.is_stray)
         )
         if sender.is_refusal(attempt, head):
-            # The head promises that the call hasn't run, whatever follows it.
+            # The head already guarantees that the call hasn't run, whatever the body.
             with contextlib.suppress(ConnectionLost, TimeoutError):
                 async with asyncio.timeout(REFUSAL_READ_TIMEOUT_S):
                     await _drain_refusal(conn)
@@ -263,8 +269,8 @@
     async def _read_or_fail_over(
         self, attempt: Attempt, read: Callable[[], Awaitable[Any]]
     ) -> Any:
-        """Await ``read()``; a silent backend server is left if the call can go on
-        elsewhere, or if it is lost."""
+        """Await ``read()``. Leaves a silent backend server, by raising
+        :class:`ConnectionLost`, if the call can fail over or the server is lost."""
         while True:
             try:
                 return await read()
@@ -274,7 +280,8 @@
                     raise lost from exc
 
     async def _stays_on_backend(self, attempt: Attempt, detail: str) -> bool:
-        """Whether the call stays with its silent backend server for now."""
+        """Whether the call stays with its silent backend server for now; looks for a
+        failover target."""
         backend = attempt.backend
         backend.mark_unreachable(self._context.clock())
         found = await self._failover.find_target(attempt, detail)
@@ -289,17 +296,18 @@
         if found in (StayReason.SPOKE, StayReason.ATTEMPTS):
             self._silence_detector.again()
         else:
-            # A place, a connection or the budget may be there in a moment.
+            # A free slot, a connection or retry budget may soon become available.
             self._silence_detector.recheck_in(RECHECK_S)
         return True
 
     def _is_lost(self, backend: Backend) -> bool:
-        """Whether nothing will come of waiting. An answer that has begun isn't given
-        up for a belief: an agent that has ended says nothing of its engine."""
+        """Whether waiting is pointless. A partially forwarded answer isn't given up on
+        a suspicion: that an agent has ended doesn't mean that its engine has."""
         return not self._progress.forwarded and backend.lost(self._context.clock())
 
     def _silence_timeout_s(self, now: float) -> float | None:
-        """How long the backend server may be silent before the call goes elsewhere."""
+        """How long the backend server may be silent before the call fails over, in
+        seconds; None if the call may not be sent again."""
         call = self._call
         left_attempts = call.route.max_attempts - self._progress.sends
         if left_attempts < 1 or not call.may_rerun:
@@ -314,8 +322,8 @@
         if is_events:
             await self._forward_event_stream(attempt, head)
             return
-        # Collected before the first byte goes out: an answer that breaks off on the way
-        # can then still be replaced by one of another backend server.
+        # Buffered before the first byte is sent: an answer that breaks off can then
+        # still be replaced by that of another backend server.
         parts, size = [], 0
         while (
             data := await self._read_or_fail_over(attempt, attempt.conn.chunk)
@@ -333,7 +341,7 @@
     async def _forward_large_answer(
         self, attempt: Attempt, head: AnswerHead, data: bytes | None
     ) -> None:
-        """Pass on an answer that is too large to be collected."""
+        """Stream an answer that is too large to be buffered."""
         self.report.part_passed_on(self._context.clock())
         await self._send_head(head)
         self._progress.forwarded = True
@@ -345,7 +353,7 @@
                 data = await self._read_or_fail_over(attempt, attempt.conn.chunk)
         except asyncio.CancelledError:
             if self._context.clock() >= self._call.deadline:
-                # Its body has no end.
+                # The body didn't end before the call's deadline.
                 self._sender.failed(attempt.backend)
             raise
         self._record_health(attempt, head)
@@ -372,7 +380,7 @@
             if not events:
                 continue
             if any(_is_endless(event) for event in events):
-                raise ConnectionLost("an event without an end", False, True)
+                raise ConnectionLost("an event exceeds the maximum size", False, True)
             if first:
                 first = False
                 attempt.prefill_done()
@@ -394,11 +402,11 @@
                 continue
             if last is not None and event.number <= last:
                 raise ConnectionLost(
-                    f"event {event.number} came after {last}", False, True
+                    f"event {event.number} received after event {last}", False, True
                 )
             last = newest = event.number
-        # Noted only now: where one of them is out of order none is passed on, and the
-        # caller still needs those before it.
+        # Updated only after the loop: if one event is out of order none of the batch is
+        # forwarded, and a resumed run must still send those before it.
         progress.last_event = newest
         progress.forwarded_at = now = self._context.clock()
         self.report.part_passed_on(now)
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -1,4 +1,4 @@
-"""What all calls of an entry share: connections, budgets, judgements of health."""
+"""State shared by all calls of an entry: connections, retry budgets and health."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 from bambootiller_core.gateway.retry_prediction import RetryPredictor
 from bambootiller_core.gateway.service_levels import ServiceLevels
 
-#: Connections to one backend server where the configuration sets no limit.
+#: Connections to one backend server if the configuration sets no limit.
 DEFAULT_MAX_CONNECTIONS = 256
-#: A new entry has heard all agents that it can reach after this time. Seconds.
+#: A new entry has heard from all reachable agents after this time. Seconds.
 STARTUP_GRACE_S = 1.5
-#: No entry has fewer than this, however many share the limit.
+#: Each entry may open this many, however many entries share the limit.
 MIN_CONNECTIONS = 8
-#: An entry that gets most callers for a while may have so many connections for each
-#: call that a backend server serves at once, more than it sends it: those that are
-#: being made count too.
+#: An entry that temporarily gets most of the calls may open this many connections per
+#: slot of a backend server. It is more than one because connections that are still
+#: being established count too.
 CONNECTIONS_PER_SLOT = 2
-#: But no more than this part of what the backend server takes.
+#: But no more than this fraction of the backend server's connection limit.
 MAX_ENTRY_FRACTION = 0.5
 
 
 @dataclass(slots=True)
 class ServiceState:
-    """What belongs to one service while it is configured."""
+    """The state that is kept for one service."""
 
     health: Health = field(default_factory=Health)
     budget: RetryBudget | None = None
@@ -51,7 +51,7 @@
 
 
 class RelayContext:
-    """Shared by all calls of an entry: pools, budgets and judgements of health."""
+    """Shared by all calls of an entry: connection pools, retry budgets and health."""
 
     def __init__(
         self,
@@ -83,18 +83,18 @@
         self.running_time = running_time
         self._new_budget = new_budget
         self.started_at = clock()
-        #: When a planned stop cuts what still runs; None while none has begun.
+        #: When a planned stop cuts off running calls, None if none has begun.
         self.stop_deadline: float | None = None
         self._services: dict[str, ServiceState] = {}
         self._pools: dict[Incarnation, ConnectionPool] = {}
 
     def is_starting(self) -> bool:
-        """Whether this process has only just begun: it may not have heard the agents
-        yet, and knows less than a moment later."""
+        """Whether this process has just started: it may not have heard from all agents
+        yet."""
         return self.clock() - self.started_at < STARTUP_GRACE_S
 
     def service(self, name: str) -> ServiceState:
-        """What is kept for a service."""
+        """The state of a service."""
         found = self._services.get(name)
         if found is None:
             found = self._services[name] = ServiceState(budget=self._new_budget())
@@ -104,14 +104,14 @@
         return found
 
     def mark_unreachable(self, service: str, backend: Backend) -> None:
-        """No connection to a backend server could be made."""
+        """Record that no connection to a backend server could be established."""
         now = self.clock()
         backend.mark_unreachable(now)
         self.service(service).health.unreachable(now, backend.incarnation)
         self.review_health(service, backend.incarnation)
 
     def review_health(self, service: str, server: Incarnation) -> None:
-        """Say so if a backend server is judged otherwise from now on."""
+        """Review the health of a backend server and log a change of its standing."""
         change = self.service(service).health.review(self.clock(), server)
         if change is None:
             return
@@ -127,8 +127,8 @@
         self.events.emit(line)
 
     def key_refusal(self, call: Call) -> Refusal | None:
-        """Why a call that was let in may not be sent any more: a configuration has come
-        in which its key is gone, or another customer's."""
+        """Why an admitted call may no longer be sent: the configuration has changed and
+        its key has been removed or belongs to another customer."""
         config = self.knowledge.config
         if config is None or config.customers is None or call.customer is None:
             return None
@@ -140,8 +140,8 @@
         return None
 
     def pool(self, backend: Backend) -> ConnectionPool:
-        """The connections to a backend server, by its incarnation: a new start at the
-        same address doesn't answer on those of the one before."""
+        """The connection pool of a backend server's incarnation: after a restart at the
+        same address the old connections are dead."""
         found = self._pools.get(backend.incarnation)
         if found is None:
             limit = self._connection_limit(backend)
@@ -152,17 +152,18 @@
         return found
 
     def min_retry_budget(self) -> float:
-        """The second attempts that the tightest budget of a service allows now."""
+        """The number of retries that the smallest budget of any service allows now."""
         now = self.clock()
         remaining = (state.budget.remaining(now) for state in self._services.values())
         return min(remaining, default=0.0)
 
     def connection_count(self) -> int:
-        """The connections to backend servers, idle ones included."""
+        """The number of connections to backend servers, idle ones included."""
         return sum(pool.open for pool in self._pools.values())
 
     def sweep(self, now: float) -> None:
-        """Close idle connections past their time, and forget what has ended."""
+        """Close expired idle connections and drop the state of backend servers that
+        have ended."""
         is_current = self.knowledge.fleet.is_current
         for server, pool in list(self._pools.items()):
             pool.sweep(now)
--- a/packages/bambootiller/src/bambootiller/gateway/silence.py
+++ b/packages/bambootiller/src/bambootiller/gateway/silence.py
@@ -1,4 +1,4 @@
-"""Notices when a backend server is silent, by the time that this process has run."""
+"""Detects silent connections, measured in the running time of this process."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 #: Reads the running time of the process, in seconds; see
 #: :mod:`bambootiller_core.gateway.running`.
 RunningClock = Callable[[], float]
-#: A timer is set no closer than this, so that a wait that is all but over doesn't turn
-#: the loop over and over. Seconds.
+#: Shortest timer, so that a wait that is almost over doesn't keep the event loop
+#: spinning. Seconds.
 MIN_TIMER_S = 0.005
 
 
 class SilenceTimeout(Exception):
-    """Nothing has come from a backend server for ``seconds`` of running time."""
+    """Nothing was received for ``seconds`` of running time."""
 
     def __init__(self, seconds: float) -> None:
         super().__init__(f"silent for {seconds:.2f} s")
@@ -24,29 +24,29 @@
 
 
 class WatchedConnection(Protocol):
-    """A connection whose silence is watched."""
+    """A connection that a :class:`SilenceDetector` watches."""
 
-    #: The running time at which something came last.
+    #: The running time at which data was last received.
     last_received_at: float
 
     @property
     def awaited(self) -> bool:
-        """Whether somebody waits for something to come."""
+        """Whether a reader waits for data."""
 
     def signal_silence(self, seconds: float) -> None:
-        """Have whoever waits get :class:`SilenceTimeout`."""
+        """Raise :class:`SilenceTimeout` in the reader that waits for data."""
 
 
 class SilenceDetector:
-    """Looks at one connection as long as a call is on it.
+    """Watches one connection while a call uses it.
 
-    One timer serves all events of a stream. It asks when something came last instead of
-    racing with what comes: a timeout around each wait ends in the same turn of the loop
-    in which a late process reads its sockets, and wins against the event.
+    One timer serves all events of a stream. It checks when data was last received. A
+    timeout around each read would race with the data instead: after a stall it expires
+    in the same iteration of the event loop that reads the sockets, and wins.
 
     Example::
 
-        watch = SilenceDetector(conn, 0.7, ran)
+        watch = SilenceDetector(conn, 0.7, running_time)
         try: ...
         finally: watch.stop()
     """
@@ -62,17 +62,17 @@
         self.again()
 
     def again(self) -> None:
-        """Begin anew: what was silent so far has been told."""
+        """Start a new silence period: the silence so far has been handled."""
         self._silent_since = self._running_time()
         self._arm(self._seconds)
 
     def recheck_in(self, seconds: float) -> None:
-        """Tell the silence once more, if it lasts, in ``seconds``."""
+        """Signal the silence once more in ``seconds``, if it lasts."""
         self._silent_since = self._running_time() - max(0.0, self._seconds - seconds)
         self._arm(seconds)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop watching."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -86,7 +86,7 @@
         self._timer = None
         conn = self._conn
         if not conn.awaited:
-            # The caller takes its time; what comes isn't asked for meanwhile.
+            # The caller reads slowly, so nothing is being read from the backend server.
             self.again()
             return
         silent_s = self._running_time() - max(self._silent_since, conn.last_received_at)
@@ -99,10 +99,10 @@
 async def wait_running_time(
     running_time: RunningClock, seconds: float, coroutine: Coroutine[Any, Any, T]
 ) -> T:
-    """Await ``coroutine`` for ``seconds`` of running time at most, else TimeoutError.
+    """Await ``coroutine`` for at most ``seconds`` of running time; raises TimeoutError.
 
-    Making a connection takes several turns of the loop. In a process that is starved of
-    its processor those alone last longer than a timeout meant for the other side.
+    Connecting takes several iterations of the event loop. In a process that is starved
+    of CPU they alone take longer than a timeout meant for the peer.
     """
     task = asyncio.ensure_future(coroutine)
     end = running_time() + seconds
--- a/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
@@ -1,4 +1,4 @@
-"""Notices and tells when this process stands still, and keeps the time it has run."""
+"""Detects and logs stalls of this process, and keeps its running time."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from bambootiller_core.gateway.log_lines import StoodStill
 from bambootiller_core.gateway.running import TICK_S, RunningTime
 
-#: StallMonitor shorter than this aren't told: they delay an event of a stream by no more
-#: than the pause that most routes allow between two. Seconds.
+#: Stalls shorter than this aren't logged: they delay an event of a stream by no more
+#: than the gap between events that most routes allow. Seconds.
 MIN_REPORTED_STALL_S = 0.1
 
 
-#: A call that met silence while this process stood still for so long is asked again
-#: before the silence is believed. Seconds; half of the shortest time for one.
+#: After a stall this long, a request that got no answer is repeated before the peer is
+#: considered silent. Seconds; half of the shortest timeout of such a request.
 MIN_STALL_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class TimeReading:
-    """A time, and how long the process had run by then."""
+    """A clock reading and the running time at that moment. Seconds."""
 
     at: float
     running_time: float
 
 
 class StallCheck:
-    """Tells whether a silence may be the process's own.
+    """Tells whether a missing answer may be due to a stall of this process.
 
     Example::
 
-        began = own.now()
-        if await ask() is None and not own.was_stalled(began):
+        began = stall_check.now()
+        if await ask() is None and not stall_check.was_stalled(began):
             lost()
     """
 
@@ -45,25 +45,26 @@
         self._running_time_at = running_time_at
 
     def now(self) -> TimeReading:
-        """The present moment."""
+        """The current time."""
         at = self._clock()
         return TimeReading(at, self._running_time_at(at))
 
     def was_stalled(self, since: TimeReading) -> bool:
-        """Whether the process stood still for a good part of the time ``since``."""
+        """Whether the process stalled for at least :data:`MIN_STALL_S` in the time
+        ``since``."""
         now = self.now()
         stalled_s = (now.at - since.at) - (now.running_time - since.running_time)
         return stalled_s >= MIN_STALL_S
 
 
 class StallMonitor:
-    """Ticks the running time of the process.
+    """Measures the running time of the process by regular ticks.
 
     Example::
 
-        standstills = StallMonitor(app, events)
-        standstills.start()
-        began = standstills.ran()
+        stall_monitor = StallMonitor(app, events)
+        stall_monitor.start()
+        began = stall_monitor.running_time()
     """
 
     def __init__(self, app: Application, events: EventLog) -> None:
@@ -74,21 +75,21 @@
         self.stall_check = StallCheck(app.now, self._running.running_time)
 
     def start(self) -> None:
-        """Begin to tick."""
+        """Start ticking."""
         now = self._app.now()
         self._running.tick(now)
         self._app.timers.every("running time", TICK_S, now, self._tick)
 
     def on_tick(self, listener: Callable[[float], None]) -> None:
-        """Call ``listener`` with how late each tick is, in seconds."""
+        """Call ``listener`` at each tick with its delay in seconds."""
         self._listeners.append(listener)
 
     def running_time(self) -> float:
-        """How long the process has run. Seconds; only differences mean something."""
+        """The running time. Seconds; only differences are meaningful."""
         return self._running.running_time(self._app.now())
 
     def running_time_at(self, now: float) -> float:
-        """The same at a given time, not before the last tick."""
+        """The running time at ``now``, which must not be before the last tick."""
         return self._running.running_time(now)
 
     def _tick(self, now: float) -> None:
