--- a/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_places.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_availability.py
@@ -16,11 +16,11 @@
 from collections.abc import Iterable, Mapping
 
 from bambootiller_core.gateway.config import EngineSpec
-from bambootiller_core.gateway.model_demand import LEAST_KEEP, NO_DEMAND, Demand
-from bambootiller_core.gateway.places import LONG_LOAD_S, Place
+from bambootiller_core.gateway.load_targets import LONG_LOAD_S, LoadTarget
+from bambootiller_core.gateway.model_demand import MIN_KEEP_VALUE, NO_DEMAND, Demand
 
 
-class AdapterPlaces:
+class AdapterAvailability:
     """For each model with adapters, the engines that hold it and that no long load
     keeps from other orders.
 
@@ -28,14 +28,17 @@
 
     Example::
 
-        homes = AdapterPlaces(engine, places, wants)
-        calls = homes.calls_kept(place, seconds=6.0)
+        homes = AdapterAvailability(engine, places, wants)
+        calls = homes.blocked_calls(place, seconds=6.0)
         calls = homes.calls_at_risk(place, seconds=6.0)
         homes.occupy(place, until_s=6.0)
     """
 
     def __init__(
-        self, engine: EngineSpec, places: Iterable[Place], demands: Mapping[str, Demand]
+        self,
+        engine: EngineSpec,
+        load_targets: Iterable[LoadTarget],
+        demands: Mapping[str, Demand],
     ) -> None:
         self._demands = demands
         self._free: Counter[str] = Counter()
@@ -45,49 +48,55 @@
             for name, spec in engine.models.items()
             if spec.adapters or self._demand(name).adapter_rate
         }
-        for place in places:
-            held = [name for name in place.held if name in self._adapters]
-            self._held[place.instance] = held
-            if _is_free(place):
+        for load_target in load_targets:
+            held = [name for name in load_target.held if name in self._adapters]
+            self._held[load_target.instance] = held
+            if _is_free(load_target):
                 self._free.update(held)
 
-    def calls_kept(self, place: Place, seconds: float) -> float:
+    def blocked_calls(self, load_target: LoadTarget, seconds: float) -> float:
         """How many calls would wait for an adapter in vain during a load of so many
         seconds here, by those that miss one now."""
-        rates = [self._demand(name).adapter_rate for name in self._last(place, seconds)]
+        rates = [
+            self._demand(name).adapter_rate
+            for name in self._without_alternative(load_target, seconds)
+        ]
         return seconds * sum(rates)
 
-    def calls_at_risk(self, place: Place, seconds: float) -> float:
+    def calls_at_risk(self, load_target: LoadTarget, seconds: float) -> float:
         """How many calls would at most, if each named one of its model's adapters."""
         rates = [
-            self._missing_share(place, name) * max(LEAST_KEEP, self._demand(name).rate)
-            for name in self._last(place, seconds)
+            self._missing_share(load_target, name)
+            * max(MIN_KEEP_VALUE, self._demand(name).rate)
+            for name in self._without_alternative(load_target, seconds)
         ]
         return seconds * sum(rates)
 
-    def _last(self, place: Place, seconds: float) -> list[str]:
+    def _without_alternative(
+        self, load_target: LoadTarget, seconds: float
+    ) -> list[str]:
         """The models with adapters for which no other engine could take an order during
         a load of so many seconds here."""
         if seconds <= LONG_LOAD_S:
             return []
-        itself = 1 if _is_free(place) else 0
-        held = self._held[place.instance]
+        itself = 1 if _is_free(load_target) else 0
+        held = self._held[load_target.instance]
         return [name for name in held if self._free[name] == itself]
 
-    def _missing_share(self, place: Place, name: str) -> float:
+    def _missing_share(self, load_target: LoadTarget, name: str) -> float:
         count = self._adapters[name]
-        return max(0.0, 1.0 - len(place.held[name]) / count) if count else 0.0
+        return max(0.0, 1.0 - len(load_target.held[name]) / count) if count else 0.0
 
     def _demand(self, name: str) -> Demand:
         return self._demands.get(name, NO_DEMAND)
 
-    def occupy(self, place: Place, until_s: float) -> None:
+    def reserve(self, load_target: LoadTarget, until_s: float) -> None:
         """The engine's next order can begin only then, in seconds from now."""
-        was_free = _is_free(place)
-        place.free_in_s = until_s
-        if was_free and not _is_free(place):
-            self._free.subtract(self._held[place.instance])
+        was_free = _is_free(load_target)
+        load_target.free_after_s = until_s
+        if was_free and not _is_free(load_target):
+            self._free.subtract(self._held[load_target.instance])
 
 
-def _is_free(place: Place) -> bool:
-    return place.free_in_s < LONG_LOAD_S
+def _is_free(load_target: LoadTarget) -> bool:
+    return load_target.free_after_s < LONG_LOAD_S
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/due_adapters.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_prefetch.py
@@ -7,7 +7,7 @@
 
 Example::
 
-    due = DueAdapters()
+    due = AdapterPrefetch()
     due.refused(now, ask, come_back_s=6.0)
     for wish in due.wishes(now, backend, fleet.of_service("tutor")): ...
 """
@@ -17,16 +17,16 @@
 from collections.abc import Collection
 
 from bambootiller_core.gateway.calls import ModelRequest
-from bambootiller_core.gateway.demand_tracker import DUE_BACK_LATE_S
+from bambootiller_core.gateway.demand_tracker import RETURN_SLACK_S
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.order_messages import LoadRequest
 
 #: Callers come no later than this, whatever they were told: they honour a third of the
 #: time that they have left. Seconds.
-DUE_MOST_S = 10.0
+MAX_RETURN_S = 10.0
 
 
-class DueAdapters:
+class AdapterPrefetch:
     """The adapters that refused callers of one entry named, for the engines of one
     service."""
 
@@ -40,7 +40,7 @@
             return
         for model in list(self._due):
             self._still_due(now, model)
-        due_in_s = min(come_back_s, DUE_MOST_S) + DUE_BACK_LATE_S
+        due_in_s = min(come_back_s, MAX_RETURN_S) + RETURN_SLACK_S
         self._due.setdefault(ask.model, {})[ask.adapter] = now + due_in_s
 
     def load_requests(
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
@@ -12,12 +12,12 @@
 from bambootiller_core.gateway.config import ModelSpec
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.fleet import Backend
+from bambootiller_core.gateway.load_targets import copies_at
 from bambootiller_core.gateway.log_lines import CopiesChanged, ModelCopy
 from bambootiller_core.gateway.order_messages import EngineReport
-from bambootiller_core.gateway.places import copies_at
 
 #: How many engines with a copy a line names.
-MOST_NAMED = 4
+MAX_LISTED = 4
 
 
 def copies_seen(
@@ -35,7 +35,7 @@
         and backend.engine is not None
         and spec.name in copies_at(backend)
     ]
-    return tuple(found[:MOST_NAMED])
+    return tuple(found[:MAX_LISTED])
 
 
 def _state(now: float, backend: Backend, spec: ModelSpec, memory_mb: float) -> str:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/demand_tracker.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/demand_tracker.py
@@ -12,16 +12,16 @@
 #: DemandTracker fades by this factor of e in this time: long enough to see a model that is
 #: asked for once in a few seconds, short enough to follow demand that moves on.
 #: Seconds.
-MEMORY_S = 5.0
+DECAY_S = 5.0
 #: A call that was refused because its model wasn't there counts as waiting until its
 #: caller comes back: so much later than it was told, but no longer than the other.
 #: Callers come sooner than told if they have little time. Seconds.
-DUE_BACK_LATE_S = 0.5
-DUE_BACK_MOST_S = 3.0
+RETURN_SLACK_S = 0.5
+MAX_RETURN_WAIT_S = 3.0
 #: A call that waits has waited for so long at least: 0 stands for none. Seconds.
-JUST_COME_S = 0.001
+MIN_WAIT_S = 0.001
 #: Below this rate a model isn't told of any more. Calls a second.
-LEAST_RATE = 0.005
+MIN_RATE = 0.005
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,12 +62,12 @@
 
     def asked(self, now: float, model: str, weight: float = 1.0) -> None:
         """A call asks for the model."""
-        rate = _rate(self._rates, now, model) + weight / MEMORY_S
+        rate = _rate(self._rates, now, model) + weight / DECAY_S
         self._rates[model] = (rate, now)
 
     def adapter_missed(self, now: float, model: str, weight: float = 1.0) -> None:
         """A call finds its adapter at none of the engines that hold the model."""
-        rate = _rate(self._missed, now, model) + weight / MEMORY_S
+        rate = _rate(self._missed, now, model) + weight / DECAY_S
         self._missed[model] = (rate, now)
 
     def begin_waiting(
@@ -87,7 +87,7 @@
             del self._waiting[model]
 
     @property
-    def anyone_waits(self) -> bool:
+    def has_waiting_calls(self) -> bool:
         """Whether a call waits for a model now."""
         return bool(self._waiting)
 
@@ -113,18 +113,18 @@
     ) -> None:
         """A call was refused because the model isn't there in time; its caller was told
         when to come back, and is expected in ``returns_in_s``, None if not at all."""
-        due_in_s = min(come_back_s + DUE_BACK_LATE_S, DUE_BACK_MOST_S)
+        due_in_s = min(come_back_s + RETURN_SLACK_S, MAX_RETURN_WAIT_S)
         due = self._refused.setdefault(model, deque())
         due.append((now + due_in_s, weight))
         if returns_in_s is not None:
-            back_by = now + returns_in_s + DUE_BACK_LATE_S
+            back_by = now + returns_in_s + RETURN_SLACK_S
             self._returning.setdefault(model, []).append((back_by, weight))
 
     def waiting(self, now: float, model: str) -> int:
         """The calls that wait for the model, by their weights; those that were refused
         and are due back count too."""
         counted = sum(call.weight for call in self._waiting.get(model, ()))
-        counted += self._due_back(now, model)
+        counted += self._due_to_return(now, model)
         return max(1, round(counted)) if counted else 0
 
     def demands(
@@ -137,9 +137,9 @@
             rate = _rate(self._rates, now, model)
             here = self._waiting.get(model, [])
             waiting = self.waiting(now, model)
-            waited_s = [max(now - call.since, JUST_COME_S) for call in here]
+            waited_s = [max(now - call.since, MIN_WAIT_S) for call in here]
             left_s = [call.due - now for call in here if call.due > now]
-            if rate < LEAST_RATE and not waiting:
+            if rate < MIN_RATE and not waiting:
                 del self._rates[model]
                 self._refused.pop(model, None)
                 self._returning.pop(model, None)
@@ -171,7 +171,7 @@
         waiting = sum([call.weight for call in self._waiting.get(model, ())])
         return waiting + sum([weight for _, weight in returning or ()])
 
-    def _due_back(self, now: float, model: str) -> float:
+    def _due_to_return(self, now: float, model: str) -> float:
         due = self._refused.get(model)
         if due is None:
             return 0.0
@@ -182,13 +182,13 @@
 
 def _rate(rates: Mapping[str, tuple[float, float]], now: float, model: str) -> float:
     rate, at = rates.get(model, (0.0, now))
-    return faded(rate, now - at)
+    return decayed(rate, now - at)
 
 
-def faded(rate: float, seconds: float) -> float:
+def decayed(rate: float, seconds: float) -> float:
     """What is left of a rate so long after its last call.
 
     >>> faded(1.0, 0.0)
     1.0
     """
-    return rate * math.exp(-seconds / MEMORY_S)
+    return rate * math.exp(-seconds / DECAY_S)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from bambootiller_core.gateway.collecting import greater, sooner
-from bambootiller_core.gateway.demand_tracker import faded
+from bambootiller_core.gateway.demand_collection import merge_max, min_nonzero
+from bambootiller_core.gateway.demand_tracker import decayed
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.order_messages import LoadRequest
 
@@ -15,35 +15,35 @@
 LOAD_REQUEST_TTL_S = 0.25
 #: An entry's figures of use count for this long after it fell silent: its calls may
 #: still be running here. Seconds.
-USE_LIFE_S = 3.0
+REPORT_TTL_S = 3.0
 #: A model stays at least this long once it is loaded, and for this part of the time
 #: that its load took: callers who were refused meanwhile are on their way back.
 #: Seconds.
-SHORTEST_TURN_S = 0.6
-TURN_SHARE = 0.25
+MIN_RESIDENCY_S = 0.6
+RESIDENCY_LOAD_FRACTION = 0.25
 #: An adapter used this recently isn't unloaded: the call that wanted it may be
 #: on its way. Seconds.
-USED_LATELY_S = 0.4
+RECENT_USE_S = 0.4
 
 #: Rates are summed anew after this time, as they fade: by 5 % of them in it, half of
 #: what makes an entry tell a rate again. Seconds.
-SUM_LIFE_S = 0.25
+DEMAND_SUM_TTL_S = 0.25
 
 _NEVER = float("-inf")
 
 
 @dataclass(slots=True)
-class _EntryUse:
+class _EntryReport:
     """What one entry last said: demand and use by model, adapters in use. The rates
-    fade from ``told_at`` on, here as there."""
+    fade from ``reported_at`` on, here as there."""
 
-    told_at: float
+    reported_at: float
     last_received_at: float
     demands: Mapping[str, Demand]
     in_use: Mapping[str, int]
 
 
-class EntriesSay:
+class EntryReports:
     """The words of all entries together, each for as long as it counts.
 
     Example::
@@ -56,10 +56,10 @@
     def __init__(self) -> None:
         self._load_requests: dict[tuple[str, str], tuple[LoadRequest, float]] = {}
         self._requested_by: dict[tuple[str, str], str] = {}
-        self._entries: dict[str, _EntryUse] = {}
+        self._entries: dict[str, _EntryReport] = {}
         self._used_at: dict[tuple[str, str], float] = {}
         #: Until when models that have come stay.
-        self._stays_until: dict[str, float] = {}
+        self._protected_until: dict[str, float] = {}
         #: The sum over all entries; None once one of them has spoken since.
         self._demands: dict[str, Demand] | None = None
         self._summed_at = _NEVER
@@ -69,7 +69,7 @@
         self, now: float, load_request: LoadRequest, entry: str = ""
     ) -> None:
         """An entry has calls that need the model or adapter."""
-        self._go_on_to(now)
+        self._advance_clock(now)
         self._demands = None
         self._load_requests[(load_request.model, load_request.adapter)] = (
             load_request,
@@ -78,7 +78,7 @@
         self._requested_by[(load_request.model, load_request.adapter)] = entry
         self._used_at[(load_request.model, load_request.adapter)] = now
 
-    def told(
+    def reported(
         self,
         now: float,
         entry: str,
@@ -86,11 +86,11 @@
         in_use: Mapping[str, int],
     ) -> None:
         """An entry's demand over all engines, and its calls here, by model."""
-        self._go_on_to(now)
+        self._advance_clock(now)
         self._demands = None
-        self._entries[entry] = _EntryUse(now, now, demands, in_use)
+        self._entries[entry] = _EntryReport(now, now, demands, in_use)
 
-    def heard(self, now: float, entry: str) -> bool:
+    def keep_alive(self, now: float, entry: str) -> bool:
         """An entry has nothing new to say; False if what it said before is forgotten,
         and has to be told again."""
         use = self._entries.get(entry)
@@ -102,25 +102,25 @@
     def engine_restarted(self) -> None:
         """What came to the engine, and the calls there, are gone with its last start.
         Entries tell of calls to the new one with their next message."""
-        self._stays_until.clear()
+        self._protected_until.clear()
         for use in self._entries.values():
             use.in_use = {}
 
-    def loaded(self, now: float, model: str, seconds: float) -> None:
+    def model_loaded(self, now: float, model: str, seconds: float) -> None:
         """The model has come, after a load of so many seconds."""
-        turn_s = max(SHORTEST_TURN_S, TURN_SHARE * seconds)
-        self._stays_until[model] = now + turn_s
+        turn_s = max(MIN_RESIDENCY_S, RESIDENCY_LOAD_FRACTION * seconds)
+        self._protected_until[model] = now + turn_s
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop what is too old to count."""
-        self._go_on_to(now)
+        self._advance_clock(now)
         for key, (_, at) in list(self._load_requests.items()):
             if now - at > LOAD_REQUEST_TTL_S:
                 self._demands = None
                 del self._load_requests[key]
                 del self._requested_by[key]
         for entry, use in list(self._entries.items()):
-            if now - use.last_received_at > USE_LIFE_S:
+            if now - use.last_received_at > REPORT_TTL_S:
                 self._demands = None
                 del self._entries[entry]
 
@@ -160,18 +160,18 @@
             self._demands = self._sum()
         return self._demands
 
-    def _go_on_to(self, now: float) -> None:
+    def _advance_clock(self, now: float) -> None:
         """Time goes on, and what was summed up fades."""
         self._now = max(self._now, now)
-        if self._now - self._summed_at > SUM_LIFE_S:
+        if self._now - self._summed_at > DEMAND_SUM_TTL_S:
             self._demands = None
 
     def _sum(self) -> dict[str, Demand]:
         self._summed_at = self._now
         merged: dict[str, Demand] = {}
         for use in self._entries.values():
-            elapsed_s = self._now - use.told_at
-            left = faded(1.0, elapsed_s)
+            elapsed_s = self._now - use.reported_at
+            left = decayed(1.0, elapsed_s)
             for model, demand in use.demands.items():
                 held = merged.get(model, Demand())
                 merged[model] = Demand(
@@ -180,17 +180,17 @@
                     max(held.holders, demand.holders),
                     max(held.oldest_s, demand.oldest_s),
                     max(held.copies, demand.copies),
-                    sooner(held.in_time_s, demand.in_time_s),
+                    min_nonzero(held.in_time_s, demand.in_time_s),
                     held.adapter_rate + demand.adapter_rate * left,
                     held.unserved + demand.unserved,
-                    max(held.unserved_s, _aged(demand, elapsed_s)),
-                    added(held.callers, demand.callers),
+                    max(held.unserved_s, _unserved_age_s(demand, elapsed_s)),
+                    sum_known(held.callers, demand.callers),
                 )
         load_requested = {
             load_request.model: load_request.demand
             for load_request, _ in self._load_requests.values()
         }
-        return greater(merged, load_requested)
+        return merge_max(merged, load_requested)
 
     def in_use(self) -> dict[str, int]:
         """The calls of all entries at this engine, by model and MODEL/ADAPTER."""
@@ -200,30 +200,30 @@
                 merged[model] = merged.get(model, 0) + count
         return merged
 
-    def loaded_lately(self, now: float, model: str) -> bool:
+    def recently_loaded(self, now: float, model: str) -> bool:
         """Whether the model came so lately that its waiting calls may not be here yet,
         or have only begun; unloaded now, it would have been loaded for nothing."""
-        return now < self._stays_until.get(model, _NEVER)
+        return now < self._protected_until.get(model, _NEVER)
 
-    def used_lately(self, now: float, model: str, adapter: str) -> bool:
+    def recently_used(self, now: float, model: str, adapter: str) -> bool:
         """Whether a call that wants the adapter may be on its way."""
-        return now - self._used_at.get((model, adapter), _NEVER) <= USED_LATELY_S
+        return now - self._used_at.get((model, adapter), _NEVER) <= RECENT_USE_S
 
     def used_at(self, model: str, adapter: str) -> float:
         """When the adapter was wished for last, 0 if it wasn't."""
         return self._used_at.get((model, adapter), 0.0)
 
 
-def added(first: float | None, second: float | None) -> float | None:
+def sum_known(first: float | None, second: float | None) -> float | None:
     """The sum of two counts, where None stands for one that wasn't told.
 
     >>> added(None, 2.0), added(1.0, 2.0), added(None, None)
     (2.0, 3.0, None)
     """
-    told = [count for count in (first, second) if count is not None]
-    return sum(told) if told else None
+    reported = [count for count in (first, second) if count is not None]
+    return sum(reported) if reported else None
 
 
-def _aged(demand: Demand, elapsed_s: float) -> float:
+def _unserved_age_s(demand: Demand, elapsed_s: float) -> float:
     """How long ago the first unserved call came, so long after it was told."""
     return demand.unserved_s + elapsed_s if demand.unserved else 0.0
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -78,7 +78,7 @@
     agent.
 
     ``running_time`` converts a time into this process's running time; see
-    :mod:`bambootiller_core.gateway.running`. The agent's silence is measured in it.
+    :mod:`bambootiller_core.gateway.running_clock`. The agent's silence is measured in it.
     Otherwise all agents would count as silent after a stall of this process, and every
     call that came meanwhile would be refused because no engine accepts orders.
     """
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/late_orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/late_orders.py
@@ -20,7 +20,7 @@
 #: An order that hasn't arrived by then won't. The platform says that it may take
 #: seconds; this is as long as the product's own agents wait after a restart by default.
 #: Meanwhile an order that leaves no room for a late one is put off. Seconds.
-LATE_ORDER_S = 10.0
+MAX_ORDER_DELAY_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,37 +40,39 @@
     """
 
     def __init__(self) -> None:
-        self._to_present: list[_Unanswered] = []
-        self._to_earlier: list[_Unanswered] = []
+        self._to_current_start: list[_Unanswered] = []
+        self._to_earlier_starts: list[_Unanswered] = []
 
     def unanswered(self, now: float, order: EngineOrder) -> None:
         """An order to the present start got no answer."""
-        self._to_present = [
+        self._to_current_start = [
             item
-            for item in self._to_present
-            if now - item.sent_at < LATE_ORDER_S and item.order != order
+            for item in self._to_current_start
+            if now - item.sent_at < MAX_ORDER_DELAY_S and item.order != order
         ]
-        self._to_present.append(_Unanswered(order, now))
+        self._to_current_start.append(_Unanswered(order, now))
 
     def engine_restarted(self) -> None:
         """What was on its way to the present start may reach the next one."""
-        self._to_earlier += self._to_present
-        self._to_present = []
+        self._to_earlier_starts += self._to_current_start
+        self._to_current_start = []
 
     def loads_after(self, now: float, accepted: int) -> Iterator[EngineOrder]:
         """The late loads that can take effect once the engine has accepted so many
         orders: one that names that number, and those that may follow it."""
-        self._to_earlier = [
-            item for item in self._to_earlier if now - item.sent_at < LATE_ORDER_S
+        self._to_earlier_starts = [
+            item
+            for item in self._to_earlier_starts
+            if now - item.sent_at < MAX_ORDER_DELAY_S
         ]
-        orders = {item.order for item in self._to_earlier}
+        orders = {item.order for item in self._to_earlier_starts}
         if not any(order.expected == accepted for order in orders):
             return
         for order in orders:
             if order.kind is OrderKind.LOAD and order.expected >= accepted:
                 yield order
 
-    def row_before(self, now: float, number: int) -> list[EngineOrder]:
+    def consecutive_before(self, now: float, number: int) -> list[EngineOrder]:
         """The late orders that a start which nobody orders yet may carry out one after
         the other, until it has accepted ``number`` of them; none if one is missing.
 
@@ -79,8 +81,8 @@
         """
         orders = {
             item.order
-            for item in (*self._to_earlier, *self._to_present)
-            if now - item.sent_at < LATE_ORDER_S and item.order.expected < number
+            for item in (*self._to_earlier_starts, *self._to_current_start)
+            if now - item.sent_at < MAX_ORDER_DELAY_S and item.order.expected < number
         }
         if {order.expected for order in orders} != set(range(number)):
             return []
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_order.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_priority.py
@@ -17,30 +17,30 @@
 MANY_WAITING = 4
 #: A model that takes at least this part of all demand gets a second engine, so that the
 #: loss of one doesn't stop it.
-SECOND_COPY_SHARE = 0.08
+ADDITIONAL_ENGINE_FRACTION = 0.08
 #: A model gets one more engine if all that hold it have so many calls, in units of what
 #: they serve at once: a step further and calls would be refused there.
-CROWDED = 0.8
+SATURATION_FRACTION = 0.8
 #: How many weights of models are kept; a service has some hundred models.
-KEPT_WEIGHTS = 4096
+WEIGHT_CACHE_SIZE = 4096
 
 
-class Rank(enum.IntEnum):
+class LoadRank(enum.IntEnum):
     """Which loads go before which.
 
-    A model that is ``HELD_ONCE`` is much asked for, and a single engine holds it: its
+    A model that is ``SINGLE_HOLDER`` is much asked for, and a single engine holds it: its
     calls queue there, and nobody is served if that engine is lost.
     """
 
-    MUCH_WAITED_FOR = 0
-    HELD_ONCE = 1
-    WAITED_FOR = 2
-    ASKED_FOR = 3
-    SECOND_COPY = 4
-    UNASKED = 5
+    MANY_CALLS_WAITING = 0
+    SINGLE_HOLDER = 1
+    CALLS_WAITING = 2
+    IN_DEMAND = 3
+    ADDITIONAL_ENGINE = 4
+    PREFETCH = 5
 
 
-class Coming(Protocol):
+class LoadInProgress(Protocol):
     """A load under way."""
 
     @property
@@ -48,19 +48,19 @@
         """Whether it draws on the weight store."""
 
 
-def in_order(
+def prioritize_loads(
     engine: EngineSpec,
     now: float,
     known: Iterable[Backend],
     copied: Mapping[str, int],
     demands: Mapping[str, Demand],
-    under_way: Mapping[str, Coming],
-) -> list[tuple[ModelSpec, Rank]]:
+    under_way: Mapping[str, LoadInProgress],
+) -> list[tuple[ModelSpec, LoadRank]]:
     """The models to load, the first to be served first.
 
     ``copied`` are those of which engines have copies, held ones included. A model that
     is under way appears only if it may be worth a second load from a copy, and one that
-    is ``HELD_ONCE`` appears once more as a ``SECOND_COPY``.
+    is ``SINGLE_HOLDER`` appears once more as a ``ADDITIONAL_ENGINE``.
     """
     holders: dict[str, list[Backend]] = {}
     for backend in known:
@@ -75,20 +75,21 @@
                 # Nobody asks for it: most models are like that at any time.
                 continue
             demand = NO_DEMAND
-        coming = under_way.get(name)
-        if coming is not None:
-            ranks = _ranks_while_coming(demand, coming)
+        in_progress = under_way.get(name)
+        if in_progress is not None:
+            ranks = _ranks_while_loading(demand, in_progress)
         else:
             ranks = _ranks(now, demand, holders.get(name, ()), name in copied, total)
         ranked += [
-            (_key(rank, spec, demand, name in copied), spec, rank) for rank in ranks
+            (_sort_key(rank, spec, demand, name in copied), spec, rank)
+            for rank in ranks
         ]
     ranked.sort(key=lambda item: item[0])
     return [(spec, rank) for _, spec, rank in ranked]
 
 
-def _key(
-    rank: Rank, spec: ModelSpec, demand: Demand, copied: bool
+def _sort_key(
+    rank: LoadRank, spec: ModelSpec, demand: Demand, copied: bool
 ) -> tuple[float, ...]:
     """What puts the models of one rank in order.
 
@@ -107,8 +108,8 @@
     goes first: the store's next turn comes sooner.
     """
     if not copied:
-        worth = demand.turn_value / spec.load_s
-        return rank, True, 0.0, -worth, spec.load_s, _tie(spec.name)
+        worth = demand.store_load_value / spec.load_s
+        return rank, True, 0.0, -worth, spec.load_s, _tie_breaker(spec.name)
     in_time = demand.in_time_s >= spec.disk_s
     first = demand.in_time_s if in_time else -demand.oldest_s
     return (
@@ -117,21 +118,23 @@
         round(first, 1),
         -demand.value,
         spec.load_s,
-        _tie(spec.name),
+        _tie_breaker(spec.name),
     )
 
 
-@lru_cache(KEPT_WEIGHTS)
-def _tie(name: str) -> int:
+@lru_cache(WEIGHT_CACHE_SIZE)
+def _tie_breaker(name: str) -> int:
     """Entries agree on the order of equals, and so seldom ask for the same."""
     return rendezvous.weight("fetch", name)
 
 
-def _ranks_while_coming(demand: Demand, coming: Coming) -> tuple[Rank, ...]:
+def _ranks_while_loading(
+    demand: Demand, in_progress: LoadInProgress
+) -> tuple[LoadRank, ...]:
     """A model on its way from the store is loaded from a copy as well if many calls
     wait: the only engine with a copy may have come back since."""
-    if coming.from_store and demand.waiting >= MANY_WAITING:
-        return (Rank.MUCH_WAITED_FOR,)
+    if in_progress.from_store and demand.waiting >= MANY_WAITING:
+        return (LoadRank.MANY_CALLS_WAITING,)
     return ()
 
 
@@ -141,37 +144,38 @@
     holders: Sequence[Backend],
     copied: bool,
     total_rate: float,
-) -> tuple[Rank, ...]:
+) -> tuple[LoadRank, ...]:
     """How soon a model is to be loaded; empty if it isn't to be."""
     if not holders and not copied:
         return _ranks_from_store(demand, total_rate)
     if not holders and demand.awaited:
         many = demand.awaited >= MANY_WAITING
-        return (Rank.MUCH_WAITED_FOR if many else Rank.WAITED_FOR,)
+        return (LoadRank.MANY_CALLS_WAITING if many else LoadRank.CALLS_WAITING,)
     if not demand.rate:
         return ()
-    if len(holders) == 1 and demand.rate >= SECOND_COPY_SHARE * total_rate:
-        return (Rank.HELD_ONCE, Rank.SECOND_COPY)
-    return (Rank.SECOND_COPY,) if _crowded(holders, now) else ()
+    if len(holders) == 1 and demand.rate >= ADDITIONAL_ENGINE_FRACTION * total_rate:
+        return (LoadRank.SINGLE_HOLDER, LoadRank.ADDITIONAL_ENGINE)
+    return (LoadRank.ADDITIONAL_ENGINE,) if _saturated(holders, now) else ()
 
 
-def _ranks_from_store(demand: Demand, total_rate: float) -> tuple[Rank, ...]:
+def _ranks_from_store(demand: Demand, total_rate: float) -> tuple[LoadRank, ...]:
     """The same of a model that only the weight store can bring."""
-    if demand.expected:
-        many = demand.overdue >= MANY_WAITING
-        return (Rank.MUCH_WAITED_FOR if many else Rank.WAITED_FOR,)
+    if demand.expected_callers:
+        many = demand.aged_callers >= MANY_WAITING
+        return (LoadRank.MANY_CALLS_WAITING if many else LoadRank.CALLS_WAITING,)
     if demand.rate > 0 or demand.awaited:
-        return (Rank.ASKED_FOR,)
+        return (LoadRank.IN_DEMAND,)
     # While calls come, an engine that fetches a model nobody asks for is kept from
     # those that they ask for.
-    return (Rank.UNASKED,) if total_rate == 0 else ()
+    return (LoadRank.PREFETCH,) if total_rate == 0 else ()
 
 
-def _crowded(holders: Iterable[Backend], now: float) -> bool:
+def _saturated(holders: Iterable[Backend], now: float) -> bool:
     """Whether every engine that holds a model is close to its most calls, or to the
     limit that it names."""
     return bool(holders) and all(
         now < backend.throttled_until
-        or backend.occupied(now) >= CROWDED * max(1, backend.registration.slots)
+        or backend.occupied(now)
+        >= SATURATION_FRACTION * max(1, backend.registration.slots)
         for backend in holders
     )
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
@@ -11,22 +11,22 @@
 #: A model that nobody could be served of for this long counts as if one more of its
 #: callers waited. So none is passed over for ever by others that are asked for more.
 #: Seconds.
-AGING_S = 4.0
+UNSERVED_AGING_S = 4.0
 #: The calls to come that a load from the weight store is for, besides the callers who
 #: are there: as many as have come lately in this time. Seconds.
-FORESEEN_S = 5.0
+FORECAST_S = 5.0
 #: A model that nobody could be served of for this long is worth twice the store's time.
 #: So none waits for ever behind others that are asked for more. Seconds.
-TURN_AGING_S = 10.0
+STORE_AGING_S = 10.0
 #: A caller who is held for a second because its model is next counts as so many more:
 #: if another went first it would have waited for nothing.
-HELD_WORTH = 3.0
+WAITED_SECOND_VALUE = 3.0
 #: What keeping a model is worth without any demand for it, so that of models nobody
 #: asks for the one that several engines hold goes first. Calls a second.
-LEAST_KEEP = 0.01
+MIN_KEEP_VALUE = 0.01
 #: How much it matters to keep a model of which another engine has a copy, against one
 #: whose only copy is here.
-COPIED_KEEP = 0.5
+COPIED_KEEP_FACTOR = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
         longer for the time that these have come in vain."""
         if not self.unserved:
             return self.waiting
-        return max(self.waiting, self.unserved + self.unserved_s / AGING_S)
+        return max(self.waiting, self.unserved + self.unserved_s / UNSERVED_AGING_S)
 
     @property
     def value(self) -> float:
@@ -71,7 +71,7 @@
         return self.rate + WAITING_WEIGHT * self.awaited
 
     @property
-    def expected(self) -> float:
+    def expected_callers(self) -> float:
         """The callers who are there for a load from the weight store that begins now:
         those who wait, and those who come back. Where they weren't counted, the calls
         that ended without an answer stand for them."""
@@ -80,37 +80,41 @@
         return self.callers
 
     @property
-    def overdue(self) -> float:
+    def aged_callers(self) -> float:
         """The same, and the more the longer nobody has been served."""
-        return self.expected * self._aging
+        return self.expected_callers * self._aging
 
     @property
-    def turn_value(self) -> float:
+    def store_load_value(self) -> float:
         """How much a turn of the weight store is worth for the model, to compare those
         that no engine has a copy of.
 
         It is for callers to be: those who have left count for nothing, however many
         they were.
         """
-        to_come = FORESEEN_S * self.rate
-        return self.overdue + to_come * self._aging + HELD_WORTH * self.oldest_s
+        to_come = FORECAST_S * self.rate
+        return (
+            self.aged_callers
+            + to_come * self._aging
+            + WAITED_SECOND_VALUE * self.oldest_s
+        )
 
     @property
     def _aging(self) -> float:
-        return 1.0 + self.unserved_s / TURN_AGING_S
+        return 1.0 + self.unserved_s / STORE_AGING_S
 
     @property
-    def value_of_one(self) -> float:
+    def value_per_holder(self) -> float:
         """How much it matters that one engine keeps the model. Every further engine
         that holds it as well makes it matter far less, and one that could load it from
         a copy somewhat less: unloaded for a load that takes long, a model with its only
         copy there can't be had at all meanwhile."""
-        return self.value_if_held_by(self.holders)
+        return self.value_with_holders(self.holders)
 
-    def value_if_held_by(self, holders: int) -> float:
+    def value_with_holders(self, holders: int) -> float:
         """The same if so many engines held the model."""
-        others = COPIED_KEEP if self.copies > max(1, holders) else 1.0
-        return others * (LEAST_KEEP + self.value) / max(1, holders) ** 2
+        others = COPIED_KEEP_FACTOR if self.copies > max(1, holders) else 1.0
+        return others * (MIN_KEEP_VALUE + self.value) / max(1, holders) ** 2
 
 
 #: What a model that nobody asks for is wanted.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
@@ -10,12 +10,12 @@
 
 from collections.abc import Collection, Iterable
 
-from bambootiller_core.gateway.adapter_places import AdapterPlaces
+from bambootiller_core.gateway.adapter_availability import AdapterAvailability
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
 from bambootiller_core.gateway.fleet import Backend
+from bambootiller_core.gateway.load_targets import LoadTarget
 from bambootiller_core.gateway.log_lines import Obstacles
 from bambootiller_core.gateway.model_demand import Demand
-from bambootiller_core.gateway.places import Place
 
 
 def obstacles(
@@ -23,18 +23,18 @@
     spec: ModelSpec,
     demand: Demand,
     known: Collection[Backend],
-    places: Iterable[Place],
-    adapters: AdapterPlaces,
+    load_targets: Iterable[LoadTarget],
+    adapters: AdapterAvailability,
 ) -> Obstacles:
-    """Counts engines by what keeps them from the load; ``places`` are those of the
+    """Counts engines by what keeps them from the load; ``load_targets`` are those of the
     ``known`` engines that take orders."""
     taking = kept = no_room = able = 0
-    for place in places:
+    for load_target in load_targets:
         taking += 1
-        seconds, _ = place.tier_seconds(spec)
-        if place.victims(engine, spec, demand, seconds) is None:
+        seconds, _ = load_target.load_time(spec)
+        if load_target.victims(engine, spec, demand, seconds) is None:
             no_room += 1
-        elif adapters.calls_kept(place, seconds) > demand.value:
+        elif adapters.blocked_calls(load_target, seconds) > demand.value:
             kept += 1
         else:
             able += 1
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_memory.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_memory.py
@@ -17,7 +17,7 @@
     engine: EngineSpec,
     report: EngineReport,
     loading: str | None,
-    unsettled: EngineOrder | None,
+    unconfirmed: EngineOrder | None,
 ) -> float:
     """Megabytes held, on their way in, or possibly brought by an unsettled order.
 
@@ -31,13 +31,13 @@
         total += _adapter_size(engine, model)
     if loading is not None and loading not in report.holdings:
         total += _size(engine, loading)
-    if unsettled is not None and unsettled.kind is OrderKind.LOAD:
-        size = _adapter_size if unsettled.adapter else _size
-        total += size(engine, unsettled.model)
+    if unconfirmed is not None and unconfirmed.kind is OrderKind.LOAD:
+        size = _adapter_size if unconfirmed.adapter else _size
+        total += size(engine, unconfirmed.model)
     return total
 
 
-def leaves_room(
+def fits_late_loads(
     engine: EngineSpec,
     report: EngineReport,
     order: EngineOrder,
@@ -46,14 +46,14 @@
     """Whether all late loads fit beside what the engine holds after the order."""
     after = report
     for change in (order, *sorted(late, key=lambda item: item.expected)):
-        after = _carried_out(after, change)
+        after = _report_after(after, change)
     count = sum(len(adapters) for adapters in after.holdings.values())
     count += len(after.adapters_coming)
     used = memory_used(engine, after, None, None)
     return used <= engine.memory_mb and count <= engine.adapter_slots
 
 
-def _carried_out(report: EngineReport, order: EngineOrder) -> EngineReport:
+def _report_after(report: EngineReport, order: EngineOrder) -> EngineReport:
     """What the engine reports once the order is carried out."""
     holdings = dict(report.holdings)
     held = holdings.get(order.model)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
@@ -75,21 +75,21 @@
 
 
 #: The urgency of what calls wait for now; higher ones are asked for ahead of demand.
-WAITED_FOR = 0
+CALLS_WAITING = 0
 
 
 @dataclass(frozen=True, slots=True)
 class LoadRequest:
     """A model, or an adapter of one, that an entry has calls for; 0 is most urgent.
     ``demand`` is the demand of all entries for the model, as the one that asks knows
-    it, ``turns`` how many loads it takes the weight store to serve; 0 if it doesn't
+    it, ``store_permits`` how many loads it takes the weight store to serve; 0 if it doesn't
     say."""
 
     model: str
     adapter: str = ""
     urgency: int = 0
     demand: Demand = Demand()
-    turns: int = 0
+    store_permits: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -21,15 +21,20 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 
-from bambootiller_core.gateway.collecting import greater
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
+from bambootiller_core.gateway.demand_collection import merge_max
 from bambootiller_core.gateway.engine_state import EngineState, Loading
+from bambootiller_core.gateway.entry_reports import EntryReports
 from bambootiller_core.gateway.late_orders import LateOrders
+from bambootiller_core.gateway.load_targets import (
+    CALL_DURATION_S,
+    choose_victims,
+    keep_values,
+)
 from bambootiller_core.gateway.model_demand import Demand
-from bambootiller_core.gateway.order_demand import EntriesSay
-from bambootiller_core.gateway.order_memory import leaves_room, memory_used
+from bambootiller_core.gateway.order_memory import fits_late_loads, memory_used
 from bambootiller_core.gateway.order_messages import (
-    WAITED_FOR,
+    CALLS_WAITING,
     EngineOrder,
     EngineReport,
     LoadEnded,
@@ -37,18 +42,17 @@
     OrderAnswer,
     OrderKind,
 )
-from bambootiller_core.gateway.places import RUN_S, choose_victims, keep_values
 from bambootiller_core.gateway.store_permit_gate import StorePermitGate
 
 #: Adapters that may be on their way to an engine at a time.
-ADAPTERS_AT_ONCE = 4
+MAX_ADAPTER_LOADS = 4
 #: A load shows in reports within this time. An engine that isn't busy later than this,
 #: and doesn't hold the model, has given the load up. Seconds.
-LOAD_SHOWS_S = 0.4
+LOAD_VISIBLE_S = 0.4
 #: An engine that refused an order because it is another instance isn't ordered for so
 #: long, unless its name is known sooner: it would refuse the same order again and
 #: again. Seconds; about a heartbeat, within which a new start is listed.
-MISNAMED_S = 1.0
+WRONG_INSTANCE_COOLDOWN_S = 1.0
 #: A load that has outlived its estimate is expected to last this part of it longer.
 OVERRUN_SHARE = 0.15
 
@@ -86,14 +90,14 @@
         self._gate = gate
         self._report: EngineReport | None = None
         self._reported_at = float("-inf")
-        self._unsettled: EngineOrder | None = None
+        self._unconfirmed: EngineOrder | None = None
         self._needs_report = True
         self._load: _Load | None = None
         self._unloading: str | None = None
         self._preparing: _Preparing | None = None
-        self._say = EntriesSay()
+        self._entry_reports = EntryReports()
         self._late = LateOrders()
-        self._misnamed_until = float("-inf")
+        self._wrong_instance_until = float("-inf")
         self.fenced = False
 
     @property
@@ -102,9 +106,9 @@
         return self._report
 
     @property
-    def unsettled(self) -> EngineOrder | None:
+    def unconfirmed(self) -> EngineOrder | None:
         """An order of which it isn't known whether it was accepted."""
-        return self._unsettled
+        return self._unconfirmed
 
     def configured(self, engine: EngineSpec) -> None:
         """A new configuration describes the engine."""
@@ -114,15 +118,15 @@
         self, now: float, load_request: LoadRequest, entry: str = ""
     ) -> None:
         """An entry has calls that need the model or adapter."""
-        self._say.load_requested(now, load_request, entry)
+        self._entry_reports.load_requested(now, load_request, entry)
 
     def requested_by(self, order: EngineOrder) -> str:
         """The entry that wished last for what the order is for."""
         if order.wanted_for:
-            return self._say.requested_by(order.wanted_for)
-        return self._say.requested_by(order.model, order.adapter)
+            return self._entry_reports.requested_by(order.wanted_for)
+        return self._entry_reports.requested_by(order.model, order.adapter)
 
-    def entry_told(
+    def entry_reported(
         self,
         now: float,
         entry: str,
@@ -130,11 +134,11 @@
         in_use: Mapping[str, int],
     ) -> None:
         """An entry's demand over all engines, and its calls here, by model."""
-        self._say.told(now, entry, demands, in_use)
+        self._entry_reports.reported(now, entry, demands, in_use)
 
-    def entry_heard(self, now: float, entry: str) -> bool:
+    def entry_alive(self, now: float, entry: str) -> bool:
         """An entry has nothing new to say; False if it has to be told again."""
-        return self._say.heard(now, entry)
+        return self._entry_reports.keep_alive(now, entry)
 
     def reported(self, now: float, report: EngineReport) -> LoadEnded | None:
         """Take over a report that was asked for after the last order was answered;
@@ -145,10 +149,10 @@
             return None
         self._report, self._reported_at = report, now
         self._needs_report = False
-        unsettled = self._unsettled
-        if unsettled is not None and report.accepted > unsettled.expected:
-            self._unsettled = None
-            self._begun(now, unsettled)
+        unconfirmed = self._unconfirmed
+        if unconfirmed is not None and report.accepted > unconfirmed.expected:
+            self._unconfirmed = None
+            self._order_accepted(now, unconfirmed)
         return self._settle_progress(now, report)
 
     def _is_restart(self, now: float, report: EngineReport) -> bool:
@@ -169,12 +173,12 @@
         Whether an order that got no answer was carried out no longer matters. It may
         reach the new start, which refuses it only if that has another name or count.
         """
-        self._load = self._unloading = self._unsettled = self._preparing = None
-        self._say.engine_restarted()
+        self._load = self._unloading = self._unconfirmed = self._preparing = None
+        self._entry_reports.engine_restarted()
         self._late.engine_restarted()
-        self._misnamed_until = float("-inf")
+        self._wrong_instance_until = float("-inf")
 
-    def engine_gone(self) -> None:
+    def engine_ended(self) -> None:
         """The engine has ended, and its load with it. Told as going on, it would keep
         the weight store's turn from others until the engine is back or dropped."""
         self._load = None
@@ -186,18 +190,18 @@
         report = self._report
         if report is None or self._needs_report or self.fenced:
             return None
-        if now < self._misnamed_until:
+        if now < self._wrong_instance_until:
             return None
-        if self._unsettled is not None:
-            return self._unsettled
+        if self._unconfirmed is not None:
+            return self._unconfirmed
         if self._gate is not None and self._gate.acquiring is not None:
-            self._say.renew(now, self._gate.acquiring.model)
-        self._say.forget(now)
+            self._entry_reports.renew(now, self._gate.acquiring.model)
+        self._entry_reports.expire(now)
         if report.busy or self._load is not None or self._unloading is not None:
             # The engine turns down every order while it carries one out for a model,
             # those for adapters too.
             return None
-        load_requests = self._say.load_requests()
+        load_requests = self._entry_reports.load_requests()
         if self._preparing is not None:
             order = self._for_model(now, self._preparing.load_request)
             if order is not None:
@@ -215,23 +219,23 @@
                 return order
         return None
 
-    def draws_on_store(self) -> bool:
+    def uses_store(self) -> bool:
         """Whether a load from the weight store is under way, may be, or has room made
         for it."""
         if self._load is not None:
             return self._load.from_store
         if self._report is None:
             return False
-        order, preparing = self._unsettled, self._preparing
+        order, preparing = self._unconfirmed, self._preparing
         if order is not None and order.kind is OrderKind.LOAD and not order.adapter:
             return not self._report.has_copy(order.model)
         return preparing is not None and not self._report.has_copy(
             preparing.load_request.model
         )
 
-    def sending(self, order: EngineOrder) -> None:
+    def order_sent(self, order: EngineOrder) -> None:
         """The order goes out now; until it is answered it may take effect."""
-        self._unsettled = order
+        self._unconfirmed = order
         if order.kind is OrderKind.UNLOAD and not order.adapter:
             self._unloading = order.model
 
@@ -245,22 +249,22 @@
             # An earlier copy of this order may have been accepted, which the report's
             # number tells; if it hasn't moved, another order is in progress.
             return
-        self._unsettled = None
+        self._unconfirmed = None
         if answer is OrderAnswer.ACCEPTED or answer is OrderAnswer.HOLDS:
-            self._begun(now, order)
+            self._order_accepted(now, order)
             return
         if answer is OrderAnswer.FENCED:
             self.fenced = True
         if answer is OrderAnswer.OTHER_INSTANCE:
-            self._misnamed_until = now + MISNAMED_S
+            self._wrong_instance_until = now + WRONG_INSTANCE_COOLDOWN_S
         if self._unloading == order.model:
             self._unloading = None
 
-    def conflict_seen(self, order: EngineOrder) -> None:
+    def conflict_confirmed(self, order: EngineOrder) -> None:
         """A report after a conflict shows that the number hasn't moved: the order was
         turned down, and all its copies are answered."""
-        if self._unsettled == order:
-            self._unsettled = None
+        if self._unconfirmed == order:
+            self._unconfirmed = None
             if self._unloading == order.model and not order.adapter:
                 self._unloading = None
 
@@ -284,13 +288,13 @@
             running=report.running,
             queued=report.queued,
             memory_mb_used=self._memory_used(),
-            orderable=not self.fenced and now >= self._misnamed_until,
+            orderable=not self.fenced and now >= self._wrong_instance_until,
             keep_values=keep_values(holdings, self.demands()),
-            in_use=self._say.in_use(),
+            in_use=self._entry_reports.in_use(),
             started_ms=report.started_ms,
         )
 
-    def _begun(self, now: float, order: EngineOrder) -> None:
+    def _order_accepted(self, now: float, order: EngineOrder) -> None:
         if order.adapter:
             return
         if order.kind is OrderKind.UNLOAD:
@@ -318,13 +322,13 @@
         load, ended = self._load, None
         if load is not None:
             held = load.model in report.holdings
-            if held or (not report.busy and now - load.began > LOAD_SHOWS_S):
+            if held or (not report.busy and now - load.began > LOAD_VISIBLE_S):
                 self._load = None
                 seconds = now - load.began
                 ended = LoadEnded(load.model, held, seconds, load.from_store)
             if held:
-                self._say.loaded(now, load.model, now - load.began)
-        if self._unloading is not None and self._unsettled is None:
+                self._entry_reports.model_loaded(now, load.model, now - load.began)
+        if self._unloading is not None and self._unconfirmed is None:
             if self._unloading not in report.holdings or not report.busy:
                 self._unloading = None
         return ended
@@ -332,12 +336,12 @@
     def _loading(self, now: float) -> Loading | None:
         load = self._load
         if load is None:
-            return self._prepared(now) or self._sought()
+            return self._upcoming_load(now) or self._acquiring_load()
         left = load.began + load.seconds - now
         left = max(left, load.seconds * OVERRUN_SHARE)
         return Loading(load.model, left, load.from_store)
 
-    def _prepared(self, now: float) -> Loading | None:
+    def _upcoming_load(self, now: float) -> Loading | None:
         """The load to come, told as if it had begun, or entries would have the model
         loaded elsewhere while others are unloaded for it here."""
         preparing = self._preparing
@@ -345,10 +349,10 @@
         if not spec:
             return None
         seconds, from_store = self._load_time(spec)
-        left = max(0.0, preparing.since + RUN_S - now) + seconds
+        left = max(0.0, preparing.since + CALL_DURATION_S - now) + seconds
         return Loading(spec.name, left, from_store)
 
-    def _sought(self) -> Loading | None:
+    def _acquiring_load(self) -> Loading | None:
         """The load for which a turn of the weight store is being taken, told as if it
         had begun, or the next plan would ask for another elsewhere."""
         acquiring = self._gate.acquiring if self._gate is not None else None
@@ -366,7 +370,7 @@
         coming = report.adapters_coming
         if (load_request.model, load_request.adapter) in coming or len(
             coming
-        ) >= ADAPTERS_AT_ONCE:
+        ) >= MAX_ADAPTER_LOADS:
             return None
         spec = self._engine.models.get(load_request.model)
         if spec is None:
@@ -384,13 +388,13 @@
         return self._order(now, OrderKind.UNLOAD, *victim, load_request.model)
 
     def _idle_adapter(self, now: float) -> tuple[str, str] | None:
-        say = self._say
-        in_use = say.in_use()
+        entry_reports = self._entry_reports
+        in_use = entry_reports.in_use()
         idle = [
-            (say.used_at(model, adapter), model, adapter)
+            (entry_reports.used_at(model, adapter), model, adapter)
             for model, adapters in self._report.holdings.items()
             for adapter in adapters
-            if not say.used_lately(now, model, adapter)
+            if not entry_reports.recently_used(now, model, adapter)
             and not in_use.get(f"{model}/{adapter}")
         ]
         if not idle:
@@ -409,16 +413,20 @@
                 return None
             return self._order(now, OrderKind.LOAD, load_request.model, "")
         demands = self.demands()
-        in_use = self._say.in_use()
-        incoming = greater(demands, {load_request.model: load_request.demand})[
+        in_use = self._entry_reports.in_use()
+        incoming = merge_max(demands, {load_request.model: load_request.demand})[
             load_request.model
         ]
-        if load_request.urgency > WAITED_FOR:
+        if load_request.urgency > CALLS_WAITING:
             incoming = replace(incoming, waiting=0, unserved=0.0)
         elif not incoming.awaited:
             incoming = replace(incoming, waiting=1)
         values = keep_values(report.holdings, demands)
-        fresh = [name for name in report.holdings if self._say.loaded_lately(now, name)]
+        fresh = [
+            name
+            for name in report.holdings
+            if self._entry_reports.recently_loaded(now, name)
+        ]
         values.update(dict.fromkeys(fresh, float("inf")))
         seconds, _ = self._load_time(spec)
         victims = choose_victims(
@@ -435,7 +443,7 @@
     def _may_load(self, spec: ModelSpec, load_request: LoadRequest) -> bool:
         if self._gate is None or self._report.has_copy(spec.name):
             return True
-        return self._gate.allows(spec, load_request.turns)
+        return self._gate.allows(spec, load_request.store_permits)
 
     def _order(
         self,
@@ -449,18 +457,18 @@
         report = self._report
         order = EngineOrder(kind, model, adapter, report.accepted, wanted_for)
         late = list(self._late.loads_after(now, order.expected + 1))
-        if late and not leaves_room(self._engine, report, order, late):
+        if late and not fits_late_loads(self._engine, report, order, late):
             return None
-        row = self._late.row_before(now, order.expected)
+        row = self._late.consecutive_before(now, order.expected)
         empty = replace(report, holdings={}, adapters_coming=frozenset())
-        if row and not leaves_room(self._engine, empty, order, row):
+        if row and not fits_late_loads(self._engine, empty, order, row):
             return None
         return order
 
     def _memory_used(self) -> float:
         loading = self._load.model if self._load is not None else None
-        return memory_used(self._engine, self._report, loading, self._unsettled)
+        return memory_used(self._engine, self._report, loading, self._unconfirmed)
 
     def demands(self) -> dict[str, Demand]:
         """The demand of all entries together."""
-        return self._say.demands()
+        return self._entry_reports.demands()
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -19,23 +19,31 @@
 from functools import lru_cache
 
 from bambootiller_core import rendezvous
-from bambootiller_core.gateway.adapter_places import AdapterPlaces
+from bambootiller_core.gateway.adapter_availability import AdapterAvailability
 from bambootiller_core.gateway.config import EngineSpec, ModelSpec
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.load_order import MANY_WAITING, Rank, in_order
-from bambootiller_core.gateway.log_lines import Obstacles
-from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
-from bambootiller_core.gateway.moving import WORTH_S, WORTH_WAITING, find_move
-from bambootiller_core.gateway.obstacles import obstacles
-from bambootiller_core.gateway.places import (
+from bambootiller_core.gateway.load_priority import (
+    MANY_WAITING,
+    LoadRank,
+    prioritize_loads,
+)
+from bambootiller_core.gateway.load_targets import (
+    CALL_DURATION_S,
     LONG_LOAD_S,
-    ORDER_S,
-    RUN_S,
-    Place,
+    ORDER_OVERHEAD_S,
+    LoadTarget,
     Victims,
     copies_at,
     copies_of,
 )
+from bambootiller_core.gateway.log_lines import Obstacles
+from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
+from bambootiller_core.gateway.model_moves import (
+    MIN_MOVE_GAIN_S,
+    MIN_WAITING_CALLS,
+    find_move,
+)
+from bambootiller_core.gateway.obstacles import obstacles
 from bambootiller_core.gateway.store_admission import StoreAdmission
 from bambootiller_core.gateway.store_queue import (
     Oversubscription,
@@ -45,30 +53,30 @@
 
 #: What it counts, in seconds, that a long load puts one model out of reach: asked for
 #: meanwhile, it would be late by half of the load, and most aren't asked for.
-BLOCKED_S = 0.3
+BLOCKED_MODEL_COST_S = 0.3
 #: What it counts that a long load keeps one call from its adapter: it is refused, and
 #: comes back as late as that. Seconds.
-CALL_KEPT_S = 1.0
+BLOCKED_CALL_COST_S = 1.0
 #: What it counts at most that calls may miss an adapter during a long load: it waits
 #: for no other engine longer than that. Seconds.
-AT_RISK_MOST_S = 1.0
+MAX_CALLS_AT_RISK_COST_S = 1.0
 #: Loads that are over within so long of each other are equally good; then rendezvous
 #: hashing decides. Decimals of a second.
 EQUAL_DECIMALS = 1
 #: While calls come, one in so many engines may be in a load from the weight store.
-LONG_LOADS_PART = 2
+ENGINES_PER_LONG_LOAD = 2
 #: A load beyond what the store is known to serve is tried for so many callers who are
 #: there: with fewer, another model may be asked for more by the time of its turn.
-TRIED_FOR = 2 * MANY_WAITING
+MIN_CALLERS_TO_PROBE = 2 * MANY_WAITING
 #: Or for one that nobody could be served of for so many times its load: the queue for
 #: the store is long, whoever is first in it.
-TRIED_AFTER_LOADS = 4
+PROBE_AFTER_LOADS = 4
 #: What is later than the best by more than this can't be equally good. Seconds; half
 #: of the last decimal and a little for rounding.
-SURELY_LATER_S = 0.06
+TIE_MARGIN_S = 0.06
 #: How many weights of engines for models are kept: those of 136 models and 29 engines,
 #: and as many again.
-KEPT_WEIGHTS = 8192
+WEIGHT_CACHE_SIZE = 8192
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,23 +84,23 @@
     """A load that is under way or planned, and when the model can be used.
 
     ``instance`` is empty while the load waits for the weight store: which engine is
-    best then isn't known yet. ``turn`` tells why a load from the store begins when it
+    best then isn't known yet. ``start_reason`` tells why a load from the store begins when it
     does.
     """
 
     model: str
     instance: str
     ready_in_s: float
-    ask_now: bool
+    request_now: bool
     from_store: bool
-    turn: StartReason | None = None
+    start_reason: StartReason | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class _Option:
     """A load at an engine; ``ready_in_s`` leaves out its wait for the weight store."""
 
-    place: Place
+    load_target: LoadTarget
     ready_in_s: float
     from_store: bool
 
@@ -120,19 +128,19 @@
         self._engine = engine
         #: How many loads the weight store is taken to serve at full speed.
         self.store_loads = store_loads
-        self._left_s = left_s or _told_left_s
+        self._left_s = left_s or _reported_left_s
         self._ends_elsewhere = ends_elsewhere
         self._allows_probe = allows_probe
         self._cooling_down = cooling_down
         #: How many loads draw on the weight store at the time of the last plan.
         self.store_loads_under_way = 0
-        self._known: list[Backend] = []
-        self._copied: Counter[str] = Counter()
-        self._places: list[Place] = []
-        self._copies: dict[str, list[Place]] = {}
-        self._only_here: dict[str, set[str]] = {}
-        self._out_of_reach: dict[str, int] = {}
-        self._adapters = AdapterPlaces(engine, (), {})
+        self._live_backends: list[Backend] = []
+        self._copy_counts: Counter[str] = Counter()
+        self._load_targets: list[LoadTarget] = []
+        self._copies: dict[str, list[LoadTarget]] = {}
+        self._only_copies_at: dict[str, set[str]] = {}
+        self._unavailable_counts: dict[str, int] = {}
+        self._adapters = AdapterAvailability(engine, (), {})
 
     def plan(
         self,
@@ -153,21 +161,21 @@
             for backend in backends
             if backend.engine is not None and not backend.lost(now)
         ]
-        self._known = known
-        self._copied = copies = self._survey(now, known, demands)
-        plan = self._under_way(known)
+        self._live_backends = known
+        self._copy_counts = copies = self._survey_fleet(now, known, demands)
+        plan = self._loads_in_progress(known)
         store_ends = [load.ready_in_s for load in plan.values() if load.from_store]
         store_ends += self._ends_elsewhere
         self.store_loads_under_way = len(store_ends)
-        order = in_order(self._engine, now, known, copies, demands, plan)
+        order = prioritize_loads(self._engine, now, known, copies, demands, plan)
         order = [item for item in order if item[0].size_mb <= self._engine.memory_mb]
         queue = self._store_queue(demands, store_ends)
         admission = StoreAdmission(queue, bool(store_ends), order, copies, demands)
         for spec, rank in order:
             admission.mark_planned(spec.name)
-            coming = plan.get(spec.name)
-            if coming is None or rank is Rank.MUCH_WAITED_FOR:
-                self._plan_one(spec, rank, coming, demands, admission, plan)
+            in_progress = plan.get(spec.name)
+            if in_progress is None or rank is LoadRank.MANY_CALLS_WAITING:
+                self._plan_one(spec, rank, in_progress, demands, admission, plan)
             # Otherwise it is being moved, to make room for one before it in the order.
         return plan
 
@@ -177,7 +185,9 @@
         awaited = [
             name
             for name, demand in demands.items()
-            if demand.awaited and name in self._engine.models and not self._copied[name]
+            if demand.awaited
+            and name in self._engine.models
+            and not self._copy_counts[name]
         ]
         return sorted(awaited, key=lambda name: (-demands[name].value, name))
 
@@ -187,60 +197,65 @@
         if spec is None:
             return None
         return obstacles(
-            self._engine, spec, demand, self._known, self._places, self._adapters
+            self._engine,
+            spec,
+            demand,
+            self._live_backends,
+            self._load_targets,
+            self._adapters,
         )
 
     def _plan_one(
         self,
         spec: ModelSpec,
-        rank: Rank,
-        coming: PlannedLoad | None,
+        rank: LoadRank,
+        in_progress: PlannedLoad | None,
         demands: Mapping[str, Demand],
         admission: StoreAdmission,
         plan: dict[str, PlannedLoad],
     ) -> None:
-        """Plan the load of one model, if there is one worth it; ``coming`` is one that
+        """Plan the load of one model, if there is one worth it; ``in_progress`` is one that
         is under way."""
         demand = demands.get(spec.name, NO_DEMAND)
         oversubscription = _oversubscription(spec, demand)
         if self._must_wait_for_store(spec, oversubscription, admission.queue):
-            admitted = admission.admit(rank, coming is not None)
-            if admitted and self._has_room(spec, _as_option(rank, demand)):
+            admitted = admission.admit(rank, in_progress is not None)
+            if admitted and self._has_room(spec, _incremental_demand(rank, demand)):
                 admission.record_load(rank)
                 plan[spec.name] = _waiting_load(spec, admission.queue.add(spec.load_s))
             return
         begins, _ = admission.queue.preview(spec.load_s, oversubscription)
-        option = self._best(spec, _as_option(rank, demand), begins)
+        option = self._best(spec, _incremental_demand(rank, demand), begins)
         if option is None:
             return
-        ready, waits_for_store, turn = option.ready_in_s, False, None
+        ready, waits_for_store, start_reason = option.ready_in_s, False, None
         if option.from_store:
-            if not admission.admit(rank, coming is not None):
+            if not admission.admit(rank, in_progress is not None):
                 return
             if spec.name in self._copies and admission.defers_to_uncopied(spec):
-                _, ends = turn = admission.queue.preview(spec.load_s)
-                if not self._moves(spec, ends, demands, plan):
-                    plan[spec.name] = _waiting_load(spec, turn)
+                _, ends = start_reason = admission.queue.preview(spec.load_s)
+                if not self._plan_move(spec, ends, demands, plan):
+                    plan[spec.name] = _waiting_load(spec, start_reason)
                 return
             admission.record_load(rank)
-            turn = admission.queue.start_reason(spec.load_s, oversubscription)
+            start_reason = admission.queue.start_reason(spec.load_s, oversubscription)
             begins, ends = admission.queue.add(spec.load_s, oversubscription)
             waits_for_store = begins > 0
             ready += ends - spec.load_s
-        elif not _is_sooner(option, coming):
+        elif not _is_worthwhile(option, in_progress):
             return
-        if self._moves(spec, ready, demands, plan):
+        if self._plan_move(spec, ready, demands, plan):
             return
         plan[spec.name] = PlannedLoad(
             spec.name,
-            option.place.instance,
+            option.load_target.instance,
             ready,
-            ask_now=option.place.is_free and not waits_for_store,
+            request_now=option.load_target.is_free and not waits_for_store,
             from_store=option.from_store,
-            turn=turn,
+            start_reason=start_reason,
         )
         if not waits_for_store:
-            self._occupy(option)
+            self._reserve(option)
 
     def _store_queue(
         self, demands: Mapping[str, Demand], store_ends: Collection[float]
@@ -253,11 +268,11 @@
         """
         if not any([demand.rate for demand in demands.values()]):
             return StoreQueue(self.store_loads, store_ends)
-        most = max(1, len(self._places) // LONG_LOADS_PART)
+        most = max(1, len(self._load_targets) // ENGINES_PER_LONG_LOAD)
         allow_probe = self._allows_probe and self.store_loads < most
         return StoreQueue(min(self.store_loads, most), store_ends, allow_probe)
 
-    def _survey(
+    def _survey_fleet(
         self, now: float, known: list[Backend], demands: Mapping[str, Demand]
     ) -> Counter[str]:
         """Note what holds for all models of a plan; returns how many engines have
@@ -267,19 +282,23 @@
         for backend in known:
             copied_at[backend.instance] = names = copies_at(backend)
             copies.update(names)
-        self._places = [
-            self._place(backend) for backend in known if backend.accepts_orders(now)
+        self._load_targets = [
+            self._load_target(backend)
+            for backend in known
+            if backend.accepts_orders(now)
         ]
-        self._adapters = AdapterPlaces(self._engine, self._places, demands)
-        self._copies = copies_of(self._places)
+        self._adapters = AdapterAvailability(self._engine, self._load_targets, demands)
+        self._copies = copies_of(self._load_targets)
         once = {name for name, count in copies.items() if count == 1}
-        for place in self._places:
-            instance, held = place.instance, place.held
-            only_here = self._only_here[instance] = once & copied_at[instance]
-            self._out_of_reach[instance] = sum([name not in held for name in only_here])
+        for load_target in self._load_targets:
+            instance, held = load_target.instance, load_target.held
+            only_copies = self._only_copies_at[instance] = once & copied_at[instance]
+            self._unavailable_counts[instance] = sum(
+                [name not in held for name in only_copies]
+            )
         return copies
 
-    def _under_way(self, known: list[Backend]) -> dict[str, PlannedLoad]:
+    def _loads_in_progress(self, known: list[Backend]) -> dict[str, PlannedLoad]:
         found: dict[str, PlannedLoad] = {}
         for backend in known:
             loading = backend.engine.loading
@@ -288,12 +307,12 @@
                     loading.model,
                     backend.instance,
                     self._left_s(backend),
-                    ask_now=False,
+                    request_now=False,
                     from_store=loading.from_store,
                 )
         return found
 
-    def _moves(
+    def _plan_move(
         self,
         spec: ModelSpec,
         ready_in_s: float,
@@ -302,41 +321,41 @@
     ) -> bool:
         """Plan to make room for an awaited model at its copy by moving another, if
         that is much sooner than ``ready_in_s``."""
-        if demands.get(spec.name, NO_DEMAND).waiting < WORTH_WAITING:
+        if demands.get(spec.name, NO_DEMAND).waiting < MIN_WAITING_CALLS:
             return False
-        coming = {
+        in_progress = {
             load.model: load.ready_in_s for load in plan.values() if not load.from_store
         }
-        move = find_move(self._engine, spec, self._copies, demands, coming)
-        if move is None or move.ready_in_s + WORTH_S > ready_in_s:
+        move = find_move(self._engine, spec, self._copies, demands, in_progress)
+        if move is None or move.ready_in_s + MIN_MOVE_GAIN_S > ready_in_s:
             return False
-        if move.to is not None:
-            move.to.planned += 1
+        if move.target is not None:
+            move.target.planned_loads += 1
             plan[move.moved.name] = PlannedLoad(
                 move.moved.name,
-                move.to.instance,
+                move.target.instance,
                 move.moved_in_s,
-                ask_now=True,
+                request_now=True,
                 from_store=False,
             )
-        move.at.planned += 1
+        move.vacated.planned_loads += 1
         plan[spec.name] = PlannedLoad(
             spec.name,
-            move.at.instance,
+            move.vacated.instance,
             move.ready_in_s,
-            ask_now=False,
+            request_now=False,
             from_store=False,
         )
         return True
 
-    def _place(self, backend: Backend) -> Place:
+    def _load_target(self, backend: Backend) -> LoadTarget:
         state = backend.engine
         free_in = 0.0
         if state.loading is not None:
-            free_in = max(ORDER_S, self._left_s(backend))
+            free_in = max(ORDER_OVERHEAD_S, self._left_s(backend))
         elif state.busy:
-            free_in = RUN_S
-        return Place(backend, free_in)
+            free_in = CALL_DURATION_S
+        return LoadTarget(backend, free_in)
 
     def _must_wait_for_store(
         self, spec: ModelSpec, oversubscription: Oversubscription, queue: StoreQueue
@@ -351,11 +370,11 @@
     def _has_room(self, spec: ModelSpec, demand: Demand) -> bool:
         """Whether some engine could make room for a load from the store."""
         return any(
-            spec.name not in place.held
-            and (spec.name, place.instance) not in self._cooling_down
-            and self._adapters.calls_kept(place, spec.load_s) <= demand.value
-            and place.victims(self._engine, spec, demand, spec.load_s) is not None
-            for place in self._places
+            spec.name not in load_target.held
+            and (spec.name, load_target.instance) not in self._cooling_down
+            and self._adapters.blocked_calls(load_target, spec.load_s) <= demand.value
+            and load_target.victims(self._engine, spec, demand, spec.load_s) is not None
+            for load_target in self._load_targets
         )
 
     def _best(
@@ -366,90 +385,100 @@
         best: _Option | None = None
         best_s = float("inf")
         # Copies come first: a load from one rules most other engines out.
-        for place in (*self._copies.get(spec.name, ()), *self._places):
-            if place.planned > 2 or spec.name in place.held:
+        for load_target in (*self._copies.get(spec.name, ()), *self._load_targets):
+            if load_target.planned_loads > 2 or spec.name in load_target.held:
                 continue
-            seconds, from_store = place.tier_seconds(spec)
-            if from_store and (spec.name, place.instance) in self._cooling_down:
+            seconds, from_store = load_target.load_time(spec)
+            if from_store and (spec.name, load_target.instance) in self._cooling_down:
                 continue
-            ready = place.free_in_s + seconds + ORDER_S
+            ready = load_target.free_after_s + seconds + ORDER_OVERHEAD_S
             wait_s = max(0.0, store_wait_s) if from_store else 0.0
-            if ready + wait_s > best_s + SURELY_LATER_S:
+            if ready + wait_s > best_s + TIE_MARGIN_S:
                 # Before the costlier questions: half of all engines end here.
                 continue
-            calls_kept = self._adapters.calls_kept(place, seconds)
-            if calls_kept > demand.value:
+            blocked_calls = self._adapters.blocked_calls(load_target, seconds)
+            if blocked_calls > demand.value:
                 continue
-            victims = place.victims(self._engine, spec, demand, seconds)
+            victims = load_target.victims(self._engine, spec, demand, seconds)
             if victims is None:
                 continue
             ready += victims.wait_s
             rated = ready + wait_s
             if seconds > LONG_LOAD_S:
-                rated += BLOCKED_S * self._blocked_by_load(place, victims)
-                at_risk = self._adapters.calls_at_risk(place, seconds)
-                rated += max(CALL_KEPT_S * calls_kept, min(at_risk, AT_RISK_MOST_S))
+                rated += BLOCKED_MODEL_COST_S * self._blocked_by_load(
+                    load_target, victims
+                )
+                at_risk = self._adapters.calls_at_risk(load_target, seconds)
+                rated += max(
+                    BLOCKED_CALL_COST_S * blocked_calls,
+                    min(at_risk, MAX_CALLS_AT_RISK_COST_S),
+                )
             rated = round(rated, EQUAL_DECIMALS)
             if rated > best_s:
                 continue
             if rated == best_s:
-                instance, other = place.instance, best.place.instance
+                instance, other = load_target.instance, best.load_target.instance
                 if _weight(spec.name, instance) <= _weight(spec.name, other):
                     continue
-            best, best_s = _Option(place, ready, from_store), rated
+            best, best_s = _Option(load_target, ready, from_store), rated
         return best
 
-    def _blocked_by_load(self, place: Place, victims: Victims) -> int:
+    def _blocked_by_load(self, load_target: LoadTarget, victims: Victims) -> int:
         """How many models can't be had while a long load keeps this engine from all
         other orders: those of which it has the only copy and that it won't hold."""
-        instance = place.instance
-        only_here = self._only_here[instance]
-        going = sum([name in only_here for name in victims.models])
-        return self._out_of_reach[instance] + going
+        instance = load_target.instance
+        only_copies = self._only_copies_at[instance]
+        going = sum([name in only_copies for name in victims.models])
+        return self._unavailable_counts[instance] + going
 
-    def _occupy(self, option: _Option) -> None:
+    def _reserve(self, option: _Option) -> None:
         """Keep an engine for a load that can begin there next.
 
         A load that waits for the store takes no engine yet: with a dozen models in that
         queue every engine was taken, and none loaded a copy that calls waited for.
         """
-        self._adapters.occupy(option.place, option.ready_in_s)
-        option.place.planned += 1
+        self._adapters.reserve(option.load_target, option.ready_in_s)
+        option.load_target.planned_loads += 1
 
 
-def _is_sooner(option: _Option, coming: PlannedLoad | None) -> bool:
+def _is_worthwhile(option: _Option, in_progress: PlannedLoad | None) -> bool:
     """Whether a load from a copy is worth it beside one that is under way."""
-    return coming is None or option.ready_in_s + WORTH_S <= coming.ready_in_s
+    return (
+        in_progress is None
+        or option.ready_in_s + MIN_MOVE_GAIN_S <= in_progress.ready_in_s
+    )
 
 
 def _oversubscription(spec: ModelSpec, demand: Demand) -> Oversubscription:
     if demand.waiting >= MANY_WAITING:
         return Oversubscription.MAY_OVERSUBSCRIBE
-    if max(demand.waiting, demand.expected) >= TRIED_FOR:
+    if max(demand.waiting, demand.expected_callers) >= MIN_CALLERS_TO_PROBE:
         return Oversubscription.MAY_PROBE
-    if demand.expected and demand.unserved_s >= TRIED_AFTER_LOADS * spec.load_s:
+    if demand.expected_callers and demand.unserved_s >= PROBE_AFTER_LOADS * spec.load_s:
         return Oversubscription.MAY_PROBE
     return Oversubscription.MUST_QUEUE
 
 
-def _waiting_load(spec: ModelSpec, turn: tuple[float, float]) -> PlannedLoad:
+def _waiting_load(spec: ModelSpec, start_reason: tuple[float, float]) -> PlannedLoad:
     """A load that waits for its turn at the weight store."""
-    _, ends = turn
-    return PlannedLoad(spec.name, "", ends + ORDER_S, ask_now=False, from_store=True)
+    _, ends = start_reason
+    return PlannedLoad(
+        spec.name, "", ends + ORDER_OVERHEAD_S, request_now=False, from_store=True
+    )
 
 
-@lru_cache(KEPT_WEIGHTS)
+@lru_cache(WEIGHT_CACHE_SIZE)
 def _weight(model: str, instance: str) -> int:
     return rendezvous.weight(model, instance)
 
 
-def _as_option(rank: Rank, demand: Demand) -> Demand:
+def _incremental_demand(rank: LoadRank, demand: Demand) -> Demand:
     """The demand that one more engine would serve: of a model that is held already,
     what that engine would add."""
-    if rank is not Rank.SECOND_COPY or demand.holders <= 1:
+    if rank is not LoadRank.ADDITIONAL_ENGINE or demand.holders <= 1:
         return demand
     return replace(demand, rate=demand.rate / (demand.holders + 1) ** 2, waiting=0)
 
 
-def _told_left_s(backend: Backend) -> float:
+def _reported_left_s(backend: Backend) -> float:
     return backend.engine.loading.left_s
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/running.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/running_clock.py
@@ -11,7 +11,7 @@
 
 Example::
 
-    running = RunningTime(now)
+    running = RunningClock(now)
     timers.every("running time", TICK_S, now, running.tick)
     began = running.ran(now)
     ...
@@ -25,27 +25,27 @@
 TICK_S = 0.1
 #: A look that comes no later than this is in order: timers of a process that runs fire
 #: some milliseconds late, more while it carries out one piece of work. Seconds.
-LATE_S = 0.03
+TICK_TOLERANCE_S = 0.03
 
 
-class RunningTime:
+class RunningClock:
     """A clock that stands still while its process does."""
 
     def __init__(self, now: float) -> None:
-        self._ticked = now
-        self._stood_still = 0.0
+        self._last_tick = now
+        self._stalled_s = 0.0
 
     def tick(self, now: float) -> float:
         """The process runs. Returns for how long it had stood still before, 0 if it
         hadn't. Seconds."""
         late_s = self._late_s(now)
-        self._stood_still += late_s
-        self._ticked = now
+        self._stalled_s += late_s
+        self._last_tick = now
         return late_s
 
     def running_time(self, now: float) -> float:
         """A reading of the clock, in seconds. Only differences mean something."""
-        return now - self._stood_still - self._late_s(now)
+        return now - self._stalled_s - self._late_s(now)
 
     def _late_s(self, now: float) -> float:
-        return max(0.0, now - self._ticked - TICK_S - LATE_S)
+        return max(0.0, now - self._last_tick - TICK_S - TICK_TOLERANCE_S)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_admission.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_admission.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Iterable, Mapping
 
 from bambootiller_core.gateway.config import ModelSpec
-from bambootiller_core.gateway.load_order import Rank
+from bambootiller_core.gateway.load_priority import LoadRank
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.store_queue import StoreQueue
 
@@ -37,7 +37,7 @@
         self,
         queue: StoreQueue,
         is_busy: bool,
-        order: Iterable[tuple[ModelSpec, Rank]],
+        order: Iterable[tuple[ModelSpec, LoadRank]],
         copied: Collection[str],
         demands: Mapping[str, Demand],
     ) -> None:
@@ -48,18 +48,18 @@
         self._uncopied = {
             spec.name: self._value_per_second(spec)
             for spec, rank in order
-            if rank <= Rank.ASKED_FOR and spec.name not in copied
+            if rank <= LoadRank.IN_DEMAND and spec.name not in copied
         }
 
     def _value_per_second(self, spec: ModelSpec) -> float:
-        return self._demands.get(spec.name, NO_DEMAND).turn_value / spec.load_s
+        return self._demands.get(spec.name, NO_DEMAND).store_load_value / spec.load_s
 
     def mark_planned(self, name: str) -> None:
         """Note that the plan has reached the model: it is no longer one of those that
         come later."""
         self._uncopied.pop(name, None)
 
-    def admit(self, rank: Rank, is_loading: bool) -> bool:
+    def admit(self, rank: LoadRank, is_loading: bool) -> bool:
         """Whether a load from the store is worth its time. ``is_loading`` tells whether
         a load of the same model is under way.
 
@@ -67,9 +67,9 @@
         model than by a second one. The second engine gets its copy later, while the
         store has nothing else to do.
         """
-        if is_loading or rank is Rank.HELD_ONCE:
+        if is_loading or rank is LoadRank.SINGLE_HOLDER:
             return False
-        if rank is Rank.SECOND_COPY:
+        if rank is LoadRank.ADDITIONAL_ENGINE:
             return not self._is_busy and self._second_copies < SECOND_COPY_LOADS
         return True
 
@@ -87,6 +87,6 @@
             others = [other for other in others if other >= value]
         return len(others) >= max(1, self.queue.room())
 
-    def record_load(self, rank: Rank) -> None:
+    def record_load(self, rank: LoadRank) -> None:
         """Count a load that has joined the store's queue."""
-        self._second_copies += rank is Rank.SECOND_COPY
+        self._second_copies += rank is LoadRank.ADDITIONAL_ENGINE
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_load_requests.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_load_requests.py
@@ -101,7 +101,9 @@
         for load in self.expired:
             self._probes.pop(load, None)
         started_probes = [
-            load for load in self.newly_requested if load.turn is StartReason.PROBE
+            load
+            for load in self.newly_requested
+            if load.start_reason is StartReason.PROBE
         ]
         self._probes.update(dict.fromkeys(started_probes, False))
         return [request.load for request in self._requests]
@@ -115,7 +117,7 @@
         return now >= self._probe_not_before
 
     def _may_request(self, now: float, load: PlannedLoad) -> bool:
-        return load.turn is not StartReason.PROBE or self.may_probe(now)
+        return load.start_reason is not StartReason.PROBE or self.may_probe(now)
 
     def _review_probes(
         self,
--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -283,7 +283,7 @@
                 self._words.engine_answers(False)
                 self._engine_gone()
             if report.gone:
-                self._book.engine_gone()
+                self._book.engine_ended()
                 self._turn.load_ended()
             elif self._is_dropped():
                 self._turn.review(self._app.now(), load_goes_on=False)
@@ -320,7 +320,7 @@
         )
 
     def _review_turn(self, report: EngineReport) -> None:
-        goes_on = self._book.draws_on_store()
+        goes_on = self._book.uses_store()
         if self._turn.recalled:
             goes_on = goes_on or report.busy
         self._turn.review(self._reported_at, goes_on)
@@ -374,7 +374,7 @@
 
     async def _give(self, order: EngineOrder, instance: str) -> None:
         book = self._book
-        book.sending(order)
+        book.order_sent(order)
         self._words.tell()
         decided = self._app.now()
         demand = book.demands().get(order.wanted_for or order.model, Demand())
@@ -411,7 +411,7 @@
         self._take(report)
         # A late report of the start before isn't taken over, and settles nothing.
         if self._book.report is report and report.accepted <= order.expected:
-            self._book.conflict_seen(order)
+            self._book.conflict_confirmed(order)
 
 
 def _draws_on_store(report: EngineReport, order: EngineOrder) -> bool:
--- a/packages/bambootiller/src/bambootiller/gateway/agent_words.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent_words.py
@@ -13,7 +13,7 @@
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller.gateway.exchange import TELL_S, Exchanger, Outgoing, Update
 from bambootiller.gateway.quarantine import Quarantine
-from bambootiller_core.gateway.collecting import planners
+from bambootiller_core.gateway.demand_collection import planners
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.log_lines import EntryHeard
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
@@ -256,8 +256,8 @@
             self._exchanger.soon()
         self._entries[entry] = at = outgoing.last_received_at
         self._collect(entry, words.collect)
-        if told_anew or not self._book.entry_heard(at, entry):
-            self._book.entry_told(at, entry, words.demands, words.in_use)
+        if told_anew or not self._book.entry_alive(at, entry):
+            self._book.entry_reported(at, entry, words.demands, words.in_use)
 
     def _collect(self, entry: str, collect: bool) -> None:
         if collect == (entry in self._collected_for):
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -9,17 +9,18 @@
 from bambootiller.gateway.knowledge import Knowledge
 from bambootiller.gateway.load_asks import LoadAsks
 from bambootiller.gateway.plan_clock import PlanClock, pause_s
-from bambootiller_core.gateway.collecting import (
-    Totals,
-    greater,
-    planners,
-)
+from bambootiller_core.gateway.adapter_prefetch import AdapterPrefetch
 from bambootiller_core.gateway.config import ServiceSpec
 from bambootiller_core.gateway.copies import copies_seen
+from bambootiller_core.gateway.demand_collection import (
+    CollectedDemand,
+    merge_max,
+    planners,
+)
 from bambootiller_core.gateway.demand_tracker import DemandTracker
-from bambootiller_core.gateway.due_adapters import DueAdapters
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.initial_discovery import InitialDiscovery
+from bambootiller_core.gateway.load_targets import copies_at
 from bambootiller_core.gateway.log_lines import (
     LogLine,
     ModelCopy,
@@ -28,7 +29,6 @@
 )
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.order_messages import LoadRequest
-from bambootiller_core.gateway.places import copies_at
 from bambootiller_core.gateway.residency import PlannedLoad, Planner
 from bambootiller_core.gateway.store_concurrency import StoreConcurrency
 from bambootiller_core.gateway.store_concurrency_by_service import (
@@ -73,14 +73,14 @@
         self._asks = LoadAsks(
             app.instance, knowledge.fleet, lambda: self.entries, load_request, emit
         )
-        self._totals = Totals()
+        self._totals = CollectedDemand()
         self._plans: dict[str, dict[str, PlannedLoad]] = {}
         self._planned_for: dict[str, dict[str, Demand]] = {}
         self._planners: dict[str, Planner] = {}
         self._store_idle: dict[str, StoreIdleTracker] = {}
         self._planned_at = float("-inf")
         self._store_concurrency = StoreConcurrencyByService()
-        self._due_adapters: dict[str, DueAdapters] = {}
+        self._adapter_prefetch: dict[str, AdapterPrefetch] = {}
         self._discoveries: dict[str, InitialDiscovery] = {}
         self._clock = PlanClock(
             self._due,
@@ -104,31 +104,31 @@
         """The demand for the models of a service at this entry."""
         return self._demand_trackers.setdefault(service, DemandTracker())
 
-    def due_adapters(self, service: str) -> DueAdapters:
+    def adapter_prefetch(self, service: str) -> AdapterPrefetch:
         """The adapters that refused callers will need, at the engines of a service."""
-        return self._due_adapters.setdefault(service, DueAdapters())
+        return self._adapter_prefetch.setdefault(service, AdapterPrefetch())
 
     def engine_spoke(self, now: float, backend: Backend) -> None:
         """An agent told something new: ask it for the adapters of refused callers whose
         models are there."""
         service = backend.registration.service
-        due = self._due_adapters.get(service)
+        due = self._adapter_prefetch.get(service)
         if due is None:
             return
         backends = self._knowledge.fleet.of_service(service)
         for load_request in due.load_requests(now, backend, backends):
             self._request_load(backend, load_request)
 
-    def totals_told(
+    def totals_reported(
         self, now: float, service: str, host: str, totals: Mapping[str, Demand]
     ) -> None:
         """A collecting agent told the demand of all entries."""
-        self._totals.told(now, service, host, totals)
+        self._totals.reported(now, service, host, totals)
 
     def total_demands(self, service: str, own: dict[str, Demand]) -> dict[str, Demand]:
         """The demand of all entries for the models of a service, as its collectors
         told it last, and not less than what this entry knows of its own."""
-        return greater(self._totals.of(self._app.now(), service), own)
+        return merge_max(self._totals.demands(self._app.now(), service), own)
 
     def own_demands(self, service: str) -> dict[str, Demand]:
         """This entry's demand, as agents are told it."""
@@ -325,7 +325,7 @@
         it is the one to see to their model. Others make the plan when a call comes."""
         if self._awaits_own():
             return True
-        awaited = self._totals.waited_for(now)
+        awaited = self._totals.models_waited_for(now)
         if any(map(self._asks.sees_to, awaited)):
             return True
         services = self._engine_services() if awaited else ()
@@ -339,7 +339,7 @@
         collectors. While a store is short of time most entries have some, and each
         would make the plan that a few act on.
         """
-        if any(demand.anyone_waits for demand in self._demand_trackers.values()):
+        if any(demand.has_waiting_calls for demand in self._demand_trackers.values()):
             return True
         own = self._own.values() if self._is_planner() else ()
         return any(demand.waiting for demands in own for demand in demands.values())
--- a/packages/bambootiller/src/bambootiller/gateway/engine_words.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_words.py
@@ -11,7 +11,10 @@
 
 from bambootiller.gateway import wire
 from bambootiller.rpc import bambootiller_pb2 as pb
-from bambootiller_core.gateway.collecting import concerning, moved
+from bambootiller_core.gateway.demand_collection import (
+    demands_changed,
+    relevant_demands,
+)
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.incarnation import Incarnation
@@ -54,7 +57,7 @@
             # An agent whose engine starts anew forgets the calls that it was told of.
             return True
         part = _part(demands, backend.engine, collect)
-        if moved(self.part, part, now - self.told_at):
+        if demands_changed(self.part, part, now - self.told_at):
             return True
         self.demands, self.engine = demands, backend.engine
         return False
@@ -92,7 +95,7 @@
 def _part(
     demands: Mapping[str, Demand], engine: EngineState | None, collect: bool
 ) -> dict[str, Demand]:
-    part = concerning(demands, engine)
+    part = relevant_demands(demands, engine)
     if not collect:
         return part
     asked = {name: demand for name, demand in demands.items() if demand.value}
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -16,8 +16,8 @@
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller.rpc import bambootiller_pb2 as pb
-from bambootiller_core.gateway.collecting import collectors
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
+from bambootiller_core.gateway.demand_collection import collectors
 from bambootiller_core.gateway.document_propagation import entry_rank
 from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, Backend
 from bambootiller_core.gateway.log_lines import BackendRemoved, LogLine
@@ -283,7 +283,7 @@
         backend = fleet.get(words.state.instance)
         if backend is not None and words.totals is not None:
             service, host = backend.registration.service, backend.registration.host
-            self.plans.totals_told(now, service, host, words.totals)
+            self.plans.totals_reported(now, service, host, words.totals)
         if backend is None:
             return
         if not is_new and words.state.incarnation.precedes(backend.incarnation):
--- a/packages/bambootiller/src/bambootiller/gateway/load_asks.py
+++ b/packages/bambootiller/src/bambootiller/gateway/load_asks.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from bambootiller_core.gateway.collecting import seen_to_by
+from bambootiller_core.gateway.demand_collection import responsible_planner
 from bambootiller_core.gateway.fleet import Backend, Fleet
 from bambootiller_core.gateway.log_lines import (
     LogLine,
@@ -17,7 +17,7 @@
     StoreLoadNotBegun,
 )
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
-from bambootiller_core.gateway.order_messages import WAITED_FOR, LoadRequest
+from bambootiller_core.gateway.order_messages import CALLS_WAITING, LoadRequest
 from bambootiller_core.gateway.residency import PlannedLoad, Planner
 from bambootiller_core.gateway.store_load_requests import StoreLoadRequests
 from bambootiller_core.gateway.store_queue import MAX_SLOWDOWN, StartReason
@@ -55,7 +55,7 @@
     def sees_to(self, model: str) -> bool:
         """Whether this entry is the one to ask for a load that no call of its own waits
         for."""
-        return seen_to_by(model, self._entries()) == self._instance
+        return responsible_planner(model, self._entries()) == self._instance
 
     def sees_to_store(self, service: str) -> bool:
         """Whether this entry is the one to ask for the loads of a service that draw on
@@ -70,7 +70,7 @@
         return [
             load
             for load in plan.values()
-            if load.ask_now
+            if load.request_now
             and not load.from_store
             and (demands.get(load.model, NO_DEMAND).waiting or self.sees_to(load.model))
         ]
@@ -99,7 +99,9 @@
         that the ``planner`` has made."""
         if not self.sees_to_store(service):
             return []
-        planned = [load for load in plan.values() if load.ask_now and load.from_store]
+        planned = [
+            load for load in plan.values() if load.request_now and load.from_store
+        ]
         asks = self._store_asks.setdefault(service, StoreLoadRequests())
         chosen = asks.choose(now, planned, self._is_told, self._is_listed)
         for load in asks.expired:
@@ -124,10 +126,10 @@
                 continue
             waiting = demands.get(load.model, NO_DEMAND).waiting
             demand = total_demands.get(load.model, NO_DEMAND)
-            urgency = WAITED_FOR if waiting or demand.awaited else AHEAD
-            turns = turns_for(load, store_loads)
+            urgency = CALLS_WAITING if waiting or demand.awaited else AHEAD
+            store_permits = turns_for(load, store_loads)
             self._request_load(
-                backend, LoadRequest(load.model, "", urgency, demand, turns)
+                backend, LoadRequest(load.model, "", urgency, demand, store_permits)
             )
 
     def _is_listed(self, load: PlannedLoad) -> bool:
@@ -148,9 +150,9 @@
     >>> turns_for(PlannedLoad("tutor", "b1", 9.0, True, True, StartReason.PROBE), 1)
     2
     """
-    if load.turn is StartReason.OVERSUBSCRIBED:
+    if load.start_reason is StartReason.OVERSUBSCRIBED:
         return int(MAX_SLOWDOWN * store_loads)
-    return store_loads + (load.turn is StartReason.PROBE)
+    return store_loads + (load.start_reason is StartReason.PROBE)
 
 
 def _asked(
@@ -160,7 +162,7 @@
         service,
         load.model,
         load.instance,
-        load.turn.value if load.turn is not None else "",
+        load.start_reason.value if load.start_reason is not None else "",
         planner.store_loads_under_way,
         planner.store_loads,
         demand.waiting,
--- a/packages/bambootiller/src/bambootiller/gateway/meters.py
+++ b/packages/bambootiller/src/bambootiller/gateway/meters.py
@@ -27,7 +27,7 @@
 )
 
 from bambootiller_core.gateway import log_lines as lines
-from bambootiller_core.gateway.unserved import Unserved
+from bambootiller_core.gateway.unserved import UnservedTracker
 
 #: Values of one label that are told apart; all further ones count as "other".
 MOST_LABELS = 40
@@ -83,7 +83,7 @@
         self._route = BoundedLabel()
         self._service = BoundedLabel()
         self._customer = BoundedLabel()
-        self.unserved = Unserved()
+        self.unserved = UnservedTracker()
         self.requests = self._counter(
             "requests", "Calls by their end", "route", "kind", "outcome"
         )
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -269,7 +269,7 @@
     def _refuse_cold(self, now: float, come_back_s: float) -> Refusal:
         """The adapter is to be there when the caller is back: the engine may begin the
         next long load as soon as this one ends."""
-        due = self._context.engines.plans.due_adapters(self._call.service)
+        due = self._context.engines.plans.adapter_prefetch(self._call.service)
         due.refused(now, self._call.ask, come_back_s)
         return Refusal(Reason.MODEL_NOT_LOADED, come_back_s)
 
@@ -307,7 +307,7 @@
         returns_in_s = retry_predictor.expected_retry_in_s(call, now, come_back)
         demand = engines.plans.demand(call.service)
         demand.refused(now, ask.model, come_back, self._weight, returns_in_s)
-        engines.plans.due_adapters(call.service).refused(now, ask, come_back)
+        engines.plans.adapter_prefetch(call.service).refused(now, ask, come_back)
         plan = self._plan_seen(now, planned)
         return Refusal(Reason.MODEL_NOT_LOADED, come_back, detail, plan)
 
@@ -333,7 +333,7 @@
             ready_in_s=round(planned.ready_in_s, 2),
             backend=planned.instance or None,
             from_store=planned.from_store,
-            asked=planned.ask_now,
+            asked=planned.request_now,
             agent_age_ms=None if age_s is None else round(age_s * 1000),
             waiting=demand.waiting,
             copies=copies,
--- a/packages/bambootiller/src/bambootiller/gateway/silence.py
+++ b/packages/bambootiller/src/bambootiller/gateway/silence.py
@@ -8,7 +8,7 @@
 
 T = TypeVar("T")
 #: Reads the running time of the process, in seconds; see
-#: :mod:`bambootiller_core.gateway.running`.
+#: :mod:`bambootiller_core.gateway.running_clock`.
 RunningClock = Callable[[], float]
 #: Shortest timer, so that a wait that is almost over doesn't keep the event loop
 #: spinning. Seconds.
--- a/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
@@ -8,7 +8,7 @@
 from bambootiller.app import Application
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller_core.gateway.log_lines import StoodStill
-from bambootiller_core.gateway.running import TICK_S, RunningTime
+from bambootiller_core.gateway.running_clock import TICK_S, RunningClock
 
 #: Stalls shorter than this aren't logged: they delay an event of a stream by no more
 #: than the gap between events that most routes allow. Seconds.
@@ -70,7 +70,7 @@
     def __init__(self, app: Application, events: EventLog) -> None:
         self._app = app
         self._events = events
-        self._running = RunningTime(app.now())
+        self._running = RunningClock(app.now())
         self._listeners: list[Callable[[float], None]] = []
         self.stall_check = StallCheck(app.now, self._running.running_time)
 
--- a/packages/bambootiller/src/bambootiller/gateway/turn_holder.py
+++ b/packages/bambootiller/src/bambootiller/gateway/turn_holder.py
@@ -90,7 +90,7 @@
         turn = TurnHolder(app, kv, "tutor", gate, events, wake, ran)
         await turn.recall()
         turn.seek(now)
-        turn.review(now, load_goes_on=book.draws_on_store())
+        turn.review(now, load_goes_on=book.uses_store())
     """
 
     def __init__(
--- a/packages/bambootiller/src/bambootiller/gateway/wire.py
+++ b/packages/bambootiller/src/bambootiller/gateway/wire.py
@@ -133,7 +133,7 @@
         model=load_request.model,
         adapter=load_request.adapter,
         urgency=load_request.urgency,
-        store_turns=load_request.turns,
+        store_turns=load_request.store_permits,
     )
     if load_request.demand != Demand():
         message.demand.CopyFrom(
--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -16,12 +16,12 @@
 from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.server_admission import ServerAdmission
 from bambootiller.gateway.server_limits import ServerLimits
+from bambootiller_core.gateway.adapter_prefetch import AdapterPrefetch
 from bambootiller_core.gateway.demand_tracker import DemandTracker
-from bambootiller_core.gateway.due_adapters import DueAdapters
 from bambootiller_core.gateway.model_demand import NO_DEMAND
 from bambootiller_core.gateway.quota_limits import QuotaTolerance
 from bambootiller_core.gateway.retry_budget import RetryBudget
-from bambootiller_core.gateway.running import TICK_S, RunningTime
+from bambootiller_core.gateway.running_clock import TICK_S, RunningClock
 from bambootiller_core.ports import Changed, Record
 from bambootiller_platform.dialect import PlatformDialect
 from bambootiller_platform.documents import PlatformDirectory
@@ -53,8 +53,8 @@
     def demand(self, service):
         return self._demand_tracker
 
-    def due_adapters(self, service):
-        return DueAdapters()
+    def adapter_prefetch(self, service):
+        return AdapterPrefetch()
 
     def planned(self, service, model):
         return None
@@ -113,7 +113,7 @@
         loop = asyncio.get_running_loop()
         self.knowledge = Knowledge(PlatformDirectory(), self.events, loop.time)
         self.engines = EnginesWithoutAgents()
-        self._running = RunningTime(loop.time())
+        self._running = RunningClock(loop.time())
         self._ticking = loop.create_task(self._tick())
         allowances = Allowances("e1", lambda peer: True, lambda: False)
         limits = ServerLimits(self.events, loop.time, lambda: None)
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_standstills.py
@@ -21,7 +21,7 @@
 from bambootiller.gateway.knowledge import Knowledge, StoreWatcher
 from bambootiller.gateway.ports import Bounds
 from bambootiller_core.gateway.retry_budget import RetryBudget
-from bambootiller_core.gateway.running import TICK_S, RunningTime
+from bambootiller_core.gateway.running_clock import TICK_S, RunningClock
 from bambootiller_platform import store as store_module
 from bambootiller_platform.documents import PlatformDirectory
 from tests.adapter.common.background_loop import BackgroundLoop
@@ -230,7 +230,7 @@
         kv = store_module.PlatformKeyValue(f"http://{store.server.address}")
         self.addAsyncCleanup(kv.close)
         loop, events = asyncio.get_running_loop(), RecordingEventLog()
-        running = RunningTime(loop.time())
+        running = RunningClock(loop.time())
         knowledge = Knowledge(
             PlatformDirectory(), events, loop.time, running.running_time
         )
--- a/tests/gateway/common/fleets.py
+++ b/tests/gateway/common/fleets.py
@@ -9,8 +9,8 @@
     Backend,
     Registration,
 )
+from bambootiller_core.gateway.load_targets import keep_values
 from bambootiller_core.gateway.model_demand import Demand
-from bambootiller_core.gateway.places import keep_values
 
 NOW = 100.0
 
--- a/tests/gateway/common/rare_replay.py
+++ b/tests/gateway/common/rare_replay.py
@@ -13,14 +13,18 @@
 
 from bambootiller_core.gateway.demand_tracker import DemandTracker
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.entry_reports import MIN_RESIDENCY_S
+from bambootiller_core.gateway.load_targets import (
+    choose_victims,
+    copies_at,
+    keep_values,
+)
 from bambootiller_core.gateway.model_demand import NO_DEMAND
-from bambootiller_core.gateway.order_demand import SHORTEST_TURN_S
-from bambootiller_core.gateway.places import choose_victims, copies_at, keep_values
 from bambootiller_core.gateway.residency import Planner
 from tests.gateway.common import samples
 
 TICK_S = 0.1
-DISK_S, RUN_S = 0.4, 0.5
+DISK_S, CALL_DURATION_S = 0.4, 0.5
 #: A caller of which the model comes later than this is refused. Seconds.
 PATIENCE_S = 4.0
 COME_BACK_MAX_S = 6.0
@@ -191,7 +195,7 @@
             if engine is None:
                 staying.append(caller)
                 continue
-            engine.held[caller.model] = self.now + RUN_S
+            engine.held[caller.model] = self.now + CALL_DURATION_S
             self._end(caller, served=True)
         self._waiting = staying
 
@@ -275,7 +279,7 @@
         by_name = {engine.name: engine for engine in self.engines}
         for load in self._plan.values():
             engine = by_name.get(load.instance)
-            if load.ask_now and not engine.loading:
+            if load.request_now and not engine.loading:
                 self._load(engine, load.model, demands)
 
     def _backend(self, engine, demands=None):
@@ -300,7 +304,7 @@
         need_mb = 40.0 * (len(engine.held) + 1) - self.spec.memory_mb
         values = keep_values(engine.held, demands)
         for name in engine.held:
-            if self.now - engine.loaded_at.get(name, -1.0) < SHORTEST_TURN_S:
+            if self.now - engine.loaded_at.get(name, -1.0) < MIN_RESIDENCY_S:
                 values[name] = float("inf")
         victims = choose_victims(
             self.spec,
--- a/tests/gateway/common/replay.py
+++ b/tests/gateway/common/replay.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from bambootiller_core.gateway.demand_tracker import MEMORY_S
+from bambootiller_core.gateway.demand_tracker import DECAY_S
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.load_targets import choose_victims, keep_values
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
-from bambootiller_core.gateway.places import choose_victims, keep_values
 from bambootiller_core.gateway.residency import Planner
 from tests.gateway.common import samples
 
@@ -25,7 +25,7 @@
 #: A caller is late after the first, and leaves after the second. Seconds.
 TARGET_S, PATIENCE_S = 4.0, 16.0
 #: How long a call runs. Seconds.
-RUN_S = 2.0
+CALL_DURATION_S = 2.0
 LOAD_S, DISK_S = 6.5, 1.5
 STORE_LOADS = 4
 LENGTH_S, TICK_S = 40.0, 0.1
@@ -96,10 +96,10 @@
 
     def _arrive(self, now):
         for model in self._rates:
-            self._rates[model] *= 1 - TICK_S / MEMORY_S
+            self._rates[model] *= 1 - TICK_S / DECAY_S
         if self._rng.random() < CALLS_PER_S * TICK_S:
             model = self._rng.choice(self._names)
-            self._rates[model] += 1 / MEMORY_S
+            self._rates[model] += 1 / DECAY_S
             self._waiting.setdefault(model, []).append(now)
 
     def _end_loads(self, now):
@@ -114,7 +114,7 @@
             holder = next((e for e in self._engines if model in e.held), None)
             if holder is not None:
                 del self._waiting[model]
-                holder.held[model] = now + RUN_S
+                holder.held[model] = now + CALL_DURATION_S
                 for at in since:
                     in_time = now - at <= TARGET_S
                     self.outcome.in_time += in_time
@@ -148,7 +148,7 @@
         by_name = {engine.name: engine for engine in self._engines}
         for load in plan.values():
             engine = by_name.get(load.instance)
-            if load.ask_now and not engine.loading:
+            if load.request_now and not engine.loading:
                 self._load(now, engine, load.model, demands)
 
     def _backend(self, now, engine, demands):
--- a/tests/gateway/cover/test_collecting.py
+++ b/tests/gateway/cover/test_collecting.py
@@ -6,17 +6,17 @@
 from bambootiller.gateway import wire
 from bambootiller.gateway.engines import Engines
 from bambootiller.rpc import bambootiller_pb2 as pb
-from bambootiller_core.gateway.collecting import (
-    Totals,
+from bambootiller_core.gateway.demand_collection import (
+    CollectedDemand,
     collectors,
-    concerning,
-    greater,
-    moved,
+    demands_changed,
+    merge_max,
+    relevant_demands,
 )
-from bambootiller_core.gateway.demand_tracker import MEMORY_S
+from bambootiller_core.gateway.demand_tracker import DECAY_S
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.entry_reports import EntryReports
 from bambootiller_core.gateway.model_demand import Demand
-from bambootiller_core.gateway.order_demand import EntriesSay
 from bambootiller_core.gateway.order_messages import LoadRequest
 from tests.gateway.common import samples
 from tests.gateway.failures.test_engines import App, Known
@@ -45,31 +45,41 @@
         """
         for step in range(1, 11):
             seconds = step * 0.5
-            demands = {"poet": Demand(rate=math.exp(-seconds / MEMORY_S))}
-            self.assertFalse(moved({"poet": Demand(rate=1.0)}, demands, seconds))
+            demands = {"poet": Demand(rate=math.exp(-seconds / DECAY_S))}
+            self.assertFalse(
+                demands_changed({"poet": Demand(rate=1.0)}, demands, seconds)
+            )
 
     def test_an_agent_lets_it_fade_as_the_entry_does(self):
-        say = EntriesSay()
-        say.told(1.0, "e1", {"poet": Demand(rate=1.0)}, {})
+        entry_reports = EntryReports()
+        entry_reports.reported(1.0, "e1", {"poet": Demand(rate=1.0)}, {})
         for now in (1.5, 2.0, 3.0):
-            say.forget(now)
+            entry_reports.expire(now)
             self.assertAlmostEqual(
-                say.demands()["poet"].rate, math.exp((1.0 - now) / MEMORY_S), delta=0.05
+                entry_reports.demands()["poet"].rate,
+                math.exp((1.0 - now) / DECAY_S),
+                delta=0.05,
             )
 
     def test_the_age_of_calls_without_an_answer_is_told_once(self):
-        told = {"poet": Demand(unserved=2.0, unserved_s=3.0)}
+        reported = {"poet": Demand(unserved=2.0, unserved_s=3.0)}
         demands = {"poet": Demand(unserved=2.0, unserved_s=13.0)}
-        self.assertFalse(moved(told, demands, elapsed_s=10.0))
-        self.assertTrue(moved(told, {"poet": Demand(unserved=3.0)}, elapsed_s=0.1))
-        self.assertTrue(moved(told, {"poet": Demand()}, elapsed_s=0.1))
+        self.assertFalse(demands_changed(reported, demands, elapsed_s=10.0))
+        self.assertTrue(
+            demands_changed(reported, {"poet": Demand(unserved=3.0)}, elapsed_s=0.1)
+        )
+        self.assertTrue(demands_changed(reported, {"poet": Demand()}, elapsed_s=0.1))
 
     def test_an_agent_lets_that_age_grow(self):
-        say = EntriesSay()
-        say.told(1.0, "e1", {"poet": Demand(unserved=2.0, unserved_s=3.0)}, {})
-        say.told(2.0, "e2", {"poet": Demand(unserved=1.0, unserved_s=0.5)}, {})
-        say.forget(2.0)
-        demand = say.demands()["poet"]
+        entry_reports = EntryReports()
+        entry_reports.reported(
+            1.0, "e1", {"poet": Demand(unserved=2.0, unserved_s=3.0)}, {}
+        )
+        entry_reports.reported(
+            2.0, "e2", {"poet": Demand(unserved=1.0, unserved_s=0.5)}, {}
+        )
+        entry_reports.expire(2.0)
+        demand = entry_reports.demands()["poet"]
         self.assertEqual((demand.unserved, demand.unserved_s), (3.0, 4.0))
 
     def test_it_travels_both_ways(self):
@@ -79,25 +89,27 @@
         )
 
     def test_a_rate_that_rises_is_told(self):
-        self.assertTrue(moved({"poet": Demand(rate=1.0)}, {"poet": Demand(rate=1.3)}))
+        self.assertTrue(
+            demands_changed({"poet": Demand(rate=1.0)}, {"poet": Demand(rate=1.3)})
+        )
 
 
 class TestTotals(unittest.TestCase):
     def test_the_collector_that_knows_of_more_counts(self):
-        totals = Totals()
-        totals.told(1.0, "tutor", "h1", {"poet": Demand(3.0, 1)})
-        totals.told(1.0, "tutor", "h2", {"poet": Demand(2.0, 4)})
-        self.assertEqual(totals.of(1.5, "tutor")["poet"], Demand(3.0, 4))
+        totals = CollectedDemand()
+        totals.reported(1.0, "tutor", "h1", {"poet": Demand(3.0, 1)})
+        totals.reported(1.0, "tutor", "h2", {"poet": Demand(2.0, 4)})
+        self.assertEqual(totals.demands(1.5, "tutor")["poet"], Demand(3.0, 4))
 
     def test_a_lost_collectors_word_is_forgotten(self):
         """Symptom: a model that nobody asks for any more keeps an engine.
 
         The agent that collected its demand was killed, and its last sum stays.
         """
-        totals = Totals()
-        totals.told(1.0, "tutor", "h1", {"poet": Demand(3.0, 1)})
-        totals.told(4.0, "tutor", "h2", {"critic": Demand(1.0)})
-        self.assertEqual(list(totals.of(4.0, "tutor")), ["critic"])
+        totals = CollectedDemand()
+        totals.reported(1.0, "tutor", "h1", {"poet": Demand(3.0, 1)})
+        totals.reported(4.0, "tutor", "h2", {"critic": Demand(1.0)})
+        self.assertEqual(list(totals.demands(4.0, "tutor")), ["critic"])
 
 
 class TestTimeLeft(unittest.TestCase):
@@ -108,15 +120,15 @@
         self.assertEqual(wire.demands_of(wire.demand_messages(demands)), demands)
 
     def test_the_entry_with_the_least_time_left_counts(self):
-        say = EntriesSay()
-        say.told(1.0, "e1", {"tutor": Demand(0.5, 1, in_time_s=2.0)}, {})
-        say.told(1.0, "e2", {"tutor": Demand(0.5, 1, in_time_s=0.5)}, {})
-        self.assertEqual(say.demands()["tutor"].in_time_s, 0.5)
+        entry_reports = EntryReports()
+        entry_reports.reported(1.0, "e1", {"tutor": Demand(0.5, 1, in_time_s=2.0)}, {})
+        entry_reports.reported(1.0, "e2", {"tutor": Demand(0.5, 1, in_time_s=0.5)}, {})
+        self.assertEqual(entry_reports.demands()["tutor"].in_time_s, 0.5)
 
     def test_one_without_such_a_call_does_not(self):
         early, late = Demand(0.5, 1, in_time_s=2.0), Demand(0.5, 3)
         for first, second in ((early, late), (late, early)):
-            merged = greater({"tutor": first}, {"tutor": second})
+            merged = merge_max({"tutor": first}, {"tutor": second})
             self.assertEqual(merged["tutor"].in_time_s, 2.0)
 
 
@@ -129,24 +141,26 @@
         self.assertEqual(wire.demands_of(wire.demand_messages(demands)), demands)
 
     def test_those_of_all_entries_are_added_up(self):
-        say = EntriesSay()
-        say.told(1.0, "e1", {"tutor": Demand(0.5, callers=2.0)}, {})
-        say.told(1.0, "e2", {"tutor": Demand(0.5, callers=1.5)}, {})
-        say.told(1.0, "e3", {"tutor": Demand(0.5)}, {})
-        self.assertEqual(say.demands()["tutor"].callers, 3.5)
+        entry_reports = EntryReports()
+        entry_reports.reported(1.0, "e1", {"tutor": Demand(0.5, callers=2.0)}, {})
+        entry_reports.reported(1.0, "e2", {"tutor": Demand(0.5, callers=1.5)}, {})
+        entry_reports.reported(1.0, "e3", {"tutor": Demand(0.5)}, {})
+        self.assertEqual(entry_reports.demands()["tutor"].callers, 3.5)
 
     def test_the_collector_that_knows_of_more_counts(self):
         counted, other = Demand(0.5, callers=2.0), Demand(0.6)
         for first, second in ((counted, other), (other, counted)):
-            merged = greater({"tutor": first}, {"tutor": second})
+            merged = merge_max({"tutor": first}, {"tutor": second})
             self.assertEqual(merged["tutor"].callers, 2.0)
 
     def test_one_who_has_gone_is_told(self):
         self.assertTrue(
-            moved({"poet": Demand(callers=1.0)}, {"poet": Demand(callers=0.0)})
+            demands_changed(
+                {"poet": Demand(callers=1.0)}, {"poet": Demand(callers=0.0)}
+            )
         )
-        told = {"poet": Demand(callers=1.0)}
-        self.assertFalse(moved(told, {"poet": Demand(callers=1.1)}))
+        reported = {"poet": Demand(callers=1.0)}
+        self.assertFalse(demands_changed(reported, {"poet": Demand(callers=1.1)}))
 
 
 class TestConcerning(unittest.TestCase):
@@ -154,10 +168,10 @@
         loading = Loading("critic", 2.0, True)
         state = samples.engine_state("b1", ("poet",), loading=loading)
         demands = {name: Demand(1.0) for name in ("poet", "critic", "clerk")}
-        self.assertEqual(sorted(concerning(demands, state)), ["critic", "poet"])
+        self.assertEqual(sorted(relevant_demands(demands, state)), ["critic", "poet"])
 
     def test_without_its_word_it_hears_of_nothing(self):
-        self.assertEqual(concerning({"poet": Demand(1.0)}, None), {})
+        self.assertEqual(relevant_demands({"poet": Demand(1.0)}, None), {})
 
 
 class TestLoadRequests(unittest.TestCase):
@@ -172,10 +186,10 @@
             update, LoadRequest("poet", "", 0, Demand(9.0, 30, 0, 1.5))
         )
         load_request = wire.load_request_of(update.wishes[0])
-        say = EntriesSay()
-        say.told(1.0, "e1", {"poet": Demand(0.5, 2)}, {})
-        say.load_requested(1.0, load_request)
-        self.assertEqual(say.demands()["poet"], Demand(9.0, 30, 0, 1.5))
+        entry_reports = EntryReports()
+        entry_reports.reported(1.0, "e1", {"poet": Demand(0.5, 2)}, {})
+        entry_reports.load_requested(1.0, load_request)
+        self.assertEqual(entry_reports.demands()["poet"], Demand(9.0, 30, 0, 1.5))
 
     def test_a_wish_without_demand_stays_without(self):
         update = pb.ResidencyUpdate()
--- a/tests/gateway/cover/test_demand.py
+++ b/tests/gateway/cover/test_demand.py
@@ -3,12 +3,12 @@
 import unittest
 
 from bambootiller_core.gateway.demand_tracker import (
-    DUE_BACK_LATE_S,
-    DUE_BACK_MOST_S,
-    MEMORY_S,
+    DECAY_S,
+    MAX_RETURN_WAIT_S,
+    RETURN_SLACK_S,
     DemandTracker,
 )
-from bambootiller_core.gateway.model_demand import AGING_S
+from bambootiller_core.gateway.model_demand import UNSERVED_AGING_S
 
 
 class TestDemand(unittest.TestCase):
@@ -25,7 +25,7 @@
 
     def test_demand_that_ends_is_forgotten(self):
         self.demand_tracker.asked(0.0, "tutor")
-        self.assertIsNone(self.demand(20 * MEMORY_S))
+        self.assertIsNone(self.demand(20 * DECAY_S))
 
     def test_waiting_calls_count_until_they_end(self):
         self.demand_tracker.asked(0.0, "tutor")
@@ -50,7 +50,7 @@
         for number in range(6):
             self.demand_tracker.refused(number * 0.1, "tutor", come_back_s=6.0)
         self.assertEqual(self.demand(1.0).waiting, 6)
-        self.assertEqual(self.demand(1.0 + DUE_BACK_MOST_S).waiting, 0)
+        self.assertEqual(self.demand(1.0 + MAX_RETURN_WAIT_S).waiting, 0)
 
     def test_calls_without_an_answer_count_until_an_engine_holds_the_model(self):
         """A model was passed over as its callers, refused at once, never waited."""
@@ -61,7 +61,7 @@
         self.assertEqual(
             (demand.waiting, demand.unserved, demand.unserved_s), (0, 1.5, 9.0)
         )
-        self.assertEqual(demand.awaited, 1.5 + 9.0 / AGING_S)
+        self.assertEqual(demand.awaited, 1.5 + 9.0 / UNSERVED_AGING_S)
         held = self.demand_tracker.demands(9.0, {"tutor": 1}, {})["tutor"]
         self.assertEqual((held.unserved, held.awaited), (0.0, 0))
         self.assertEqual(self.demand(9.5).unserved, 0.0)
@@ -69,15 +69,15 @@
     def test_calls_without_an_answer_are_forgotten_with_the_demand(self):
         self.demand_tracker.asked(0.0, "tutor")
         self.demand_tracker.unserved(0.0, "tutor")
-        self.assertIsNone(self.demand(20 * MEMORY_S))
-        self.demand_tracker.asked(21 * MEMORY_S, "tutor")
-        self.assertEqual(self.demand(21 * MEMORY_S).unserved, 0.0)
+        self.assertIsNone(self.demand(20 * DECAY_S))
+        self.demand_tracker.asked(21 * DECAY_S, "tutor")
+        self.assertEqual(self.demand(21 * DECAY_S).unserved, 0.0)
 
     def test_a_caller_told_to_come_soon_is_not_waited_for_longer(self):
         self.demand_tracker.asked(0.0, "tutor")
         self.demand_tracker.refused(0.0, "tutor", come_back_s=0.3)
         self.assertEqual(self.demand(0.3).waiting, 1)
-        self.assertEqual(self.demand(0.4 + DUE_BACK_LATE_S).waiting, 0)
+        self.assertEqual(self.demand(0.4 + RETURN_SLACK_S).waiting, 0)
 
     def test_the_next_call_that_would_be_late_tells_how_long_it_is_in_time(self):
         self.demand_tracker.asked(0.0, "tutor")
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -5,7 +5,7 @@
 
 from bambootiller.gateway.engine_plans import EnginePlans
 from bambootiller.gateway.knowledge import Changes
-from bambootiller_core.gateway.collecting import planners
+from bambootiller_core.gateway.demand_collection import planners
 from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, Fleet
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
@@ -101,5 +101,5 @@
     def test_who_sees_to_loads_plans_for_the_refused_callers_of_others(self):
         self.start(planners(ENTRIES)[0])
         demands = {f"m{number}": Demand(0.1, waiting=1) for number in range(40)}
-        self.plans.totals_told(self.app.at, SERVICE, "10.0.0.1", demands)
+        self.plans.totals_reported(self.app.at, SERVICE, "10.0.0.1", demands)
         self.assertGreater(self.plans_in(1.0), 5)
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -3,7 +3,7 @@
 import unittest
 
 from bambootiller_core.gateway.fleet import EXPIRY_GRACE_S, Fleet
-from bambootiller_core.gateway.running import TICK_S, RunningTime
+from bambootiller_core.gateway.running_clock import TICK_S, RunningClock
 from tests.gateway.common import samples
 
 
@@ -182,7 +182,7 @@
         The agents spoke all the while. Their messages lie unread, and the age of the
         last one that was read had grown by the standstill.
         """
-        running = RunningTime(0.0)
+        running = RunningClock(0.0)
         fleet = Fleet(running.running_time)
         fleet.registry_changed(0.0, samples.registration("e1", "tutor"))
         fleet.engine_told(0.0, samples.engine_state("e1", ("m1",)))
@@ -192,7 +192,7 @@
         self.assertTrue(backend.accepts_orders(5.0))
 
     def test_an_agent_that_falls_silent_while_this_process_runs_is_noticed(self):
-        running = RunningTime(0.0)
+        running = RunningClock(0.0)
         fleet = Fleet(running.running_time)
         fleet.registry_changed(0.0, samples.registration("e1", "tutor"))
         fleet.engine_told(0.0, samples.engine_state("e1", ("m1",)))
--- a/tests/gateway/cover/test_moving.py
+++ b/tests/gateway/cover/test_moving.py
@@ -50,9 +50,13 @@
         from which it would have been loaded there in half a second.
         """
         plan = self.plan(self.first(), self.second())
-        self.assertEqual((plan["tutor"].instance, plan["tutor"].ask_now), ("b2", True))
+        self.assertEqual(
+            (plan["tutor"].instance, plan["tutor"].request_now), ("b2", True)
+        )
         self.assertFalse(plan["tutor"].from_store)
-        self.assertEqual((plan["clerk"].instance, plan["clerk"].ask_now), ("b1", False))
+        self.assertEqual(
+            (plan["clerk"].instance, plan["clerk"].request_now), ("b1", False)
+        )
         self.assertLess(plan["clerk"].ready_in_s, 3.5)
 
     def test_while_it_is_being_moved_nothing_comes_from_the_store(self):
@@ -77,7 +81,9 @@
         first = self.first(keep_values={"tutor": 0.4, "poet": 3.5})
         demands = {"tutor": Demand(3.0, 0, 2, 0.0, 2)}
         plan = self.plan(first, self.second(("scribe", "tutor")), **demands)
-        self.assertEqual((plan["clerk"].instance, plan["clerk"].ask_now), ("b1", True))
+        self.assertEqual(
+            (plan["clerk"].instance, plan["clerk"].request_now), ("b1", True)
+        )
 
     def test_a_single_call_moves_nothing(self):
         plan = self.plan(self.first(), self.second(), clerk=Demand(0.1, 1, 0, 0.1, 1))
@@ -123,9 +129,10 @@
 class TestKeeping(unittest.TestCase):
     def test_of_equals_the_one_with_a_copy_elsewhere_goes_first(self):
         alone, copied = Demand(0.0, 0, 1, 0.0, 1), Demand(0.0, 0, 1, 0.0, 2)
-        self.assertGreater(alone.value_of_one, copied.value_of_one)
+        self.assertGreater(alone.value_per_holder, copied.value_per_holder)
 
     def test_where_copies_are_not_known_nothing_is_assumed(self):
         self.assertEqual(
-            Demand(1.0, 0, 1).value_of_one, Demand(1.0, 0, 1, 0.0, 1).value_of_one
+            Demand(1.0, 0, 1).value_per_holder,
+            Demand(1.0, 0, 1, 0.0, 1).value_per_holder,
         )
--- a/tests/gateway/cover/test_residency.py
+++ b/tests/gateway/cover/test_residency.py
@@ -4,10 +4,10 @@
 import unittest
 
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.entry_reports import EntryReports
+from bambootiller_core.gateway.load_targets import choose_victims, keep_values
 from bambootiller_core.gateway.model_demand import Demand
-from bambootiller_core.gateway.order_demand import EntriesSay
-from bambootiller_core.gateway.order_messages import WAITED_FOR, LoadRequest
-from bambootiller_core.gateway.places import choose_victims, keep_values
+from bambootiller_core.gateway.order_messages import CALLS_WAITING, LoadRequest
 from bambootiller_core.gateway.residency import Planner
 from tests.gateway.common import samples
 
@@ -29,7 +29,7 @@
 
     def test_a_model_with_waiting_calls_is_asked_for_now(self):
         load = self.plan([engine_backend("b1")], tutor=Demand(0.1, 1))["tutor"]
-        self.assertTrue(load.ask_now)
+        self.assertTrue(load.request_now)
         self.assertTrue(load.from_store)
 
     def test_the_engine_with_a_copy_is_preferred(self):
@@ -54,7 +54,7 @@
         backends += [engine_backend("b3"), engine_backend("b4")]
         load = self.plan(backends, tutor=Demand(0.1, 1))["tutor"]
         self.assertNotEqual(load.instance, "b2")
-        self.assertTrue(load.from_store and load.ask_now)
+        self.assertTrue(load.from_store and load.request_now)
 
     def test_a_held_model_is_not_loaded_again(self):
         plan = self.plan([engine_backend("b1", ["tutor"])], tutor=Demand(0.01, 0))
@@ -64,7 +64,7 @@
         loading = Loading("tutor", 2.0, True)
         backends = [engine_backend("b1", loading=loading), engine_backend("b2")]
         load = self.plan(backends, tutor=Demand(0.1, 1))["tutor"]
-        self.assertFalse(load.ask_now)
+        self.assertFalse(load.request_now)
         self.assertEqual(load.ready_in_s, 2.0)
 
     def test_the_store_is_not_asked_for_more_than_it_serves_at_full_speed(self):
@@ -72,9 +72,9 @@
         self.spec = samples.engine(*(samples.model(name) for name in names))
         backends = [engine_backend(f"b{n}") for n in range(8)]
         plan = self.plan(backends, **{name: Demand(0.1, 1) for name in names})
-        asked = [load for load in plan.values() if load.ask_now]
+        asked = [load for load in plan.values() if load.request_now]
         self.assertEqual(len(asked), STORE_LOADS)
-        late = [load.ready_in_s for load in plan.values() if not load.ask_now]
+        late = [load.ready_in_s for load in plan.values() if not load.request_now]
         self.assertGreater(min(late), 6.0)
 
     def test_before_any_call_models_without_a_copy_are_fetched(self):
@@ -104,7 +104,7 @@
         self.assertNotIn("tutor", self.plan(backends, **demands))
         lost.mark_unreachable(NOW - 0.1)
         load = self.plan(backends, **demands)["tutor"]
-        self.assertEqual((load.instance, load.ask_now), ("b2", True))
+        self.assertEqual((load.instance, load.request_now), ("b2", True))
 
     def test_an_engine_whose_agent_is_silent_gets_no_load(self):
         backend = engine_backend("b1")
@@ -184,12 +184,16 @@
         self.assertEqual(self.plan(late=self.late, early=early), ["late", "early"])
 
     def test_an_agent_takes_the_wishes_of_entries_in_the_same_order(self):
-        say = EntriesSay()
+        entry_reports = EntryReports()
         early = Demand(0.1, 1, 0, 0.2, 1, in_time_s=2.0)
-        say.load_requested(NOW, LoadRequest("late", "", WAITED_FOR, self.late))
-        say.load_requested(NOW, LoadRequest("early", "", WAITED_FOR, early))
+        entry_reports.load_requested(
+            NOW, LoadRequest("late", "", CALLS_WAITING, self.late)
+        )
+        entry_reports.load_requested(
+            NOW, LoadRequest("early", "", CALLS_WAITING, early)
+        )
         self.assertEqual(
-            [load_request.model for load_request in say.load_requests()],
+            [load_request.model for load_request in entry_reports.load_requests()],
             ["early", "late"],
         )
 
@@ -231,9 +235,9 @@
         """
         due = {"tutor": Demand(1.0, 6, 1), "poet": Demand(900.0, 0, 1)}
         values = keep_values(("tutor", "poet"), due)
-        rival, greater = Demand(1.3, 8), Demand(1.3, 30)
+        rival, merge_max = Demand(1.3, 8), Demand(1.3, 30)
         holdings = {"tutor": frozenset(), "poet": frozenset()}
-        for incoming, goes in ((rival, False), (greater, True)):
+        for incoming, goes in ((rival, False), (merge_max, True)):
             victims = choose_victims(self.spec, holdings, 20.0, {}, values, incoming)
             self.assertEqual(victims is not None, goes, incoming)
 
@@ -309,7 +313,7 @@
 
     def test_one_more_engine_gets_a_model_whose_holders_are_full(self):
         load = self.plan(running=4)["tutor"]
-        self.assertEqual((load.instance, load.ask_now), ("b3", True))
+        self.assertEqual((load.instance, load.request_now), ("b3", True))
 
     def test_with_room_at_its_holders_it_stays_as_it_is(self):
         self.assertEqual(self.plan(running=2), {})
@@ -410,13 +414,15 @@
 
     def test_a_second_engine_goes_before_a_single_waiting_call(self):
         plan = self.plan()
-        self.assertEqual((plan["tutor"].instance, plan["tutor"].ask_now), ("b2", True))
-        self.assertFalse(plan["poet"].ask_now)
+        self.assertEqual(
+            (plan["tutor"].instance, plan["tutor"].request_now), ("b2", True)
+        )
+        self.assertFalse(plan["poet"].request_now)
 
     def test_it_does_not_go_before_a_model_that_many_wait_for(self):
         self.demands["poet"] = Demand(0.2, 6, copies=1, oldest_s=0.5)
         plan = self.plan()
-        self.assertTrue(plan["poet"].ask_now)
+        self.assertTrue(plan["poet"].request_now)
 
     def test_it_does_not_come_from_the_store_while_others_wait(self):
         backends = [
@@ -424,4 +430,6 @@
             engine_backend("b2", on_disk=frozenset({"poet"})),
         ]
         plan = Planner(self.spec, STORE_LOADS).plan(NOW, backends, self.demands)
-        self.assertEqual((plan["poet"].instance, plan["poet"].ask_now), ("b2", True))
+        self.assertEqual(
+            (plan["poet"].instance, plan["poet"].request_now), ("b2", True)
+        )
--- a/tests/gateway/cover/test_retry_prediction.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -6,7 +6,7 @@
 from bambootiller.gateway.placement import Placement
 from bambootiller_core.gateway.calls import Progress
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
-from bambootiller_core.gateway.demand_tracker import DUE_BACK_LATE_S, DemandTracker
+from bambootiller_core.gateway.demand_tracker import RETURN_SLACK_S, DemandTracker
 from bambootiller_core.gateway.residency import PlannedLoad
 from bambootiller_core.gateway.retry_prediction import RetryPredictor
 from bambootiller_core.gateway.service_levels import ServiceLevels
@@ -67,7 +67,7 @@
     def test_refused_ones_count_until_they_should_be_back(self):
         self.demand.refused(0.0, "tutor", 60.0, 2.0, returns_in_s=10.0)
         self.assertEqual(self.callers(9.9), 2.0)
-        self.assertEqual(self.callers(10.1 + DUE_BACK_LATE_S), 0.0)
+        self.assertEqual(self.callers(10.1 + RETURN_SLACK_S), 0.0)
 
     def test_those_who_are_not_expected_do_not_count(self):
         self.demand.refused(0.0, "tutor", 60.0, 2.0)
--- a/tests/gateway/cover/test_running.py
+++ b/tests/gateway/cover/test_running.py
@@ -2,12 +2,16 @@
 
 import unittest
 
-from bambootiller_core.gateway.running import LATE_S, TICK_S, RunningTime
+from bambootiller_core.gateway.running_clock import (
+    TICK_S,
+    TICK_TOLERANCE_S,
+    RunningClock,
+)
 
 
 class TestRunningTime(unittest.TestCase):
     def setUp(self):
-        self.running = RunningTime(100.0)
+        self.running = RunningClock(100.0)
         self.now = 100.0
 
     def run_for(self, seconds):
@@ -28,16 +32,16 @@
         began = self.running.running_time(self.now)
         self.now += 3.0
         self.assertAlmostEqual(
-            self.running.running_time(self.now) - began, TICK_S + LATE_S
+            self.running.running_time(self.now) - began, TICK_S + TICK_TOLERANCE_S
         )
-        stood_still = self.running.tick(self.now)
-        self.assertAlmostEqual(stood_still, 3.0 - TICK_S - LATE_S)
+        stalled_s = self.running.tick(self.now)
+        self.assertAlmostEqual(stalled_s, 3.0 - TICK_S - TICK_TOLERANCE_S)
         self.assertAlmostEqual(
-            self.running.running_time(self.now) - began, TICK_S + LATE_S
+            self.running.running_time(self.now) - began, TICK_S + TICK_TOLERANCE_S
         )
 
     def test_a_look_that_is_a_little_late_is_no_standstill(self):
-        self.now += TICK_S + LATE_S / 2
+        self.now += TICK_S + TICK_TOLERANCE_S / 2
         self.assertEqual(self.running.tick(self.now), 0.0)
 
     def test_it_never_goes_back(self):
--- a/tests/gateway/cover/test_service_levels.py
+++ b/tests/gateway/cover/test_service_levels.py
@@ -70,7 +70,7 @@
         demands = demand_tracker.demands(1.0, {}, {})
         self.assertGreaterEqual(demands["critic"].waiting, demands["tutor"].waiting)
         demand_tracker.end_waiting(1.0, "critic", 6.0)
-        self.assertFalse(demand_tracker.anyone_waits)
+        self.assertFalse(demand_tracker.has_waiting_calls)
 
     def test_a_waiting_call_counts_however_little_it_weighs(self):
         demand_tracker = DemandTracker()
--- a/tests/gateway/cover/test_store_speed.py
+++ b/tests/gateway/cover/test_store_speed.py
@@ -240,7 +240,7 @@
         backend = samples.backend("b0", 5.0, samples.engine_state("b0"), service="llm")
         demands = {"poet": Demand(0.1, 1)}
         plan = Planner(spec, 1, None, [4.0]).plan(5.0, [backend], demands)
-        self.assertFalse(plan["poet"].ask_now)
+        self.assertFalse(plan["poet"].request_now)
 
 
 class TestStoreSpeed(unittest.TestCase):
@@ -287,4 +287,4 @@
         demands = {f"m{number}": Demand(0.1, 1) for number in range(6)}
         for most in (1, 3):
             plan = Planner(spec, most).plan(5.0, states, demands)
-            self.assertEqual(sum(load.ask_now for load in plan.values()), most)
+            self.assertEqual(sum(load.request_now for load in plan.values()), most)
--- a/tests/gateway/cover/test_store_turns.py
+++ b/tests/gateway/cover/test_store_turns.py
@@ -5,8 +5,8 @@
 from unittest import mock
 
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.load_targets import LoadTarget
 from bambootiller_core.gateway.model_demand import Demand
-from bambootiller_core.gateway.places import Place
 from bambootiller_core.gateway.residency import Planner
 from tests.gateway.common import samples
 
@@ -37,8 +37,8 @@
         demands = {name: Demand(1.0, 3, 0, 2.0) for name in names}
         demands["poet"] = Demand(0.1, 1, 0, 0.1, 2)
         plan = Planner(spec, 1).plan(NOW, backends, demands)
-        self.assertTrue(plan["poet"].ask_now)
-        self.assertEqual([plan[name].ask_now for name in names], [False] * 4)
+        self.assertTrue(plan["poet"].request_now)
+        self.assertEqual([plan[name].request_now for name in names], [False] * 4)
 
 
 class TestOneMoreThanTheStoreIsKnownToServe(unittest.TestCase):
@@ -65,7 +65,7 @@
             demands = {"clerk": Demand(0.5, 9), "critic": Demand(0.1, 1)}
         planner = Planner(self.spec, 1, allows_probe=tries)
         plan = planner.plan(NOW, backends, demands)
-        return [load.model for load in plan.values() if load.ask_now]
+        return [load.model for load in plan.values() if load.request_now]
 
     def test_it_is_tried_where_its_turn_is_far(self):
         self.assertEqual(self.begun([5.0]), ["clerk"])
@@ -128,7 +128,7 @@
         demands = {name: Demand(9.0, 0, 1) for name in ("much", "used")} | demands
         plan = Planner(self.spec, store_loads).plan(NOW, self.backends, demands)
         self.assertIn("tutor", plan)
-        return [load.model for load in plan.values() if load.ask_now]
+        return [load.model for load in plan.values() if load.request_now]
 
     def test_the_one_without_a_copy_goes_first(self):
         self.assertEqual(
@@ -182,7 +182,7 @@
 
     def test_the_store_is_used_where_it_is_sooner(self):
         load = self.plan(40.0, others=0, store_loads=2)
-        self.assertTrue(load.from_store and load.ask_now)
+        self.assertTrue(load.from_store and load.request_now)
 
 
 class TestPlansOfManyWaitingModels(unittest.TestCase):
@@ -205,7 +205,7 @@
 
     def test_engines_are_compared_for_the_next_of_them_alone(self):
         with mock.patch.object(
-            Place, "victims", autospec=True, side_effect=Place.victims
+            LoadTarget, "victims", autospec=True, side_effect=LoadTarget.victims
         ) as asked:
             self.plan()
         self.assertLessEqual(asked.call_count, self.ENGINES + self.MODELS)
@@ -252,7 +252,7 @@
 
     def test_a_copy_that_is_much_sooner_is_loaded_as_well(self):
         load = self.plan(5.5, on_disk=frozenset({"tutor"}))
-        self.assertEqual((load.instance, load.ask_now), ("b2", True))
+        self.assertEqual((load.instance, load.request_now), ("b2", True))
 
     def test_one_that_is_hardly_sooner_is_not(self):
         self.assertEqual(self.plan(2.0, on_disk=frozenset({"tutor"})).instance, "b1")
@@ -277,7 +277,7 @@
         spec = samples.engine(*map(samples.model, names))
         backends = [engine_backend(f"b{number}") for number in range(engines)]
         plan = Planner(spec, STORE_LOADS).plan(NOW, backends, demands)
-        return sum(load.ask_now for load in plan.values())
+        return sum(load.request_now for load in plan.values())
 
     def test_while_calls_come_half_of_the_engines_load_from_the_store(self):
         demands = {f"m{number}": Demand(0.1, 1) for number in range(8)}
--- a/tests/gateway/cover/test_turn_holder.py
+++ b/tests/gateway/cover/test_turn_holder.py
@@ -69,9 +69,11 @@
         )
         self.book.reported(self.app.at, report(instance))
 
-    async def request_load(self, model="m1", turns=1):
+    async def request_load(self, model="m1", store_permits=1):
         """Somebody wishes for a load; returns the order that comes of it."""
-        self.book.load_requested(self.app.at, LoadRequest(model, turns=turns))
+        self.book.load_requested(
+            self.app.at, LoadRequest(model, store_permits=store_permits)
+        )
         order = self.book.next_order(self.app.at)
         if order is None:
             self.turn.seek(self.app.at)
@@ -101,8 +103,8 @@
     async def test_as_many_loads_begin_as_there_are_turns(self):
         third = Agent(self.kv, "a3")
         for agent in (self.first, self.second):
-            self.assertIsNotNone(await agent.request_load(turns=2))
-        self.assertIsNone(await third.request_load(turns=2))
+            self.assertIsNotNone(await agent.request_load(store_permits=2))
+        self.assertIsNone(await third.request_load(store_permits=2))
 
     async def test_two_that_seek_at_once_do_not_both_have_it(self):
         begun = []
@@ -304,10 +306,10 @@
         book.reported(1.0, report("b1"))
         book.load_requested(1.0, LoadRequest("m1"))
         order = book.next_order(1.0)
-        self.assertFalse(book.draws_on_store())
-        book.sending(order)
-        self.assertTrue(book.draws_on_store())
+        self.assertFalse(book.uses_store())
+        book.order_sent(order)
+        self.assertTrue(book.uses_store())
         book.answered(1.0, order, OrderAnswer.ACCEPTED)
-        self.assertTrue(book.draws_on_store())
+        self.assertTrue(book.uses_store())
         book.reported(2.0, report("b1", ["m1"], accepted=1))
-        self.assertFalse(book.draws_on_store())
+        self.assertFalse(book.uses_store())
--- a/tests/gateway/cover/test_unserved.py
+++ b/tests/gateway/cover/test_unserved.py
@@ -2,12 +2,16 @@
 
 import unittest
 
-from bambootiller_core.gateway.unserved import ASKED_LATELY_S, MOST_KEPT, Unserved
+from bambootiller_core.gateway.unserved import (
+    MAX_TRACKED,
+    RECENT_CALL_S,
+    UnservedTracker,
+)
 
 
 class TestUnserved(unittest.TestCase):
     def setUp(self):
-        self.unserved = Unserved()
+        self.unserved = UnservedTracker()
 
     def test_it_counts_from_the_first_call_that_nobody_served(self):
         for now in (1.0, 4.0, 9.0):
@@ -24,13 +28,13 @@
 
     def test_what_nobody_asks_for_any_more_does_not_count(self):
         self.unserved.refused(1.0, "tutor", "")
-        later = 2.0 + ASKED_LATELY_S
+        later = 2.0 + RECENT_CALL_S
         self.assertEqual(self.unserved.count(later, older_than_s=8.0), 0)
         self.assertEqual(self.unserved.oldest_s(later), 0.0)
         self.unserved.refused(later, "tutor", "")
         self.assertEqual(self.unserved.oldest_s(later), 0.0)
 
     def test_what_was_asked_for_last_is_kept(self):
-        for number in range(MOST_KEPT + 5):
+        for number in range(MAX_TRACKED + 5):
             self.unserved.refused(1.0, f"m{number}", "")
-        self.assertEqual(self.unserved.count(20.0, older_than_s=8.0), MOST_KEPT)
+        self.assertEqual(self.unserved.count(20.0, older_than_s=8.0), MAX_TRACKED)
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -9,7 +9,7 @@
 from bambootiller.gateway.plan_clock import IDLE_PLAN_S, PLAN_MAX_S, PLAN_S
 from bambootiller.rpc import bambootiller_pb2 as pb
 from bambootiller_core import rendezvous
-from bambootiller_core.gateway.collecting import seen_to_by
+from bambootiller_core.gateway.demand_collection import responsible_planner
 from bambootiller_core.gateway.fleet import Fleet
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import Planner
@@ -125,7 +125,7 @@
             model, other = f"m{number}", f"other-{number}"
             names = ("entry-1", other)
             seen_to = (model, "weight store of tutor")
-            if all(seen_to_by(name, names) == other for name in seen_to):
+            if all(responsible_planner(name, names) == other for name in seen_to):
                 return model, names
         raise AssertionError("no entry that sees to a model and to the weight store")
 
--- a/tests/gateway/failures/test_orders.py
+++ b/tests/gateway/failures/test_orders.py
@@ -3,7 +3,7 @@
 import unittest
 
 from bambootiller_core.gateway.incarnation import TAKEOVER_SILENCE_S
-from bambootiller_core.gateway.late_orders import LATE_ORDER_S
+from bambootiller_core.gateway.late_orders import MAX_ORDER_DELAY_S
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_messages import (
     EngineReport,
@@ -11,7 +11,7 @@
     OrderAnswer,
     OrderKind,
 )
-from bambootiller_core.gateway.orders import MISNAMED_S, OrderBook
+from bambootiller_core.gateway.orders import WRONG_INSTANCE_COOLDOWN_S, OrderBook
 from tests.gateway.common import samples
 
 
@@ -37,7 +37,7 @@
 
     def give(self, now, answer):
         order = self.book.next_order(now)
-        self.book.sending(order)
+        self.book.order_sent(order)
         self.book.answered(now, order, answer)
         return order
 
@@ -67,9 +67,9 @@
         self.book.reported(0.0, report())
         self.request_load("tutor")
         self.give(0.0, OrderAnswer.OTHER_INSTANCE)
-        self.book.reported(MISNAMED_S, report())
-        self.request_load("tutor", now=MISNAMED_S)
-        self.assertIsNotNone(self.book.next_order(MISNAMED_S))
+        self.book.reported(WRONG_INSTANCE_COOLDOWN_S, report())
+        self.request_load("tutor", now=WRONG_INSTANCE_COOLDOWN_S)
+        self.assertIsNotNone(self.book.next_order(WRONG_INSTANCE_COOLDOWN_S))
 
 
 class TestLostAnswers(Case):
@@ -93,7 +93,7 @@
         self.request_load("tutor")
         self.give(0.0, OrderAnswer.UNANSWERED)
         self.book.reported(0.1, report(accepted=5, busy=True))
-        self.assertIsNone(self.book.unsettled)
+        self.assertIsNone(self.book.unconfirmed)
         self.assertEqual(self.book.state(0.1).loading.model, "tutor")
 
     def test_its_memory_counts_until_it_is_settled(self):
@@ -134,8 +134,8 @@
         self.request_load("tutor")
         order = self.give(0.0, OrderAnswer.CONFLICT)
         self.book.reported(0.1, report(accepted=4))
-        self.book.conflict_seen(order)
-        self.assertIsNone(self.book.unsettled)
+        self.book.conflict_confirmed(order)
+        self.assertIsNone(self.book.unconfirmed)
 
 
 class TestRestarts(Case):
@@ -144,7 +144,7 @@
         self.request_load("tutor")
         self.give(0.0, OrderAnswer.UNANSWERED)
         self.book.reported(3.0, report(instance="b2"))
-        self.assertIsNone(self.book.unsettled)
+        self.assertIsNone(self.book.unconfirmed)
         self.assertEqual(self.book.state(3.0).memory_mb_used, 0.0)
 
 
@@ -169,7 +169,7 @@
             self.request_load("tutor")
             self.give(0.0, OrderAnswer.UNANSWERED)
             self.restarted(0.1, accepted)
-            self.assertIsNone(self.book.unsettled)
+            self.assertIsNone(self.book.unconfirmed)
             self.request_load("poet", now=0.1)
             order = self.book.next_order(0.1)
             self.assertEqual((order.model, order.expected), ("tutor", accepted))
@@ -199,7 +199,7 @@
         self.assertEqual(self.book.report.started_ms, 1)
 
     def test_calls_on_the_start_before_hold_no_model(self):
-        self.book.entry_told(0.0, "e1", {}, {"clerk": 3})
+        self.book.entry_reported(0.0, "e1", {}, {"clerk": 3})
         self.restarted(0.1)
         self.assertEqual(self.book.state(0.1).in_use, {})
 
@@ -224,7 +224,7 @@
         self.restarted(1.0, holdings=["poet"])
         self.request_load("clerk", now=1.0)
         self.assertIsNone(self.book.next_order(1.0))
-        now = 1.0 + LATE_ORDER_S
+        now = 1.0 + MAX_ORDER_DELAY_S
         self.request_load("clerk", now=now)
         self.assertEqual(self.book.next_order(now).model, "clerk")
 
@@ -248,7 +248,7 @@
 class TestMemory(Case):
     def test_room_is_made_before_a_model_is_loaded(self):
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
-        self.book.entry_told(0.0, "e1", {"tutor": Demand(5.0)}, {})
+        self.book.entry_reported(0.0, "e1", {"tutor": Demand(5.0)}, {})
         self.request_load("clerk")
         order = self.give(0.0, OrderAnswer.ACCEPTED)
         self.assertEqual((order.kind, order.model), (OrderKind.UNLOAD, "poet"))
@@ -271,7 +271,7 @@
 
     def test_a_model_being_unloaded_takes_no_new_calls(self):
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
-        self.book.entry_told(0.0, "e1", {"tutor": Demand(5.0)}, {})
+        self.book.entry_reported(0.0, "e1", {"tutor": Demand(5.0)}, {})
         self.request_load("clerk")
         self.give(0.0, OrderAnswer.ACCEPTED)
         self.assertNotIn("poet", self.book.state(0.0).holdings)
@@ -281,14 +281,14 @@
         self.request_load("tutor")
         self.give(0.0, OrderAnswer.ACCEPTED)
         self.book.reported(6.0, report(accepted=1, holdings=["poet", "tutor"]))
-        self.book.entry_told(6.0, "e1", {"poet": Demand(50.0)}, {})
+        self.book.entry_reported(6.0, "e1", {"poet": Demand(50.0)}, {})
         self.request_load("clerk", now=6.0)
         self.assertIsNone(self.book.next_order(6.0))
 
     def test_an_idle_adapter_makes_way_for_another(self):
         adapters = {"tutor": frozenset({"a1", "a2"})}
         self.book.reported(9.0, report(adapters=adapters))
-        self.book.entry_told(9.0, "e1", {}, {"tutor/a1": 1})
+        self.book.entry_reported(9.0, "e1", {}, {"tutor/a1": 1})
         self.request_load("tutor", "a3", now=9.0)
         order = self.book.next_order(9.0)
         self.assertEqual((order.kind, order.adapter), (OrderKind.UNLOAD, "a2"))
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -10,7 +10,7 @@
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller.gateway.knowledge import Changes
 from bambootiller.gateway.quarantine import Quarantine
-from bambootiller_core.gateway.collecting import moved
+from bambootiller_core.gateway.demand_collection import demands_changed
 from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, FIGURES_TTL_S, Fleet
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_messages import EngineReport, LoadRequest
@@ -256,7 +256,9 @@
 
     def test_a_call_that_waits_on_is_news_each_time(self):
         self.assertTrue(
-            moved({"m": Demand(1.0, 1, 0, 0.1)}, {"m": Demand(1.0, 1, 0, 0.5)})
+            demands_changed(
+                {"m": Demand(1.0, 1, 0, 0.1)}, {"m": Demand(1.0, 1, 0, 0.5)}
+            )
         )
 
 
--- a/tests/gateway/failures/test_standstills.py
+++ b/tests/gateway/failures/test_standstills.py
@@ -7,7 +7,7 @@
 
 from bambootiller.gateway.exchange import Exchanger, Update
 from bambootiller.gateway.knowledge import Knowledge
-from bambootiller_core.gateway.running import TICK_S, RunningTime
+from bambootiller_core.gateway.running_clock import TICK_S, RunningClock
 
 
 class Events:
@@ -78,7 +78,7 @@
     async def asyncSetUp(self):
         loop = asyncio.get_running_loop()
         self.events, self.channels = Events(), Channels()
-        self.running = RunningTime(loop.time())
+        self.running = RunningClock(loop.time())
         self.heard = []
         knowledge = Knowledge(Directory(), self.events, loop.time)
         exchanger = Exchanger(
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -4,14 +4,14 @@
 from unittest import mock
 
 from bambootiller.gateway.placement import UNPLANNED_RETRY_S, Placement
+from bambootiller_core.gateway.adapter_prefetch import AdapterPrefetch
 from bambootiller_core.gateway.attempts import Refusal
 from bambootiller_core.gateway.calls import ModelRequest, Progress
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.demand_tracker import DemandTracker
-from bambootiller_core.gateway.due_adapters import DueAdapters
 from bambootiller_core.gateway.engine_state import Loading
+from bambootiller_core.gateway.load_targets import choose_victims, keep_values
 from bambootiller_core.gateway.model_demand import Demand
-from bambootiller_core.gateway.places import choose_victims, keep_values
 from bambootiller_core.gateway.residency import PlannedLoad, Planner
 from tests.gateway.common import samples
 from tests.gateway.common.rare_replay import RareReplay
@@ -112,11 +112,11 @@
     async def test_the_adapter_is_loaded_when_it_ends(self):
         loading = Loading("poet", 60.0, True)
         holder = samples.engine_backend(5.0, "b1", ["tutor"], loading=loading)
-        due = DueAdapters()
+        due = AdapterPrefetch()
         context = mock.Mock()
         context.clock.return_value = 5.0
         context.knowledge.fleet.of_service.return_value = [holder]
-        context.engines.plans.due_adapters.return_value = due
+        context.engines.plans.adapter_prefetch.return_value = due
         call = samples.call(now=5.0, ask=samples.ask("tutor", "x1"), service="llm")
         refusal = await Placement(context, call, Progress()).place()
         self.assertIsInstance(refusal, Refusal)
@@ -156,7 +156,7 @@
     the model's engine was in another long load by then."""
 
     def setUp(self):
-        self.due = DueAdapters()
+        self.due = AdapterPrefetch()
         self.due.refused(1.0, ModelRequest("tutor", "physics"), come_back_s=6.0)
 
     def requested(self, now, *states):
--- a/tests/gateway/failures/test_store_loads.py
+++ b/tests/gateway/failures/test_store_loads.py
@@ -64,7 +64,7 @@
             now, [self._backend(now, n) for n in range(ENGINES)], self.demands
         )
         for load in plan.values():
-            if load.ask_now and load.instance not in self.under_way:
+            if load.request_now and load.instance not in self.under_way:
                 self.begin(now, load.instance, load.model)
 
     def _backend(self, now, number):
--- a/tests/gateway/failures/test_store_turns_taken.py
+++ b/tests/gateway/failures/test_store_turns_taken.py
@@ -4,7 +4,7 @@
 
 from bambootiller.gateway.engine_plans import EnginePlans
 from bambootiller.gateway.plan_clock import PLAN_S
-from bambootiller_core.gateway.collecting import planners
+from bambootiller_core.gateway.demand_collection import planners
 from bambootiller_core.gateway.fleet import Fleet
 from bambootiller_core.gateway.initial_discovery import MAX_STALL_S
 from bambootiller_core.gateway.log_lines import StoreLoadAsked
@@ -60,7 +60,7 @@
             known.fleet.engine_told(app.at, samples.engine_state(f"b{number}"))
         plans.make(app.at)
         requested.clear()
-        plans.totals_told(app.at, SERVICE, "10.0.0.1", demands)
+        plans.totals_reported(app.at, SERVICE, "10.0.0.1", demands)
         plans.make(app.at)
         return app, plans, requested
 
@@ -90,7 +90,7 @@
             asked = set(requested)
             for model in MODELS:
                 later = {**first, model: Demand(0.9, 3)}
-                plans.totals_told(app.at, SERVICE, "10.0.0.1", later)
+                plans.totals_reported(app.at, SERVICE, "10.0.0.1", later)
                 app.at += PLAN_S
                 plans.make(app.at)
             self.assertEqual(set(requested), asked)
@@ -117,7 +117,7 @@
             app.at += PLAN_S
             for number in range(6):
                 known.fleet.engine_told(app.at, samples.engine_state(f"b{number}"))
-            plans.totals_told(app.at, SERVICE, "10.0.0.1", demands)
+            plans.totals_reported(app.at, SERVICE, "10.0.0.1", demands)
             plans.make(app.at)
         return requested
 
--- a/tests/gateway/randomised/plan_records.py
+++ b/tests/gateway/randomised/plan_records.py
@@ -25,7 +25,7 @@
 def digest(seed):
     """The loads of one plan in their order, to the microsecond."""
     lines = [
-        f"{load.model} {load.instance} {load.ready_in_s:.6f} {load.ask_now} "
+        f"{load.model} {load.instance} {load.ready_in_s:.6f} {load.request_now} "
         f"{load.from_store}"
         for load in plan(seed).values()
     ]
--- a/tests/gateway/randomised/test_orders.py
+++ b/tests/gateway/randomised/test_orders.py
@@ -156,14 +156,14 @@
         order = book.next_order(now)
         if order is None:
             continue
-        book.sending(order)
+        book.order_sent(order)
         answer = engine.order(now, instance, order)
         book.answered(now, order, answer)
         loads += order.kind is OrderKind.LOAD
         if answer is OrderAnswer.CONFLICT:
             book.reported(now, engine.report(now))
             if book.report.accepted <= order.expected:
-                book.conflict_seen(order)
+                book.conflict_confirmed(order)
     return loads
 
 
--- a/tests/gateway/randomised/test_plans.py
+++ b/tests/gateway/randomised/test_plans.py
@@ -38,6 +38,6 @@
     def test_the_fleets_are_of_many_kinds(self):
         plans = [plan_records.plan(seed) for seed in range(plan_records.SEEDS)]
         loads = [load for plan in plans for load in plan.values()]
-        self.assertGreater(sum(load.ask_now for load in loads), 100)
+        self.assertGreater(sum(load.request_now for load in loads), 100)
         self.assertGreater(sum(not load.from_store for load in loads), 100)
         self.assertGreater(sum(not plan for plan in plans), 10)
