--- a/tests/adapter/__init__.py
+++ b/tests/adapter/__init__.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter in platform/, which isn't an installed package."""
+"""Tests of the adapter in platform/, which is imported from the checkout."""
 
 import sys
 from pathlib import Path
