--- a/packages/bambootiller/src/bambootiller/gateway/__init__.py
+++ b/packages/bambootiller/src/bambootiller/gateway/__init__.py
@@ -1,6 +1,6 @@
-"""The gateway: calls of a platform's own protocol, passed on to backend servers.
+"""The gateway: forwards calls in a platform's own protocol to backend servers.
 
-The decisions stand in :mod:`bambootiller_core.gateway`; here are the sockets round
-them. What a platform calls things is known to its adapter alone, which implements
+The decisions are made in :mod:`bambootiller_core.gateway`; this package adds the
+network I/O. Only the platform's adapter knows the platform's protocol: it implements
 :class:`~bambootiller.gateway.ports.Dialect` and the other ports.
 """
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -1,4 +1,4 @@
-"""The gateway's entry as a component of the application."""
+"""The gateway's entry, a component of the application."""
 
 from __future__ import annotations
 
@@ -36,16 +36,16 @@
 from bambootiller_core.gateway.overload import Overload
 from bambootiller_core.gateway.retry_budget import RetryBudget
 
-#: A leaving entry takes new calls for this long: the balancer has to miss its readiness
-#: twice, a second apart, before it sends no new connections. Seconds.
+#: A leaving entry accepts new calls for this long: the load balancer stops sending new
+#: connections only after two failed readiness checks, a second apart. Seconds.
 READINESS_LAG_S = 2.6
-#: Kept at the end of a planned stop, for answers to reach their callers. Seconds.
+#: Reserved at the end of a planned stop for answers to reach their callers. Seconds.
 STOP_MARGIN_S = 0.4
-#: The stop goes on until no call has come for so long: a caller that just connected,
-#: or been answered, sends its next call within a round trip. Seconds.
+#: A planned stop continues until no call has arrived for this long: a caller that just
+#: connected or got an answer sends its next call within a round trip. Seconds.
 QUIET_PERIOD_S = 0.3
 SWEEP_INTERVAL_S = 0.5
-#: How often metrics show the shares of quotas anew. Seconds.
+#: How often the metrics of quota shares are updated. Seconds.
 QUOTA_METRICS_INTERVAL_S = 1.0
 
 log = logs.logger("gateway.entry")
@@ -53,8 +53,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryAddresses:
-    """Addresses of one entry: for callers, for the balancer's question whether it is
-    ready, and of some other entries to learn from at a start."""
+    """The addresses of one entry: for callers, for the load balancer's readiness
+    checks, and of other entries to get the current state from at the start."""
 
     callers: Address
     ready: Address
@@ -63,11 +63,11 @@
 
 
 class GatewayEntry:
-    """Faces callers, and passes their calls on to backend servers.
+    """Accepts calls and forwards them to backend servers.
 
     Example::
 
-        app.add(GatewayEntry(app, platform, places, events))
+        app.add(GatewayEntry(app, platform, addresses, events, meters))
     """
 
     name = "gateway entry"
@@ -144,7 +144,7 @@
         self._caller_server = HttpServer(
             self._front, addresses.callers, caller_protocol
         )
-        #: One port may serve both.
+        #: Callers and readiness checks may share one port.
         self._readiness_server = (
             HttpServer(self._front, addresses.ready, protocol)
             if addresses.ready != addresses.callers
@@ -156,11 +156,11 @@
         app.add_servicer(self._register)
 
     async def prepare(self) -> None:
-        """Nothing to take beforehand: a taken port is noticed at the start."""
+        """Nothing to prepare: an occupied port is detected by :meth:`start`."""
 
     async def start(self) -> None:
-        """Bind the ports and serve; calls are refused until a configuration is
-        known."""
+        """Bind the ports and serve; calls are refused until a configuration has been
+        loaded."""
         app = self._app
         self._stall_monitor.start()
         watcher = StoreWatcher(
@@ -232,21 +232,23 @@
         return self._app.rng.random() < self._overload.share
 
     def is_ready(self) -> bool:
-        """Whether the balancer may send new connections here."""
+        """Whether the load balancer may send new connections here."""
         if self.knowledge.config is None or self._leaving:
             return False
         if not self._overload.is_ready:
             return False
         if not any(True for _ in self.knowledge.fleet):
             return False
-        # It would send on what the other entries have found to end engines.
+        # Without the quarantine state it would forward requests that other entries have
+        # found to crash engines.
         return not self._context.is_starting() or self._has_quarantine_state()
 
     def _has_quarantine_state(self) -> bool:
         return self._records.known and self._engines.has_heard_collectors()
 
     async def drain(self, seconds: float) -> None:
-        """Graceful shutdown: say so, keep serving, then finish what has been taken."""
+        """Shut down gracefully: fail the readiness checks, keep accepting calls for a
+        while, then finish those that were accepted."""
         app = self._app
         end = app.now() + seconds
         self._leaving = True
@@ -262,10 +264,10 @@
                 self._events.emit(lines.CutAtStop(self._front.under_way))
 
     async def _wait_until_quiet(self) -> None:
-        """Wait until no call is under way and none has come for a moment.
+        """Wait until no call is running and none has arrived for a moment.
 
-        A caller that connected just before the port closed, or whose answer was the
-        last to end, may be sending its next call: ending at once would lose it.
+        A caller that connected just before the port closed, or that got the last
+        answer, may be sending its next call: stopping at once would lose it.
         """
         front = self._front
         accepted = None
@@ -349,8 +351,8 @@
 
 
 def _send_nothing(update: Update, outgoing: Outgoing) -> None:
-    """Entries tell each other documents only."""
+    """Entries send each other only documents, which the exchanger adds itself."""
 
 
 def _ignore_update(update: Update, outgoing: Outgoing) -> None:
-    """Documents are taken in by the exchange itself."""
+    """The exchanger itself processes received documents."""
--- a/packages/bambootiller/src/bambootiller/gateway/http_front.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_front.py
@@ -1,8 +1,8 @@
-"""The ASGI application that callers of the gateway talk to.
+"""The ASGI application that serves the callers of the gateway.
 
-Calls don't go through Falcon's resources: their paths are the operator's, their heads
-and bodies are passed on byte for byte, and an answer that can't be finished must be cut
-at the connection. The process's own pages do.
+Calls aren't handled by Falcon resources: their paths are configured by the operator,
+their heads and bodies are forwarded byte for byte, and an answer that can't be finished
+has to close the caller's connection. Only the process's own pages are resources.
 """
 
 from __future__ import annotations
@@ -26,10 +26,9 @@
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
-#: The time given to a call for which neither its caller nor the operator set one.
-#: Seconds.
+#: Timeout of a call for which neither the caller nor the operator set one. Seconds.
 DEFAULT_TIMEOUT_S = 60.0
-#: This long before the end of a planned stop no call is taken any more. Seconds.
+#: New calls are refused this long before the end of a planned stop. Seconds.
 REFUSE_BEFORE_STOP_S = 4.0
 #: An answer is due this much before the caller's deadline, so that it arrives in time
 #: over the network. Seconds.
@@ -37,7 +36,7 @@
 
 
 class CallerGone(Exception):
-    """The caller closed its connection before its request was whole."""
+    """The caller closed its connection before its call was answered."""
 
 
 class BodyTooLarge(Exception):
@@ -45,10 +44,10 @@
 
 
 class HttpFront:
-    """Takes calls in, one coroutine each.
+    """Accepts calls and runs a relay for each.
 
-    ``is_leaving`` has answers ask the caller to close its connection, so that none of
-    its later calls crosses the close of this process.
+    While ``is_leaving`` holds, answers ask the caller to close its connection, so that
+    none of its later calls crosses the shutdown of this process.
     """
 
     def __init__(
@@ -63,7 +62,7 @@
         self._is_ready = is_ready
         self._is_leaving = is_leaving
         self.under_way = 0
-        #: Calls taken in since the start.
+        #: Calls accepted since the start.
         self.accepted = 0
         self.idle = asyncio.Event()
         self.idle.set()
@@ -85,8 +84,8 @@
         except CallerGone:
             return
         except AnswerTruncated:
-            # Without the closing event the server cuts the connection, the one way in
-            # HTTP/1.1 to tell a caller that a body isn't whole.
+            # Without the final event the server closes the connection, the only way in
+            # HTTP/1.1 to tell a caller that a body is incomplete.
             return
         finally:
             self.under_way -= 1
@@ -112,7 +111,7 @@
             refusal = Refusal(Reason.BODY_TOO_LARGE)
             await self._refuse(send, incoming, refusal, arrived)
             return
-        # Read anew: a configuration may have come into force while the body came.
+        # Read again: the configuration may have changed while the body was received.
         config = context.knowledge.config
         call = self._build_call(config, incoming, arrived, body)
         if isinstance(call, Refusal):
@@ -129,10 +128,10 @@
             await self._refuse(send, incoming, refusal, arrived, call)
 
     async def _run(self, relay: Relay, call: Call, receive: Receive) -> Refusal | None:
-        """Run the relay until its end, or until the caller has gone.
+        """Run the relay until it ends or the caller disconnects.
 
-        A non-idempotent call goes on without its caller: stopping it halfway would
-        leave the caller's work half done, and nobody could tell how far.
+        A non-idempotent call continues without its caller: cancelled halfway, it would
+        leave the caller's work in an unknown, partially executed state.
         """
         running = asyncio.ensure_future(relay.run())
         disconnect_watch = asyncio.ensure_future(_wait_for_disconnect(receive))
@@ -153,10 +152,11 @@
                 await asyncio.wait((running,))
 
     def _is_stop_imminent(self) -> bool:
-        """Whether a planned stop has come so far that a new call could be cut.
+        """Whether a planned stop is so close to its end that a new call could be cut
+        off.
 
-        Callers reuse kept connections for seconds after the balancer has stopped
-        sending new ones; a stream taken then would be cut at the end of the stop.
+        Callers reuse keep-alive connections for seconds after the balancer has stopped
+        sending new ones; a stream accepted then would be cut off by the stop.
         """
         stop_deadline = self._context.stop_deadline
         return (
@@ -254,7 +254,7 @@
 
 
 class ReadyPage:
-    """Whether the balancer may send new connections here."""
+    """The readiness page for the load balancer."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
         self._is_ready = is_ready
@@ -262,12 +262,12 @@
     async def on_get(
         self, req: falcon.asgi.Request, resp: falcon.asgi.Response
     ) -> None:
-        """200 if so, else 503."""
+        """Answer 200 if the balancer may send new connections here, else 503."""
         resp.status = 200 if self._is_ready() else 503
 
 
 def pages(ready_path: str, is_ready: Callable[[], bool]) -> falcon.asgi.App:
-    """The pages of the process itself."""
+    """A Falcon application with the process's own pages."""
     app = falcon.asgi.App()
     app.add_route(ready_path, ReadyPage(is_ready))
     return app
--- a/packages/bambootiller/src/bambootiller/gateway/http_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_limits.py
@@ -1,8 +1,9 @@
-"""Bounds what a caller may send as the head of a request, and how long it may take.
+"""Limits the size of a request's head and the time that a caller may take to send it.
 
-The HTTP server reads heads of any length, and waits for the rest of one for ever. A
-caller who sends a head without an end, or none at all on thousands of connections,
-would use up the memory and the descriptors of an instance that serves others.
+The HTTP server itself reads heads of any length and waits forever for the rest of one.
+A caller that sends an endless head, or opens thousands of connections and sends
+nothing, would exhaust the memory and file descriptors of an instance that serves
+others.
 
 Example::
 
@@ -20,17 +21,18 @@
 
 from bambootiller_core.gateway.config import CallLimits
 
-#: Each header costs its name, its value, a colon, a space and the line's end.
+#: Counted per header beside its name and value: colon, space and line end. Bytes.
 HEADER_FRAMING_BYTES = 4
-#: An idle connection is kept for so many times as long as callers may leave it idle.
+#: An idle connection is kept open for this multiple of the idle timeout that callers
+#: are told.
 KEEP_ALIVE_FACTOR = 1.1
-#: After a refusal, what still comes is read and dropped for so long. Seconds.
+#: How long received data is read and dropped after a refusal. Seconds.
 LINGER_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class HeadRefusal:
-    """Why a head wasn't read to its end, and what its sender was answered."""
+    """Why a head was refused, and the status line that its sender gets."""
 
     reason: str
     status: int
@@ -49,10 +51,10 @@
     leaving: Callable[[], bool],
     sheds_connection: Callable[[], bool] = lambda: False,
 ) -> type[HttpToolsProtocol]:
-    """The server's protocol with the limits that are in force when a head comes;
-    ``refused`` is told of each head that is left. While ``leaving`` holds, each
-    connection is closed with the answer on it; one for which ``sheds_connection`` holds when
-    it comes is closed unread."""
+    """The server's protocol class with the limits that are in force when a head
+    arrives; ``refused`` is called for each refused head. While ``leaving`` holds, each
+    connection is closed after its answer. A new connection for which
+    ``sheds_connection`` holds is closed unread, to shed load."""
 
     class LimitedProtocol(_LimitedProtocol):
         get_limits = staticmethod(limits)
@@ -64,7 +66,7 @@
 
 
 class _LimitedProtocol(HttpToolsProtocol):
-    """One connection of a caller."""
+    """A connection of a caller."""
 
     get_limits: Callable[[], CallLimits]
     on_refused: OnHeadRefused
@@ -72,7 +74,7 @@
     closes_unread: Callable[[], bool]
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """A caller has connected, and is due to send something."""
+        """A caller has connected; start the idle timeout."""
         super().connection_made(transport)
         self._head_bytes = 0
         self._reading_head = False
@@ -81,20 +83,21 @@
         self._timer: asyncio.TimerHandle | None = None
         self._set_timeout(self.get_limits().idle_timeout_s)
         if self.closes_unread():
-            # Whatever comes on it is dropped unread.
+            # Data that still arrives is dropped unread.
             self._refused = True
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is down."""
+        """The connection is closed."""
         self._set_timeout(None)
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of a request have come."""
+        """Parse received bytes, and count those of an unfinished head."""
         if self._refused:
             return
-        # Behind the end of another request, how much of them is head isn't known.
+        # If the bytes begin inside a previous request it is unknown how many of them
+        # belong to the next head.
         counts = self._reading_head or not self._in_message
         super().data_received(data)
         if not self._reading_head or not counts:
@@ -104,14 +107,14 @@
             self._refuse(TOO_LARGE)
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """A request begins; start the head's timeout."""
         self._reading_head = self._in_message = True
         self._head_bytes = 0
         self._set_timeout(self.get_limits().header_timeout_s)
         super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """A head is whole."""
+        """A head is complete."""
         self._reading_head = False
         self._set_timeout(None)
         size = len(self.url) + sum(
@@ -124,25 +127,25 @@
             super().on_headers_complete()
 
     def on_message_complete(self) -> None:
-        """A request is whole; the next may begin."""
+        """A request is complete; the next may begin."""
         self._in_message = False
         if not self._refused:
             super().on_message_complete()
 
     def on_response_complete(self) -> None:
-        """An answer is whole. Callers may use a connection again for most of the time
-        that they were told it is kept; closed sooner, a call could cross the close."""
+        """An answer is complete. Callers may reuse a connection for most of the idle
+        timeout that they were told; closed any sooner, a call could cross the close."""
         kept_s = self.get_limits().idle_timeout_s * KEEP_ALIVE_FACTOR
         self.timeout_keep_alive = max(self.timeout_keep_alive, kept_s)
         super().on_response_complete()
         if self.is_leaving():
-            # The head of a long answer may have gone out before the stop began, with no
-            # word that the connection ends. Left open, it would be closed while the
-            # caller's next call is on its way.
+            # The head of a long answer may have been sent before the stop began,
+            # without "connection: close". Left open, the connection would be closed
+            # later, while the caller's next call is on its way.
             self.shutdown()
 
     def on_body(self, body: bytes) -> None:
-        """A part of a body has come."""
+        """A part of a body was received."""
         if not self._refused:
             super().on_body(body)
 
@@ -161,15 +164,15 @@
             self.transport.close()
 
     def _refuse(self, refusal: HeadRefusal) -> None:
-        """Answer with a status that promises that nothing has run, and close."""
+        """Answer with a status that guarantees that nothing has run, and close."""
         if self._refused:
             return
         self._refused = True
         self._set_timeout(None)
         self.on_refused(refusal)
         if self.cycle is not None and not self.cycle.response_complete:
-            # An answer to an earlier request is on its way; another in its middle
-            # would spoil it.
+            # An answer to an earlier request is being sent; a second one in its middle
+            # would corrupt it.
             self.transport.close()
             return
         head = (
@@ -179,6 +182,6 @@
         )
         self.transport.write("\r\n".join(head).encode() + b"\r\n\r\n")
         self.transport.write_eof()
-        # Closed at once, what the caller still sends would be answered by a reset,
-        # which takes the answer away before it is read.
+        # If the connection were closed at once, data that the caller still sends would
+        # be answered by a reset, which discards the answer before it is read.
         self.loop.call_later(LINGER_S, self.transport.close)
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -1,4 +1,4 @@
-"""Finds a place for one call, waiting for a model or an adapter if need be."""
+"""Chooses a backend server for one call, waiting for a model, adapter or permit."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 from bambootiller_core.gateway.residency import PlannedLoad
 from bambootiller_core.gateway.service_levels import level_of
 
-#: A call that waits for a model looks again at least this often. Seconds.
+#: A call that waits for a model checks again at least this often. Seconds.
 RECHECK_S = 0.1
-#: What a stream needs between its model being there and its first event. Seconds.
+#: Time that a stream needs from its model being loaded to its first event. Seconds.
 FIRST_EVENT_MARGIN_S = 0.15
-#: A stream lasts about so long. One that can't begin this long before the end of a
-#: planned stop is refused, because it would be cut. Seconds.
+#: Typical duration of a stream. A stream that can't begin this long before the end of a
+#: planned stop is refused, because it would be cut off. Seconds.
 TYPICAL_STREAM_S = 3.0
-#: When to come back for a model that no engine can load for now. Seconds.
+#: Retry-after time for a model that no engine can load at the moment. Seconds.
 UNPLANNED_RETRY_S = 6.0
-#: An adapter that hasn't come after this time is sought at another engine. Seconds.
+#: If an adapter isn't loaded after this time it is requested from the next engine.
+#: Seconds.
 ADAPTER_TURN_S = 0.4
 
 
 class Placement:
-    """The choice of backend servers for one call.
+    """Chooses the backend servers for the attempts of one call.
 
     Example::
 
@@ -43,14 +44,14 @@
         self._call = call
         self._progress = progress
         self._health = context.service(call.service).health
-        #: How many backend servers the last choice was made from.
+        #: The number of backend servers that the last choice was made from.
         self.candidates = 0
         self._weight = 1.0
         self._missed_adapter = False
-        #: What lets the call be sent to the backend server that was found.
+        #: The permit for the chosen backend server, if that reports a limit.
         self._permit: Permit | None = None
         self._requested_instances: set[str] = set()
-        #: The room under a named limit that the call waits for.
+        #: The permit under a reported limit that the call waits for.
         self._awaited_permit: PermitEstimate | None = None
 
     def ask(self) -> None:
@@ -63,7 +64,8 @@
         demand.asked(now, self._call.ask.model, self._weight)
 
     async def place(self) -> Backend | Refusal:
-        """The backend server for the next attempt, or why there is none."""
+        """The backend server for the next attempt, or why there is none. Waits for a
+        model, an adapter or a permit as long as the call has time for it."""
         self.release()
         try:
             while True:
@@ -74,13 +76,13 @@
             self._stop_waiting()
 
     def sent(self) -> None:
-        """The call was sent to the backend server that was found."""
+        """Record that the call was sent to the chosen backend server."""
         permit, self._permit = self._permit, None
         if permit is not None:
             permit.used()
 
     def release(self) -> None:
-        """It wasn't sent there, and won't be."""
+        """Return the permit of the chosen backend server if the call wasn't sent."""
         permit, self._permit = self._permit, None
         if permit is not None:
             permit.give_back()
@@ -101,10 +103,10 @@
         return self._permit is not None
 
     def find_alternative(self) -> Backend | None:
-        """A backend server that the call wasn't sent to and that can take it now.
+        """An untried backend server that can take the call now, None if there is none.
 
-        None that names a limit: the call would wait for a permit while its own is
-        silent.
+        Those that report a limit are left out: the call would have to wait for a permit
+        while its current backend server is silent.
         """
         ask, now = self._call.ask, self._context.clock()
         eligible = [
@@ -116,7 +118,7 @@
         return self._choose(eligible)
 
     def untried(self) -> list[Backend]:
-        """The backend servers of the service that the call hasn't been sent to."""
+        """The backend servers of the service that haven't been tried for this call."""
         return [
             backend
             for backend in self._in_service()
@@ -156,8 +158,8 @@
             await asyncio.sleep(RECHECK_S)
 
     def _refuse_or_wait(self, candidates: list[Backend]) -> Refusal | None:
-        """Why none of the backend servers takes the call, or None to wait for room
-        under the limit that one of them names."""
+        """A refusal because all candidates are full, or None to wait for a permit under
+        the limit that one of them reports."""
         now = self._context.clock()
         free = [
             backend for backend in candidates if not selection.is_full(backend, now)
@@ -179,7 +181,7 @@
             and now < due - FIRST_EVENT_MARGIN_S
         ):
             return None
-        detail = f"{estimate.instance} has room in {estimate.in_s:.2f} s"
+        detail = f"{estimate.instance} allows a call in {estimate.in_s:.2f} s"
         return Refusal(
             Reason.BACKEND_LIMITED,
             max(estimate.in_s, attempts.DEFAULT_RETRY_AFTER_S),
@@ -192,8 +194,8 @@
             self._context.server_admission.end_waiting(estimate)
 
     async def _place_on_engine(self) -> Backend | Refusal:
-        """An engine that holds the model and the adapter, waiting for one if need
-        be."""
+        """An engine that has the model and the adapter loaded. Waits for one, or
+        returns a refusal."""
         context, ask = self._context, self._call.ask
         demand = context.engines.plans.demand(self._call.service)
         began = context.clock()
@@ -212,13 +214,13 @@
                 demand.unserved(began, ask.model, self._weight)
 
     def _try_engines(self, began: float) -> Backend | Refusal | None:
-        """An engine, a refusal, or None to wait."""
+        """An engine or a refusal, or None to wait."""
         ask, now = self._call.ask, self._context.clock()
         untried = self.untried()
         holders = [backend for backend in untried if backend.serves(now, ask.model)]
         if not holders and self._progress.may_have_run:
-            # Its only holder lost the answer. Of all places that is the best to go to
-            # again: elsewhere the model would have to be loaded first.
+            # The only holder of the model lost the answer. It is still the best choice:
+            # any other engine would have to load the model first.
             holders = [
                 backend
                 for backend in self._in_service()
@@ -267,8 +269,9 @@
         return None
 
     def _refuse_cold(self, now: float, come_back_s: float) -> Refusal:
-        """The adapter is to be there when the caller is back: the engine may begin the
-        next long load as soon as this one ends."""
+        """Refuse the call and request its adapter for when the caller retries. This has
+        to be noted now: as soon as the engine's present load ends it may begin another
+        long one."""
         due = self._context.engines.plans.adapter_prefetch(self._call.service)
         due.refused(now, self._call.ask, come_back_s)
         return Refusal(Reason.MODEL_NOT_LOADED, come_back_s)
@@ -286,7 +289,9 @@
         admission = self._context.quarantine.load_admission(ask.model)
         if admission.decision is AdmissionDecision.QUARANTINED:
             return Refusal(
-                Reason.MODEL_NOT_LOADED, admission.retry_in_s, "its load ends engines"
+                Reason.MODEL_NOT_LOADED,
+                admission.retry_in_s,
+                "loading it crashes engines",
             )
         planned = engines.plans.plan_for(call.service, ask.model)
         due = (
@@ -344,6 +349,6 @@
 
 
 def _accepts_order_in_s(backend: Backend) -> float:
-    """When the engine takes an order for an adapter. Seconds."""
+    """In how many seconds the engine accepts an order to load an adapter."""
     loading = backend.engine.loading if backend.engine is not None else None
     return 0.0 if loading is None else loading.left_s
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of a platform's adapter."""
+"""The interfaces that a platform's adapter implements for the gateway."""
 
 from __future__ import annotations
 
@@ -18,17 +18,18 @@
 from bambootiller_core.gateway.quota_limits import QuotaTolerance
 from bambootiller_core.ports import KeyValue, Record
 
-#: Name and value as they stand on the wire, the name in lower case.
+#: A header's name, in lower case, and value as on the wire.
 Header = tuple[bytes, bytes]
 
 
 @dataclass(frozen=True, slots=True)
 class Incoming:
-    """A caller's request as read from its head.
+    """A caller's request as parsed from its head.
 
     ``target`` is the path with the query, byte for byte; ``headers`` are those that may
-    be passed on. ``deadline_s`` is the time that the caller still waits, ``key`` the
-    digest of the one key that it carries, ``tokens`` the tokens that it names.
+    be forwarded. ``deadline_s`` is the time for which the caller still waits in
+    seconds, ``key`` the digest of the request's only API key, ``tokens`` the number of
+    tokens that the request states, None without.
     """
 
     method: str
@@ -44,8 +45,7 @@
     tokens: int | None = None
 
     def head(self, headers: Sequence[Header], body: bytes) -> bytes:
-        """The head of the request with these headers, as it goes to a backend
-        server."""
+        """The head of the request with these headers, as sent to a backend server."""
         lines = [self.method.encode() + b" " + self.target + b" HTTP/1.1"]
         lines += [name + b": " + value for name, value in headers]
         if body or self.method not in ("GET", "HEAD", "DELETE"):
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unreadable:
-    """A request that can't be served as it stands, and what is wrong with it."""
+    """A request, header or document that can't be interpreted, and why."""
 
     detail: str
 
@@ -69,13 +69,13 @@
 
 
 class AnswerKind(enum.Enum):
-    """What an answer is worth.
+    """How an answer is to be treated.
 
-    ``ANSWER``: the backend server's own answer to this call. ``NOT_RUN``: a promise
+    ``ANSWER``: the backend server's own answer to this call. ``NOT_RUN``: a guarantee
     that the call hasn't run there. ``MISDIRECTED``: the same, because another backend
-    server has the address, or doesn't hold the model. ``STRAY``: an answer to another
-    call. ``USELESS``: nothing that may be passed on, after a run that may have
-    happened."""
+    server has the address, or it doesn't hold the model. ``STRAY``: an answer to
+    another call. ``USELESS``: an answer that may not be forwarded, although the call
+    may have run."""
 
     ANSWER = "answer"
     NOT_RUN = "not run"
@@ -85,80 +85,83 @@
 
 
 class Dialect(Protocol):
-    """The platform's names for what a request and an answer carry."""
+    """The platform's encoding of requests and answers in HTTP."""
 
-    #: The path at which the balancer asks whether this process is ready.
+    #: The path of the load balancer's readiness check.
     ready_path: str
 
     def read(self, scope: dict[str, Any]) -> Incoming | Unreadable:
-        """Read the head of a request."""
+        """Parse the head of a request from its ASGI scope."""
 
     def request_headers(
         self, incoming: Incoming, call: Call, instance: str, resume_after: int | None
     ) -> list[Header]:
-        """The headers for a backend server, without the time left and the framing."""
+        """The request headers for a backend server, without the time left and the
+        framing."""
 
     def time_left_header(self, seconds: float) -> Header:
-        """The header that tells a backend server how long it has."""
+        """The header that states how many seconds a backend server has left."""
 
     def classify(self, call: Call, head: AnswerHead) -> AnswerKind:
-        """What an answer with this head is worth."""
+        """Classify an answer to ``call`` by its head."""
 
     def limit(self, head: AnswerHead) -> float | Unreadable | None:
-        """The calls a second that the backend server takes from all instances together,
-        None if it names no limit."""
+        """The calls per second that the backend server accepts from all instances
+        together, None if the answer reports no limit."""
 
     def response_headers(self, head: AnswerHead) -> list[Header]:
-        """The headers of an answer that go to the caller."""
+        """The headers of an answer that are forwarded to the caller."""
 
     def refusal_headers(self, incoming: Incoming | None, come_back_s: float | None):
-        """The headers of the gateway's own answer."""
+        """The headers of a refusal by the gateway itself."""
 
 
 class Directory(Protocol):
-    """Which documents the store holds for the gateway, and how they read."""
+    """Locates and parses the gateway's documents in the store."""
 
-    #: Documents under these prefixes concern the gateway.
+    #: The key prefixes of the gateway's documents.
     prefixes: Sequence[str]
 
     def config(self, record: Record) -> GatewayConfig | Unreadable | None:
-        """The configuration, or None if the record isn't that document."""
+        """The configuration, or None if the record is another document."""
 
     def registration(self, record: Record) -> Registration | Unreadable | None:
-        """A registered backend server, or None if the record isn't one."""
+        """A registered backend server, or None if the record is another document."""
 
     def instance_of(self, key: str) -> str | None:
-        """The backend server that a removed key stood for."""
+        """The instance of the backend server whose registration has this key, None if
+        the key is another document's."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportFailed:
-    """The engine's report couldn't be read, and why; ``gone`` if nothing listens at its
-    port, so that no load goes on there."""
+    """Why the engine's report couldn't be read. ``gone`` is set if nothing listens on
+    its port, so that no load can be running there."""
 
     detail: str
     gone: bool = False
 
 
 class Engine(Protocol):
-    """The engine beside an agent."""
+    """The interface of an agent to its engine."""
 
     async def report(self) -> EngineReport | ReportFailed:
-        """What it holds and how busy it is."""
+        """The engine's resident models and its load."""
 
     async def order(self, order: EngineOrder, instance: str, token: int) -> OrderAnswer:
-        """Give it an order once."""
+        """Send an order to the engine once, without retries."""
 
     async def close(self) -> None:
-        """Release the connections."""
+        """Close the connections to the engine."""
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the platform promises its callers, as far as the gateway acts on it.
+    """The platform's guarantees to its callers that the gateway has to keep.
 
-    ``leaving_s`` is within how long a backend server that leaves has to get no more
-    work, in seconds, ``quota`` what is tolerated beyond a customer's quota."""
+    The ``retry_`` fields are the parameters of the retry budget. ``leaving_s`` is
+    within how many seconds a leaving backend server must get no more calls, ``quota``
+    the tolerance beyond a customer's quota."""
 
     retry_ratio: float = 0.2
     retry_slack: float = 50.0
@@ -169,7 +172,8 @@
 
 @dataclass(slots=True)
 class Platform:
-    """All that an adapter provides for one process; ``bounds`` may change later."""
+    """All that an adapter provides for one process; ``bounds`` may be replaced at run
+    time."""
 
     kv: KeyValue
     directory: Directory
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -1,8 +1,9 @@
-"""Keeps the calls of all entries within the limits that backend servers name.
+"""Keeps the calls of all entries within the rate limits that backend servers report.
 
-Whatever is sent to such a backend server takes a permit first: one call of the limit,
-which the allocator shares out (:mod:`allowances`). Those that aren't there go to
-another backend server, wait if there is room in time, or are refused at once.
+Each call to such a backend server needs a permit, which stands for one call of the
+limit; the allocator divides the limit between the entries (:mod:`allowances`). A call
+that gets no permit goes to another backend server, waits if a permit is expected in
+time, or is refused at once.
 """
 
 from __future__ import annotations
@@ -18,25 +19,26 @@
 from bambootiller_core.gateway.reported_limits import limit_name, shared_limits
 
 LIMIT_KIND = "backend servers"
-#: What a call costs of a limit.
+#: The cost of a call under a limit.
 CALL_COST = 1.0
-#: A call waits no longer than this for the allocator's answer: another backend server
-#: may take it. Seconds.
+#: A call waits no longer than this for the allocator's answer, since another backend
+#: server may take it. Seconds.
 ALLOCATOR_TIMEOUT_S = 0.2
-#: Where there is no room the allocator is asked again after this time at the latest, as
-#: others may ask for less by then. Seconds.
+#: While a limit is exhausted the allocator is asked again after this time at the
+#: latest, as the demand of other entries may have dropped by then. Seconds.
 MAX_PAUSE_S = 2.0
-#: The same where no allocator has answered, and when to come back then. Seconds.
+#: The pause, and the retry-after time of a refusal, if no allocator has answered.
+#: Seconds.
 NO_ALLOCATOR_PAUSE_S = 0.5
 NO_ALLOCATOR_COME_BACK_S = 1.0
-#: A backend server that had no room counts as short of it for so long. Seconds.
+#: How long a backend server is marked as short of permits after it had none. Seconds.
 SHORTAGE_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class PermitEstimate:
-    """When a backend server has room for a call, in seconds; ``known`` is whether an
-    allocator tells."""
+    """In how many seconds a backend server's limit allows a call; ``known`` is False if
+    there is no allocator and the time is a default."""
 
     instance: str
     in_s: float
@@ -44,7 +46,7 @@
 
 
 class Permit:
-    """What lets one call be sent to one backend server."""
+    """Allows one call to be sent to one backend server."""
 
     def __init__(self, allowances: Allowances, name: str, charge: QuotaCharge) -> None:
         self._allowances = allowances
@@ -52,11 +54,11 @@
         self._charge: QuotaCharge | None = charge
 
     def used(self) -> None:
-        """The call was sent."""
+        """Record that the call was sent."""
         self._close(True)
 
     def give_back(self) -> None:
-        """It wasn't, unless it was said before that it was."""
+        """Return the permit, unless it was used."""
         self._close(False)
 
     def _close(self, sent: bool) -> None:
@@ -66,7 +68,7 @@
 
 
 class ServerAdmission:
-    """The permits of one entry.
+    """Issues the permits of one entry.
 
     Example::
 
@@ -89,22 +91,22 @@
         self._allowances.limited(LIMIT_KIND, limits, MAX_PAUSE_S)
 
     def is_limited(self, backend: Backend) -> bool:
-        """Whether the backend server names a limit."""
+        """Whether the backend server reports a limit."""
         return self._limits.per_s(backend) is not None
 
     def is_exhausted(self, backend: Backend) -> bool:
-        """Whether there is no use in trying for a permit now."""
+        """Whether no permit can be obtained now."""
         if not self.is_limited(backend):
             return False
         return self._allowances.dry_s(limit_name(backend.instance), CALL_COST) > 0
 
     def asked(self, backend: Backend) -> None:
-        """A call would go to the backend server, if it may."""
+        """Count a call in the demand for the backend server's limit."""
         if self.is_limited(backend):
             self._allowances.record_demand(limit_name(backend.instance), CALL_COST)
 
     async def permit(self, backend: Backend) -> Permit | None:
-        """What lets a call be sent there now."""
+        """A permit for a call to the backend server now, None if there is none."""
         name = limit_name(backend.instance)
         found = await self._allowances.obtain(name, CALL_COST, ALLOCATOR_TIMEOUT_S)
         if isinstance(found, QuotaCharge):
@@ -117,8 +119,8 @@
         return None
 
     def estimate(self, backends: Iterable[Backend]) -> PermitEstimate | None:
-        """Where there is room first, behind the calls that wait for it already; None if
-        none of them names a limit."""
+        """The earliest permit of these backend servers, after the calls that already
+        wait for one; None if none of them reports a limit."""
         estimates = [
             self._estimate_for(backend)
             for backend in backends
@@ -137,10 +139,10 @@
         return PermitEstimate(backend.instance, in_s, known=True)
 
     def begin_waiting(self, estimate: PermitEstimate) -> None:
-        """A call waits for room there."""
+        """Count a call that waits for a permit."""
         self._waiting[estimate.instance] += 1
 
     def end_waiting(self, estimate: PermitEstimate) -> None:
-        """It waits no more."""
+        """Stop counting a call that waited for a permit."""
         self._waiting[estimate.instance] -= 1
         self._waiting += Counter()
