--- a/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
@@ -65,18 +65,16 @@
         self._summed_at = _NEVER
         self._now = _NEVER
 
-    def load_requested(
-        self, now: float, load_request: LoadRequest, entry: str = ""
-    ) -> None:
+    def load_requested(self, now: float, request: LoadRequest, entry: str = "") -> None:
         """An entry has calls that need the model or adapter."""
         self._advance_clock(now)
         self._demands = None
-        self._load_requests[(load_request.model, load_request.adapter)] = (
-            load_request,
+        self._load_requests[(request.model, request.adapter)] = (
+            request,
             now,
         )
-        self._requested_by[(load_request.model, load_request.adapter)] = entry
-        self._used_at[(load_request.model, load_request.adapter)] = now
+        self._requested_by[(request.model, request.adapter)] = entry
+        self._used_at[(request.model, request.adapter)] = now
 
     def reported(
         self,
@@ -124,12 +122,12 @@
                 self._demands = None
                 del self._entries[entry]
 
-    def renew(self, now: float, model: str) -> None:
+    def renew_request(self, now: float, model: str) -> None:
         """A wish for the model lives on: what comes of it isn't known yet, and it isn't
         repeated meanwhile."""
-        load_request, at = self._load_requests.get((model, ""), (None, now))
-        if load_request is not None:
-            self._load_requests[(model, "")] = (load_request, max(at, now))
+        request, at = self._load_requests.get((model, ""), (None, now))
+        if request is not None:
+            self._load_requests[(model, "")] = (request, max(at, now))
 
     def requested_by(self, model: str, adapter: str = "") -> str:
         """The entry that wished for it last, empty if none does now."""
@@ -140,18 +138,16 @@
         for long, and then the one whose calls have waited longest."""
         demands = self.demands()
 
-        def key(load_request: LoadRequest) -> tuple[float, ...]:
-            demand = demands.get(load_request.model, NO_DEMAND)
+        def key(request: LoadRequest) -> tuple[float, ...]:
+            demand = demands.get(request.model, NO_DEMAND)
             return (
-                load_request.urgency,
+                request.urgency,
                 not demand.in_time_s,
                 demand.in_time_s,
                 -demand.oldest_s,
             )
 
-        return sorted(
-            [load_request for load_request, _ in self._load_requests.values()], key=key
-        )
+        return sorted([request for request, _ in self._load_requests.values()], key=key)
 
     def demands(self) -> dict[str, Demand]:
         """The demand of all entries together, by what they say here, or by what the
@@ -187,8 +183,7 @@
                     sum_known(held.callers, demand.callers),
                 )
         load_requested = {
-            load_request.model: load_request.demand
-            for load_request, _ in self._load_requests.values()
+            request.model: request.demand for request, _ in self._load_requests.values()
         }
         return merge_max(merged, load_requested)
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_memory.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_memory.py
@@ -27,7 +27,7 @@
     total = 0.0
     for model, adapters in report.holdings.items():
         total += _size(engine, model) + len(adapters) * _adapter_size(engine, model)
-    for model, _ in report.adapters_coming:
+    for model, _ in report.adapters_loading:
         total += _adapter_size(engine, model)
     if loading is not None and loading not in report.holdings:
         total += _size(engine, loading)
@@ -48,7 +48,7 @@
     for change in (order, *sorted(late, key=lambda item: item.expected)):
         after = _report_after(after, change)
     count = sum(len(adapters) for adapters in after.holdings.values())
-    count += len(after.adapters_coming)
+    count += len(after.adapters_loading)
     used = memory_used(engine, after, None, None)
     return used <= engine.memory_mb and count <= engine.adapter_slots
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
@@ -51,13 +51,13 @@
 @dataclass(frozen=True, slots=True)
 class EngineReport:
     """What an engine says of itself. ``accepted`` counts the orders accepted since its
-    start; ``adapters_coming`` are (model, adapter) on their way in."""
+    start; ``adapters_loading`` are (model, adapter) on their way in."""
 
     instance: str
     holdings: Mapping[str, frozenset[str]]
     accepted: int
     busy: bool = False
-    adapters_coming: frozenset[tuple[str, str]] = frozenset()
+    adapters_loading: frozenset[tuple[str, str]] = frozenset()
     in_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
     running: int = 0
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -54,7 +54,7 @@
 #: again. Seconds; about a heartbeat, within which a new start is listed.
 WRONG_INSTANCE_COOLDOWN_S = 1.0
 #: A load that has outlived its estimate is expected to last this part of it longer.
-OVERRUN_SHARE = 0.15
+OVERRUN_FRACTION = 0.15
 
 
 @dataclass(slots=True)
@@ -69,7 +69,7 @@
 class _Preparing:
     """A load for which other models are being unloaded."""
 
-    load_request: LoadRequest
+    request: LoadRequest
     since: float
 
 
@@ -96,7 +96,7 @@
         self._unloading: str | None = None
         self._preparing: _Preparing | None = None
         self._entry_reports = EntryReports()
-        self._late = LateOrders()
+        self._late_orders = LateOrders()
         self._wrong_instance_until = float("-inf")
         self.fenced = False
 
@@ -114,11 +114,9 @@
         """A new configuration describes the engine."""
         self._engine = engine
 
-    def load_requested(
-        self, now: float, load_request: LoadRequest, entry: str = ""
-    ) -> None:
+    def load_requested(self, now: float, request: LoadRequest, entry: str = "") -> None:
         """An entry has calls that need the model or adapter."""
-        self._entry_reports.load_requested(now, load_request, entry)
+        self._entry_reports.load_requested(now, request, entry)
 
     def requested_by(self, order: EngineOrder) -> str:
         """The entry that wished last for what the order is for."""
@@ -153,7 +151,7 @@
         if unconfirmed is not None and report.accepted > unconfirmed.expected:
             self._unconfirmed = None
             self._order_accepted(now, unconfirmed)
-        return self._settle_progress(now, report)
+        return self._update_progress(now, report)
 
     def _is_restart(self, now: float, report: EngineReport) -> bool:
         if self._report is None:
@@ -175,7 +173,7 @@
         """
         self._load = self._unloading = self._unconfirmed = self._preparing = None
         self._entry_reports.engine_restarted()
-        self._late.engine_restarted()
+        self._late_orders.engine_restarted()
         self._wrong_instance_until = float("-inf")
 
     def engine_ended(self) -> None:
@@ -195,7 +193,7 @@
         if self._unconfirmed is not None:
             return self._unconfirmed
         if self._gate is not None and self._gate.acquiring is not None:
-            self._entry_reports.renew(now, self._gate.acquiring.model)
+            self._entry_reports.renew_request(now, self._gate.acquiring.model)
         self._entry_reports.expire(now)
         if report.busy or self._load is not None or self._unloading is not None:
             # The engine turns down every order while it carries one out for a model,
@@ -203,18 +201,16 @@
             return None
         load_requests = self._entry_reports.load_requests()
         if self._preparing is not None:
-            order = self._for_model(now, self._preparing.load_request)
+            order = self._order_for_model(now, self._preparing.request)
             if order is not None:
                 return order
             self._preparing = None
-        for load_request in load_requests:
-            order = (
-                self._for_adapter(now, load_request) if load_request.adapter else None
-            )
+        for request in load_requests:
+            order = self._order_for_adapter(now, request) if request.adapter else None
             if order is not None:
                 return order
-        for load_request in load_requests:
-            order = None if load_request.adapter else self._for_model(now, load_request)
+        for request in load_requests:
+            order = None if request.adapter else self._order_for_model(now, request)
             if order is not None:
                 return order
         return None
@@ -230,7 +226,7 @@
         if order is not None and order.kind is OrderKind.LOAD and not order.adapter:
             return not self._report.has_copy(order.model)
         return preparing is not None and not self._report.has_copy(
-            preparing.load_request.model
+            preparing.request.model
         )
 
     def order_sent(self, order: EngineOrder) -> None:
@@ -243,7 +239,7 @@
         """Note the engine's answer."""
         self._needs_report = True
         if answer is OrderAnswer.UNANSWERED:
-            self._late.unanswered(now, order)
+            self._late_orders.unanswered(now, order)
             return
         if answer is OrderAnswer.CONFLICT:
             # An earlier copy of this order may have been accepted, which the report's
@@ -281,7 +277,7 @@
         return EngineState(
             instance=report.instance,
             holdings=holdings,
-            loading=self._loading(now),
+            loading=self._reported_loading(now),
             busy=report.busy,
             in_memory=report.in_memory,
             on_disk=report.on_disk,
@@ -303,10 +299,7 @@
         spec = self._engine.models.get(order.model)
         if spec is None:
             return
-        if (
-            self._preparing is not None
-            and self._preparing.load_request.model == order.model
-        ):
+        if self._preparing is not None and self._preparing.request.model == order.model:
             self._preparing = None
         seconds, from_store = self._load_time(spec)
         self._load = _Load(order.model, now, seconds, from_store)
@@ -318,7 +311,7 @@
             return spec.disk_s, False
         return spec.load_s, True
 
-    def _settle_progress(self, now: float, report: EngineReport) -> LoadEnded | None:
+    def _update_progress(self, now: float, report: EngineReport) -> LoadEnded | None:
         load, ended = self._load, None
         if load is not None:
             held = load.model in report.holdings
@@ -333,19 +326,19 @@
                 self._unloading = None
         return ended
 
-    def _loading(self, now: float) -> Loading | None:
+    def _reported_loading(self, now: float) -> Loading | None:
         load = self._load
         if load is None:
             return self._upcoming_load(now) or self._acquiring_load()
         left = load.began + load.seconds - now
-        left = max(left, load.seconds * OVERRUN_SHARE)
+        left = max(left, load.seconds * OVERRUN_FRACTION)
         return Loading(load.model, left, load.from_store)
 
     def _upcoming_load(self, now: float) -> Loading | None:
         """The load to come, told as if it had begun, or entries would have the model
         loaded elsewhere while others are unloaded for it here."""
         preparing = self._preparing
-        spec = preparing and self._engine.models.get(preparing.load_request.model)
+        spec = preparing and self._engine.models.get(preparing.request.model)
         if not spec:
             return None
         seconds, from_store = self._load_time(spec)
@@ -358,34 +351,30 @@
         acquiring = self._gate.acquiring if self._gate is not None else None
         return acquiring and Loading(acquiring.model, acquiring.load_s, True)
 
-    def _for_adapter(self, now: float, load_request: LoadRequest) -> EngineOrder | None:
+    def _order_for_adapter(
+        self, now: float, request: LoadRequest
+    ) -> EngineOrder | None:
         report = self._report
-        held = report.holdings.get(load_request.model)
-        if (
-            held is None
-            or load_request.model == self._unloading
-            or load_request.adapter in held
-        ):
+        held = report.holdings.get(request.model)
+        if held is None or request.model == self._unloading or request.adapter in held:
             return None
-        coming = report.adapters_coming
-        if (load_request.model, load_request.adapter) in coming or len(
+        coming = report.adapters_loading
+        if (request.model, request.adapter) in coming or len(
             coming
         ) >= MAX_ADAPTER_LOADS:
             return None
-        spec = self._engine.models.get(load_request.model)
+        spec = self._engine.models.get(request.model)
         if spec is None:
             return None
         count = sum(len(adapters) for adapters in report.holdings.values())
         slots_free = count + len(coming) < self._engine.adapter_slots
         fits = self._memory_used() + spec.adapter_mb <= self._engine.memory_mb
         if slots_free and fits:
-            return self._order(
-                now, OrderKind.LOAD, load_request.model, load_request.adapter
-            )
+            return self._order(now, OrderKind.LOAD, request.model, request.adapter)
         victim = self._idle_adapter(now)
         if victim is None:
             return None
-        return self._order(now, OrderKind.UNLOAD, *victim, load_request.model)
+        return self._order(now, OrderKind.UNLOAD, *victim, request.model)
 
     def _idle_adapter(self, now: float) -> tuple[str, str] | None:
         entry_reports = self._entry_reports
@@ -402,22 +391,20 @@
         _, model, adapter = min(idle)
         return model, adapter
 
-    def _for_model(self, now: float, load_request: LoadRequest) -> EngineOrder | None:
+    def _order_for_model(self, now: float, request: LoadRequest) -> EngineOrder | None:
         report = self._report
-        spec = self._engine.models.get(load_request.model)
-        if spec is None or load_request.model in report.holdings:
+        spec = self._engine.models.get(request.model)
+        if spec is None or request.model in report.holdings:
             return None
         need = self._memory_used() + spec.size_mb - self._engine.memory_mb
         if need <= 0:
-            if not self._may_load(spec, load_request):
+            if not self._may_load(spec, request):
                 return None
-            return self._order(now, OrderKind.LOAD, load_request.model, "")
+            return self._order(now, OrderKind.LOAD, request.model, "")
         demands = self.demands()
         in_use = self._entry_reports.in_use()
-        incoming = merge_max(demands, {load_request.model: load_request.demand})[
-            load_request.model
-        ]
-        if load_request.urgency > CALLS_WAITING:
+        incoming = merge_max(demands, {request.model: request.demand})[request.model]
+        if request.urgency > CALLS_WAITING:
             incoming = replace(incoming, waiting=0, unserved=0.0)
         elif not incoming.awaited:
             incoming = replace(incoming, waiting=1)
@@ -432,18 +419,16 @@
         victims = choose_victims(
             self._engine, report.holdings, need, in_use, values, incoming, seconds
         )
-        if victims is None or not self._may_load(spec, load_request):
+        if victims is None or not self._may_load(spec, request):
             return None
         if self._preparing is None:
-            self._preparing = _Preparing(load_request, now)
-        return self._order(
-            now, OrderKind.UNLOAD, victims.models[0], "", load_request.model
-        )
+            self._preparing = _Preparing(request, now)
+        return self._order(now, OrderKind.UNLOAD, victims.models[0], "", request.model)
 
-    def _may_load(self, spec: ModelSpec, load_request: LoadRequest) -> bool:
+    def _may_load(self, spec: ModelSpec, request: LoadRequest) -> bool:
         if self._gate is None or self._report.has_copy(spec.name):
             return True
-        return self._gate.allows(spec, load_request.store_permits)
+        return self._gate.allows(spec, request.store_permits)
 
     def _order(
         self,
@@ -456,12 +441,12 @@
         """The order, unless it would let a late one overfill the engine."""
         report = self._report
         order = EngineOrder(kind, model, adapter, report.accepted, wanted_for)
-        late = list(self._late.loads_after(now, order.expected + 1))
+        late = list(self._late_orders.loads_after(now, order.expected + 1))
         if late and not fits_late_loads(self._engine, report, order, late):
             return None
-        row = self._late.consecutive_before(now, order.expected)
-        empty = replace(report, holdings={}, adapters_coming=frozenset())
-        if row and not fits_late_loads(self._engine, empty, order, row):
+        consecutive = self._late_orders.consecutive_before(now, order.expected)
+        empty = replace(report, holdings={}, adapters_loading=frozenset())
+        if consecutive and not fits_late_loads(self._engine, empty, order, consecutive):
             return None
         return order
 
