--- a/packages/bambootiller-core/src/bambootiller_core/gateway/customers.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/customers.py
@@ -1,7 +1,7 @@
-"""Customers of the gateway, the keys by which their calls are told apart, and quotas.
+"""Customers of the gateway, the API keys that identify their calls, and their quotas.
 
-A key is kept as its digest from the moment the configuration is read: what holds a key
-can be logged, copied or told to a peer by mistake.
+Only the digest of a key is kept, from the moment the configuration is read: an object
+with the key itself could be logged, copied or sent to a peer by mistake.
 
 Example::
 
@@ -16,17 +16,17 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-#: Bytes of a digest; enough that two keys don't share one.
+#: The length of a digest in bytes; long enough that no two keys have the same digest.
 DIGEST_BYTES = 16
 SCHEME = b"bearer"
 
 
 class CustomerConflict(ValueError):
-    """One key, or one name, belongs to two customers."""
+    """Two customers have the same name or share a key."""
 
 
 class QuotaUnit(enum.Enum):
-    """What a quota counts."""
+    """The unit in which a quota counts calls."""
 
     CALL = "call"
     TOKEN = "token"
@@ -34,10 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """How much a customer may run over all entries: so much a second, and a burst.
+    """How much a customer may run on all entries together: a rate and a burst.
 
-    ``plain_tokens`` is what a call that names no tokens counts where tokens are
-    counted.
+    ``rate_per_s`` is in units a second, ``burst`` in units.
+
+    ``plain_tokens`` is the cost of a call that states no number of tokens, if the unit
+    is tokens.
     """
 
     rate_per_s: float
@@ -46,7 +48,7 @@
     plain_tokens: float = 0.0
 
     def cost(self, tokens: int | None) -> float:
-        """What a call counts that names so many tokens, or none.
+        """Return the cost of a call that states this number of tokens, or None.
 
         >>> Quota(10.0, 10.0, QuotaUnit.TOKEN, plain_tokens=200).cost(None)
         200
@@ -58,8 +60,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer. Its ``priority`` goes before a route's, where 0 is first; None leaves
-    the route's. Without a ``quota`` there is no limit."""
+    """A customer.
+
+    Its ``priority`` overrides that of the route, unless it is None; 0 is the highest.
+    Without a ``quota`` the customer has no limit.
+    """
 
     name: str
     priority: int | None = None
@@ -68,16 +73,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Customers:
-    """All customers of a configuration, and who holds which key."""
+    """All customers of a configuration, with the digests of their keys."""
 
     by_name: Mapping[str, Customer]
     _by_digest: Mapping[bytes, Customer]
 
     @classmethod
     def build(cls, keyed: Iterable[tuple[Customer, Sequence[str]]]) -> Customers:
-        """Customers with their keys, which are kept as digests.
+        """Build the table from customers and their keys, of which it keeps the digests.
 
-        Raises :class:`CustomerConflict`, which doesn't tell the key.
+        Raises :class:`CustomerConflict`, whose message doesn't reveal the key.
         """
         by_name: dict[str, Customer] = {}
         by_digest: dict[bytes, Customer] = {}
@@ -93,11 +98,12 @@
         return cls(by_name, by_digest)
 
     def holder(self, key_digest: bytes | None) -> Customer | None:
-        """The customer that holds the key, if any."""
+        """Return the customer that holds the key with this digest, None if there is
+        none."""
         return None if key_digest is None else self._by_digest.get(key_digest)
 
     def keys_by_name(self) -> dict[str, frozenset[bytes]]:
-        """The digests of each customer's keys."""
+        """Return the digests of each customer's keys."""
         found: dict[str, set[bytes]] = {name: set() for name in self.by_name}
         for key, customer in self._by_digest.items():
             found[customer.name].add(key)
@@ -105,13 +111,14 @@
 
 
 def digest(key: bytes) -> bytes:
-    """What is kept of a key."""
+    """Return the digest under which a key is kept."""
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES).digest()
 
 
 def credential(values: Sequence[bytes]) -> bytes | None:
-    """The digest of the key that a call's ``Authorization`` fields carry; None unless
-    there is just one, with a key of the scheme Bearer.
+    """Return the digest of the key in the ``Authorization`` header fields of a call.
+
+    Returns None unless there is exactly one field, and it has the scheme Bearer.
 
     >>> credential([b"Bearer k-1"]) == credential([b"bearer   k-1 "]) == digest(b"k-1")
     True
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
@@ -1,22 +1,23 @@
-"""Divides the limit of each customer among the entries, so that nothing is given twice.
+"""Divides each customer's limit among the entries; no part of it is granted twice.
 
-The limits that backend servers name are divided like those of customers.
+The limits that backend servers report are divided like those of customers.
 
-The allocator is the one process that may hand out parts of a limit. An entry holds a
-share of it, a part of rate and depth, for as long as :data:`quota_messages.SHARE_TTL_S`
-after it asked; what isn't held by anybody is the allocator's own bucket, from which it
-advances what a call lacks. Shares follow demand, and a share is given only once who
-held it has confirmed the smaller one, or can't hold it any more.
+The allocator is the only process that may grant parts of a limit. An entry holds a
+share of it, a fraction of rate and depth, for :data:`quota_messages.SHARE_TTL_S` after
+its request. What no entry holds is the allocator's own bucket, from which it advances
+what a call lacks. Shares follow demand. Part of a share is granted to another entry
+only after its holder has confirmed the smaller share or can't hold it any longer.
 
-So in any window what entries run is bounded: their buckets and the allocator's together
-fill at the limit's rate and store its depth at most, and an advance is counted as it is
-granted and spent within :attr:`quota_terms.Limit.advance_s`. While less than the depth
-has been stored for a window, the allocator's bucket fills faster by the difference.
+This bounds what entries run in any window. Their buckets and the allocator's together
+fill at the limit's rate and store its depth at most. An advance is deducted when it is
+granted and spent within :attr:`quota_limits.Limit.advance_s`. If less than the depth
+has been stored throughout a window, the allocator's bucket fills faster by the
+difference.
 
-What isn't known counts as held. An allocator that follows another starts with an empty
-bucket, and counts each entry of the record at its ceiling until that entry has told
-what it holds, a later process of the instance has shown that it is gone, or its shares
-have ended.
+What isn't known counts as held. A new allocator starts with empty buckets. It counts
+each entry of the record at its ceiling until that entry has reported what it holds, a
+later process of the same instance has shown that the recorded one is gone, or its
+shares have expired.
 
 Example::
 
@@ -24,7 +25,7 @@
     answer = allocator.answer(now, ask, limits)
     if allocator.pending_record is not None:
         ...    # write it, then:
-        allocator.recorded(allocator.pending_record)
+        allocator.record_written(allocator.pending_record)
 """
 
 from __future__ import annotations
@@ -45,21 +46,22 @@
 )
 from bambootiller_core.gateway.quota_record import Member
 
-#: An entry's share is so many times what its calls cost lately, so that it seldom needs
-#: an advance.
+#: An entry's share is this multiple of the recent cost of its calls, so that it seldom
+#: needs an advance.
 HEADROOM = 1.0
-#: The part of a limit that all shares together take at most. The rest serves advances,
-#: for entries whose demand is new.
+#: The fraction of a limit that all shares together take at most. The rest is kept for
+#: advances to entries whose demand is new.
 MAX_SHARED_FRACTION = 0.6
-#: A share that differs from the one due by less than this part of it is left as it is.
+#: A share is left unchanged if it differs from the new one by no more than this
+#: fraction of the larger of the two.
 MIN_SHARE_CHANGE = 0.2
-#: A share holds this many calls at least. Smaller ones would lie at entries without
-#: serving a call, so calls of such a customer are served by advances.
+#: A share has room for at least this many calls. A smaller one would sit unused at an
+#: entry without serving a call, so such calls are served by advances instead.
 MIN_SHARE_CALLS = 2.0
-#: A ceiling is recorded so many times as large as the share for which it is needed, so
-#: that a growing share isn't a write each time.
+#: A ceiling is recorded this many times as large as the share that needs it, so that
+#: not every growth of a share requires a write.
 CEILING_MARGIN = 1.3
-#: How often it is looked which entries' shares have ended, and sums are made anew.
+#: How often entries whose shares have expired are removed and the sums are recomputed.
 #: Seconds.
 REVIEW_INTERVAL_S = 1.0
 
@@ -68,8 +70,9 @@
 class _Holding:
     """What one process of an entry may hold of one customer's limit.
 
-    ``granted`` are shares by the number of the answer that granted them, which the
-    entry may act on."""
+    ``reported`` is the share that it reported last. ``granted`` maps the number of an
+    answer to the share granted in it, for answers on which the entry may yet act.
+    """
 
     reported: float = 0.0
     granted: dict[int, float] = field(default_factory=dict)
@@ -83,8 +86,11 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """A process of an entry. ``confirmed``: it has acted on an answer of this allocator,
-    so it is the one that runs at its instance now."""
+    """A process of an entry.
+
+    ``confirmed`` is True once the process has acted on an answer of this allocator, so
+    that it is the one that runs at its instance now.
+    """
 
     name: str
     incarnation: str
@@ -99,11 +105,14 @@
 
 @dataclass(slots=True)
 class _Bucket:
-    """What nobody holds of one customer's limit: the part ``free`` of it, by which it
-    has filled up to ``level`` at the time ``at``.
+    """The bucket for what no entry holds of one customer's limit.
+
+    ``free`` is the fraction of the limit that no entry holds. The bucket had filled to
+    ``level`` at the time ``at``.
 
-    ``stored`` is what it and the shares could store, by time, without what was no more
-    than a later figure; its first is the most of the last span.
+    ``stored`` is a queue of pairs of a time and the amount that the bucket and all
+    shares together could store then. A pair is dropped once a later amount is at least
+    as large, so the first pair has the maximum of the last span.
     """
 
     free: float
@@ -112,13 +121,13 @@
     stored: deque[tuple[float, float]]
 
     def record_stored(self, amount: float) -> None:
-        """So much may be stored now."""
+        """Record the amount that may be stored now."""
         while self.stored and self.stored[-1][1] <= amount:
             self.stored.pop()
         self.stored.append((self.at, amount))
 
     def max_stored(self, since: float) -> float:
-        """The most that was stored from then on."""
+        """Return the maximum amount stored at or after ``since``."""
         while len(self.stored) > 1 and self.stored[1][0] <= since:
             self.stored.popleft()
         return self.stored[0][1]
@@ -127,8 +136,8 @@
 class QuotaAllocator:
     """The allocator of one ``term``.
 
-    ``members`` are the entries that the record names. The first allocator of all finds
-    no record, and its buckets are as empty as those of any other.
+    ``members`` are the entries in the record. The very first allocator finds no record,
+    and starts with empty buckets like any other.
     """
 
     def __init__(self, term: int, now: float, members: Mapping[str, Member]) -> None:
@@ -136,24 +145,25 @@
         self._silent_members = dict(members)
         self._silent_until = now + SHARE_TTL_S
         self._entries: dict[tuple[str, str], _Entry] = {}
-        #: Processes that a later one of the same instance has followed.
+        #: Processes that a later process of the same instance has replaced.
         self._superseded: set[tuple[str, str]] = set()
         self._buckets: dict[str, _Bucket] = {}
-        #: What entries hold of each customer's limit, and what its calls cost at all of
-        #: them: summed for each ask, it would cost the more the more entries there are.
+        #: The fraction of each customer's limit that entries hold, and the demand at
+        #: all of them. These sums are maintained, as the cost of computing them for
+        #: each request would grow with the number of entries.
         self._held: Counter[str] = Counter()
         self._demand: Counter[str] = Counter()
         self._reviewed_at = now
-        #: The record that has to be written before shares that are due are granted.
+        #: The record that must be written before larger shares can be granted.
         self.pending_record: dict[str, Member] | None = None
 
     @property
     def entry_count(self) -> int:
-        """How many entries have asked."""
+        """The number of entries from which a request has come lately."""
         return len(self._entries)
 
     def configured(self, now: float, limits: Mapping[str, Limit]) -> None:
-        """The limits in force, by customer; their buckets fill from now on."""
+        """Set the limits in force, by customer. Their buckets fill from now on."""
         for name in list(self._buckets):
             if name not in limits:
                 del self._buckets[name]
@@ -163,7 +173,7 @@
     def answer(
         self, now: float, ask: QuotaAsk, limits: Mapping[str, Limit]
     ) -> QuotaAnswer | None:
-        """The answer to an entry's ask; None for one that is late or came twice.
+        """Answer an entry's request. Returns None if it is late or a duplicate.
 
         ``limits`` are those of the configuration in force, by customer.
         """
@@ -178,7 +188,7 @@
         return QuotaAnswer(self.term, ask.number, grants)
 
     def record_written(self, members: Mapping[str, Member]) -> None:
-        """The record has been written."""
+        """Note that a record has been written: its ceilings are in force."""
         if self.pending_record == members:
             self.pending_record = None
         for name, member in members.items():
@@ -213,9 +223,10 @@
         return entry
 
     def _confirm(self, entry: _Entry) -> None:
-        """The process runs now, so no other one of its instance does.
+        """Mark the process as the running one, and drop all others of its instance.
 
-        An ask alone shows less: one of a process that has ended may come late.
+        A request alone doesn't prove that its process runs: a request of a process that
+        has ended may arrive late.
         """
         entry.confirmed = True
         before = self._silent_members.pop(entry.name, None)
@@ -229,14 +240,14 @@
 
     @contextlib.contextmanager
     def _updating_sums(self, name: str, holding: _Holding) -> Iterator[_Holding]:
-        """Keeps the sums while a holding changes."""
+        """Update the sums with the changes that the caller makes to a holding."""
         held, demand = holding.upper_bound, holding.demand_per_s
         yield holding
         self._held[name] += holding.upper_bound - held
         self._demand[name] += holding.demand_per_s - demand
 
     def _review(self, now: float) -> None:
-        """Forget entries whose shares have ended."""
+        """Remove entries whose shares have expired."""
         self._reviewed_at = now
         for key, entry in list(self._entries.items()):
             if now >= entry.expires_at:
@@ -253,18 +264,18 @@
                 self._demand[name] += holding.demand_per_s
 
     def _free(self, name: str) -> float:
-        """The part of a customer's limit that no entry may hold."""
+        """Return the fraction of a customer's limit that certainly no entry holds."""
         silent = sum(
             member.ceilings.get(name, 0.0) for member in self._silent_members.values()
         )
         return max(0.0, 1.0 - silent - self._held[name])
 
     def _bucket(self, now: float, name: str, limit: Limit) -> _Bucket:
-        """The customer's bucket, filled up to now.
+        """Return the customer's bucket, filled up to now.
 
-        It has filled by what was free when it was looked at last: until now entries may
-        have given back, but nothing was granted. What was stored before an allocator
-        began isn't known, so it is taken for all.
+        It has filled at the rate of what was free at the last update: since then
+        entries may have given up shares, but none was granted. How much was stored
+        before this allocator started isn't known, so the full depth is assumed.
         """
         free = self._free(name)
         bucket = self._buckets.get(name)
@@ -289,7 +300,7 @@
         if share != holding.reported:
             with self._updating_sums(name, holding):
                 holding.granted[entry.number] = share
-        # What the share takes with it of the bucket isn't there for an advance.
+        # What moves from the bucket to the share isn't available for an advance.
         bucket.free = self._free(name)
         held = 1.0 - bucket.free
         bucket.level = min(bucket.level, limit.depth - held * limit.share_depth)
@@ -309,8 +320,8 @@
     def _contended_part(
         self, name: str, limit: Limit, bucket: _Bucket, holding: _Holding
     ) -> float:
-        """The part of what is free that this entry may count on: all of it, unless more
-        is asked for, and then as much as it asks for."""
+        """Return the fraction of the free part that this entry may count on: all of it,
+        or its fraction of the demand if the demand exceeds the free rate."""
         demand = self._demand[name]
         if demand <= bucket.free * limit.rate_per_s:
             return 1.0
@@ -319,7 +330,7 @@
     def _share(
         self, name: str, limit: Limit, entry: _Entry, holding: _Holding
     ) -> float:
-        """The share that the entry holds from now on."""
+        """Return the share that the entry holds from now on."""
         due = HEADROOM * holding.demand_per_s / limit.rate_per_s
         due_to_all = HEADROOM * self._demand[name] / limit.rate_per_s
         if due_to_all > MAX_SHARED_FRACTION:
@@ -359,14 +370,16 @@
 
 
 def _advance(asked: CustomerAsk, level: float) -> float:
-    """What is granted at once: what isn't enough for a call would be lost."""
+    """Return the amount to advance: all that is wanted, or enough for the first call,
+    or nothing. An amount that doesn't suffice for a call would be lost."""
     if asked.wanted <= level:
         return asked.wanted
     return asked.least if asked.least <= level else 0.0
 
 
 def _apply_report(holding: _Holding, heard: int, asked: CustomerAsk) -> None:
-    """What the entry tells; grants up to the answer that it has heard are settled."""
+    """Take over what the entry reports. Shares granted in answers up to ``heard``, the
+    last one it has received, are replaced by the share that it reports."""
     holding.reported = asked.share
     holding.demand_per_s = asked.demand_per_s
     holding.call_cost = asked.call_cost
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_messages.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_messages.py
@@ -1,7 +1,7 @@
-"""What entries ask of the allocator of quotas, and what it answers.
+"""The messages between entries and the allocator of quotas.
 
-A customer stands for each limit that is shared out: backend servers name limits too
-(:mod:`reported_limits`).
+A "customer" here stands for any limit that is divided among entries, including those
+that backend servers report (:mod:`reported_limits`).
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-#: A share holds for so long after the entry asked. Seconds; longer than the key-value
-#: service is away, as without it no allocator can follow one that is gone.
+#: How long a share holds after the entry's request. Seconds; longer than outages of the
+#: key-value service last, as no new allocator can take over during one.
 SHARE_TTL_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerAsk:
-    """One customer at one entry.
+    """The state of one customer at one entry, part of a request.
 
-    ``demand_per_s`` is what its calls cost lately, refused ones included; ``wanted``
-    what waiting calls lack, ``least`` what the first of them does; ``share`` the part
-    of the customer's limit that the entry holds, ``call_cost`` what one of its calls
-    costs on average.
+    ``demand_per_s`` is the recent cost of the customer's calls a second, refused calls
+    included. ``wanted`` is what waiting calls lack, and ``least`` what the first of
+    them lacks. ``share`` is the fraction of the customer's limit that the entry holds,
+    and ``call_cost`` the average cost of a call.
     """
 
     demand_per_s: float = 0.0
@@ -33,10 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaAsk:
-    """An entry asks. ``incarnation`` tells its process from earlier ones of the
-    instance, ``number`` rises with each ask of a process, and ``heard`` is the number
-    of the last answer of the allocator of ``term`` that it acts on. ``customers`` names
-    each of which it holds a share."""
+    """A request of an entry to the allocator.
+
+    ``incarnation`` distinguishes the entry's process from earlier ones of the same
+    instance. ``number`` increases with each request of a process. ``heard`` is the
+    number of the last answer that the entry has applied, from the allocator of
+    ``term``. ``customers`` includes every customer of which the entry holds a share.
+    """
 
     entry: str
     incarnation: str
@@ -48,9 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerGrant:
-    """``share`` replaces the one that the entry held; ``advance`` may be spent at once.
-    ``room_in_s`` is when the rest of what was wanted may be there, 0 if all was
-    granted."""
+    """What the allocator grants of one customer's limit.
+
+    ``share`` replaces the share that the entry held. ``advance`` may be spent at once.
+    ``room_in_s`` is in how many seconds the rest of what was wanted may be available, 0
+    if all of it was granted.
+    """
 
     share: float = 0.0
     advance: float = 0.0
@@ -59,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaAnswer:
-    """The answer to the ask ``number``; ``term`` tells allocators apart."""
+    """The answer to the request ``number``, from the allocator of ``term``."""
 
     term: int
     number: int
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
@@ -1,8 +1,8 @@
-"""Which entries may hold shares of quotas, as it is kept in the key-value service.
+"""The record of the entries that may hold shares of quotas, in the key-value service.
 
-An allocator that follows another has to know what the entries hold. It hears that from
-them; of one that it doesn't hear, the record tells that it exists, and how large a
-share of any customer it holds at most. It is written before such a share is granted.
+A new allocator has to know what the entries hold. Entries report it; for an entry that
+doesn't, the record tells that it exists, and the largest share of each customer's limit
+that it may hold. The record is written before such a share is granted.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 class UnreadableRecord(ValueError):
-    """The record can't be read, and why."""
+    """The record is malformed; the message tells how."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A process of an entry, and the largest part of each customer's limit that it may
-    hold; none of those that aren't named."""
+    """A process of an entry, and its ceilings: the largest fraction of each customer's
+    limit that it may hold, 0 for customers that aren't listed."""
 
     incarnation: str
     ceilings: Mapping[str, float] = field(default_factory=dict)
 
 
 def encode(members: Mapping[str, Member]) -> bytes:
-    """The value of the key, by the entries' names.
+    """Encode the members, by the names of their entries, as the value of the key.
 
     >>> decode(encode({"e1": Member("a", {"c1": 0.25})}))
     {'e1': Member(incarnation='a', ceilings={'c1': 0.25})}
@@ -45,7 +45,7 @@
 
 
 def decode(value: bytes) -> dict[str, Member]:
-    """The same, read. Raises :class:`UnreadableRecord`."""
+    """Decode the value of the key. Raises :class:`UnreadableRecord`."""
     try:
         document = json.loads(value)
         return {
