--- a/packages/bambootiller-core/src/bambootiller_core/gateway/document_propagation.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/document_propagation.py
@@ -1,13 +1,15 @@
-"""Which documents a process passes on to a peer, and when.
-
-Whoever the store turns away keeps up through its peers. But most peers keep up by
-themselves: passed on by all to all, a configuration of 60 kB would cross a thousand
-streams. So each process says up to which revision it has everything, by the part of the
-store, and a document goes out only to a peer that still lacks it a moment after it
-became known. Agents don't follow the store; one of the entries tells each at once.
-Whoever else could tell a peer takes turns, so that one says that it has a document
-before most have sent it: sent by all that know it, a configuration fills the link of
-the one that lacks it, and the answers of calls wait behind.
+"""Decides which documents a process forwards to a peer, and when.
+
+A process that the store rejects gets documents from its peers. But most peers read
+them by themselves: if every process sent every document to every peer, a configuration
+of 60 kB would cross a thousand streams. So each process reports the revision up to
+which it has all documents of each part of the store, and a document is sent only to a
+peer that still lacks it a moment after it became known here. Agents don't watch the
+store; one of the entries sends each of them a document at once. All other processes
+that could send a peer the document are ranked and send in that order, with a delay
+between them (:data:`STAGGER_S`), so that the peer reports the document before most of
+them have sent it. Sent by all at once, a configuration would fill the peer's link, and
+the answers of calls would be delayed.
 """
 
 from __future__ import annotations
@@ -18,27 +20,29 @@
 from bambootiller_core import rendezvous
 from bambootiller_core.ports import Changed
 
-#: How long a peer is given to learn of a configuration by itself. A peer that hangs has
-#: to be told well within two seconds. Seconds.
+#: How long a peer is given to read a configuration from the store by itself. Seconds. A
+#: peer whose access to the store hangs must get it well within two seconds.
 SELF_UPDATE_GRACE_S = 0.7
-#: The same of an entry of the registry, beside the time between two reads of it: an
-#: agent says with its next message, at most 0.8 s later, up to where it has everything.
-#: Seconds.
+#: The same for a registration, in addition to the interval between two reads of the
+#: registry: an agent reports the revision that it has with its next message, at most
+#: 0.8 s later. Seconds.
 AGENT_REPORT_GRACE_S = 0.9
-#: How long each leaves a peer to the one before it in turn: about as long as a
-#: configuration takes on the smallest link, and the word that it has come. Seconds.
+#: The delay between the processes of two successive ranks: about the time that a
+#: configuration takes on the slowest link, plus the peer's report that it has it.
+#: Seconds.
 STAGGER_S = 0.15
-#: Agents that pass a document on to an entry spread over so many turns; they don't know
-#: of each other.
+#: The number of ranks over which the agents that could send a document to an entry are
+#: spread; agents don't know each other.
 AGENT_RANKS = 20
-#: For how many agents, times the lists of entries that are told, the turns are kept.
+#: The number of cached rankings: one for each agent and list of entries.
 RANK_CACHE_SIZE = 1024
 
 Revisions = Mapping[str, int]
 
 
 def entry_rank(entry: str, agent: str, entries: tuple[str, ...]) -> int:
-    """Whose turn it is to tell an agent: 0 for the entry that does so at once.
+    """The rank of an entry among those that send documents to an agent; rank 0 sends at
+    once.
 
     >>> entry_rank("e1", "10.0.0.1:7", ("e1",))
     0
@@ -49,22 +53,23 @@
 
 @lru_cache(RANK_CACHE_SIZE)
 def _ranks(agent: str, entries: tuple[str, ...]) -> Mapping[str, int]:
-    # Kept, as an entry asks it of each agent for each document that it learns.
+    # Cached, because an entry needs it for each agent and each new document.
     ranked = rendezvous.ranked(f"tells {agent}", entries)
     return {entry: rank for rank, entry in enumerate(ranked)}
 
 
 def agent_rank(agent: str, entry: str) -> int:
-    """The turn of an agent to tell an entry what that may lack; never at once, as
-    entries follow the store."""
+    """The rank of an agent among those that send documents to an entry; never 0,
+    because entries watch the store themselves."""
     return 1 + rendezvous.weight(f"tells {entry}", agent) % AGENT_RANKS
 
 
 def is_covered(complete: Revisions, change: Changed) -> bool:
-    """Whether someone who has everything up to ``complete`` has this document.
+    """Whether a process that has all documents up to the revisions ``complete`` has
+    this one.
 
     >>> from bambootiller_core.ports import Record
-    >>> covers({"a/": 5}, Changed(Record("a/b", b"", 5)))
+    >>> is_covered({"a/": 5}, Changed(Record("a/b", b"", 5)))
     True
     """
     record = change.record
@@ -75,7 +80,8 @@
 
 
 def is_under(key: str, part: str) -> bool:
-    """Whether a key is in a part of the store: a prefix, or one key alone.
+    """Whether a key belongs to a part of the store, which is a prefix that ends with a
+    slash, or a single key.
 
     >>> is_under("a/b", "a/"), is_under("a/b", "a/b"), is_under("a/bc", "a/b")
     (True, True, False)
@@ -88,7 +94,7 @@
 
     Example::
 
-        queue.add(now, change, turn=1)
+        queue.add(now, change, rank=1)
         queue.peer_has({"registry/": 90})
         for change in queue.due(now): ...
     """
@@ -104,22 +110,25 @@
         rank: int,
         self_update_grace_s: float = SELF_UPDATE_GRACE_S,
     ) -> None:
-        """A document has become known here; it goes out at once in turn 0."""
+        """Queue a document that has become known here; with rank 0 it is due at
+        once."""
         if self._peer is not None and is_covered(self._peer, change):
-            # The peer said so before, and doesn't say it again.
+            # The peer has reported that already, and doesn't repeat it.
             return
         due_at = now + self_update_grace_s + (rank - 1) * STAGGER_S if rank else now
         self._queued[change.record.key] = (change, due_at)
 
     def peer_has(self, complete: Revisions) -> None:
-        """The peer says up to where it has everything."""
+        """Record the revisions that the peer reports, and drop documents that it
+        has."""
         self._peer = complete
         for key, (change, _) in list(self._queued.items()):
             if is_covered(complete, change):
                 del self._queued[key]
 
     def peer_revision(self, key: str) -> int | None:
-        """Up to which revision the peer has the part of the store with this key."""
+        """The revision up to which the peer has all documents of this key's part of the
+        store, None if unknown."""
         revisions = [
             revision
             for part, revision in (self._peer or {}).items()
@@ -128,20 +137,22 @@
         return max(revisions, default=None)
 
     def due(self, now: float) -> list[Changed]:
-        """What goes out now; nothing before the peer has said what it has."""
+        """Remove and return the documents that are to be sent now; none before the peer
+        has reported its revisions."""
         if self._peer is None:
             return []
         ready = [key for key, (_, due_at) in self._queued.items() if due_at <= now]
         return [self._queued.pop(key)[0] for key in ready]
 
     def next_due(self) -> float | None:
-        """When the next document goes out, None if none is queued or the peer hasn't
-        said what it has."""
+        """When the next document is to be sent, None if none is queued or the peer
+        hasn't reported its revisions."""
         if self._peer is None or not self._queued:
             return None
         return min(due_at for _, due_at in self._queued.values())
 
     @property
     def is_empty(self) -> bool:
-        """Whether the peer lacks nothing that is known here."""
+        """Whether the peer has reported its revisions and lacks no document that is
+        known here."""
         return self._peer is not None and not self._queued
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/events.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/events.py
@@ -1,8 +1,8 @@
-"""Splitting a stream of server-sent events into whole events.
+"""Splits a stream of server-sent events into complete events.
 
-Only whole events are passed on. A backend server that breaks off in the middle of one
-would otherwise leave half an event with the caller, and a second run that goes on
-behind it would be glued to that half.
+Only complete events are forwarded. Otherwise a backend server that breaks off in the
+middle of an event would leave the caller with a part of it, and the output of a second
+run that resumes there would be appended to that part.
 """
 
 from __future__ import annotations
@@ -10,25 +10,26 @@
 import re
 from typing import NamedTuple
 
-#: The separators with a carriage return; most streams have none.
+#: The event separators with a carriage return; most streams have none.
 _CR_SEPARATORS = (b"\r\n\r\n", b"\r\r")
-#: So much of what has been looked through may be the beginning of a separator. Bytes.
+#: The end of the data already searched that may be the start of a separator. Bytes.
 _OVERLAP = 3
-#: The first line that is named "id"; blanks around the name don't count.
+#: The first line with the field "id"; whitespace around the field name is ignored.
 _ID_LINE = re.compile(rb"(?:\A|[\r\n])[ \t\v\f]*id[ \t\v\f]*:([^\r\n]*)")
-#: An event larger than this is passed on in parts, so that memory stays bounded.
+#: A larger event is forwarded in parts, so that memory stays bounded.
 LARGEST_EVENT_BYTES = 1 << 20
 
 
 class Event(NamedTuple):
-    """The bytes of one whole event with its separator, and its number if it has one."""
+    """The bytes of a complete event including its separator, and its number if it has
+    one."""
 
     data: bytes
     number: int | None
 
 
 class EventSplitter:
-    """Collects bytes and hands out whole events.
+    """Buffers bytes and returns complete events.
 
     >>> splitter = EventSplitter()
     >>> [event.number for event in splitter.feed(b"id: 4\\ndata: x\\n\\nid: 5\\n")]
@@ -43,7 +44,7 @@
 
     @property
     def rest(self) -> bytes:
-        """What has come of an event that isn't whole yet."""
+        """The buffered part of an event that isn't complete yet."""
         return bytes(self._held)
 
     def feed(self, data: bytes) -> list[Event]:
@@ -52,8 +53,8 @@
             self._has_cr = True
         held = self._held
         if not held:
-            # Most events come whole: no need to look through them twice, nor to copy
-            # them.
+            # Most events arrive complete: don't search them twice, or copy them into
+            # the buffer.
             found, end = _split(data, 0, self._has_cr)
             if end < len(data):
                 held += data[end:]
@@ -69,8 +70,8 @@
 
 
 def _split(data: bytes | bytearray, at: int, has_cr: bool) -> tuple[list[Event], int]:
-    """The whole events, the first of which doesn't end before ``at``, and where the
-    last of them ends."""
+    """The complete events in ``data``, and the offset where the last of them ends. The
+    first one doesn't end before ``at``."""
     found = []
     begin = 0
     while (end := _event_end(data, at, has_cr)) > 0:
@@ -81,7 +82,8 @@
 
 
 def _event_end(data: bytes | bytearray, at: int, has_cr: bool) -> int:
-    """Where the event ends whose separator isn't before ``at``; 0 if it doesn't."""
+    """The end offset of the first event whose separator doesn't start before ``at``; 0
+    if there is none."""
     end = data.find(b"\n\n", at) + 2
     if end == 1:
         end = 0
@@ -96,7 +98,7 @@
 
 def _number(event: bytes) -> int | None:
     if event.startswith(b"id:") and b"\r" not in event:
-        # As nearly all events begin.
+        # The fast path: nearly all events start like this.
         text = event[3 : event.find(b"\n")].strip()
     elif (line := _ID_LINE.search(event)) is not None:
         text = line[1].strip()
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fingerprint.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fingerprint.py
@@ -1,20 +1,20 @@
-"""Tells a request that comes again from other requests.
+"""Recognizes retries of a request.
 
-A caller's further try has a new request id, and may come to another entry. What stays
-the same is where it is sent, and its body. The address that it comes from doesn't: each
-entry has callers of its own availability zone, by addresses of that zone.
+A caller's retry has a new request id, and may arrive at another entry. Its target and
+body stay the same. Its source address may not: each entry has callers of its own
+availability zone, with addresses of that zone.
 """
 
 from __future__ import annotations
 
 import hashlib
 
-#: Enough that two requests of a fleet's day don't share a fingerprint. Bytes.
+#: Enough to make collisions among a fleet's requests of one day unlikely. Bytes.
 DIGEST_BYTES = 8
 
 
 def fingerprint(method: str, host: str, target: bytes, body: bytes) -> str:
-    """The same text for each try of a request, at whatever entry it arrives.
+    """A digest that is the same for every attempt of a request, at every entry.
 
     >>> first = fingerprint("POST", "a.example", b"/x", b"body")
     >>> first == fingerprint("POST", "a.example", b"/x", b"body")
@@ -24,7 +24,7 @@
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (method.encode(), host.encode(), target, body):
-        # With its length ahead, no part can pass for the end of the one before.
+        # The length prefix keeps bytes from moving between parts unnoticed.
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     return digest.hexdigest()
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -78,9 +78,9 @@
     agent.
 
     ``running_time`` converts a time into this process's running time; see
-    :mod:`bambootiller_core.gateway.running_clock`. The agent's silence is measured in it.
-    Otherwise all agents would count as silent after a stall of this process, and every
-    call that came meanwhile would be refused because no engine accepts orders.
+    :mod:`bambootiller_core.gateway.running_clock`. The agent's silence is measured in
+    it. Otherwise all agents would count as silent after a stall of this process, and
+    every call that came meanwhile would be refused because no engine accepts orders.
     """
 
     registration: Registration
@@ -94,7 +94,7 @@
     missing_since: float | None = None
     unreachable_at: float = float("-inf")
     denials: dict[str, float] = field(default_factory=dict)
-    #: Until when the rate limit that it reported counts as nearly exhausted.
+    #: Until when the rate limit that it reported counts as exhausted.
     throttled_until: float = float("-inf")
     #: The latest revision of its registration that couldn't be parsed.
     unreadable_revision: int = 0
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/__init__.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/__init__.py
@@ -1,8 +1,9 @@
-"""What the gateway's processes write to their logs: one type for each kind of line.
+"""The log lines of the gateway's processes: one type for each kind of event.
 
-Each line says what was decided, or what is believed from now on, what decided it, and
-how old or of which version that was. Metrics count the same lines, so both tell the
-same story. docs/OPERATIONS.md explains the events and their fields under these names.
+Each line contains a decision or a change of state, the inputs that caused it, and their
+age or version. Metrics are counted from the same lines, so that they agree with the
+log. The names of events and fields are part of the log format; docs/OPERATIONS.md
+explains them.
 
 Example::
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_base.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_base.py
@@ -1,4 +1,4 @@
-"""The common part of all lines."""
+"""The base class of all log lines."""
 
 from __future__ import annotations
 
@@ -8,13 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """The common part. ``failure`` lines go before others where room is short."""
+    """The base class. ``failure`` lines take precedence if not all lines can be
+    written."""
 
     event: ClassVar[str] = ""
     failure: ClassVar[bool] = True
 
     def to_json(self) -> dict[str, Any]:
-        """The fields by name, those of nested values as mappings.
+        """The fields by name, without those that are None; nested data classes become
+        mappings.
 
         >>> PeerHeard("10.0.0.1:7").to_json()
         {'peer': '10.0.0.1:7'}
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_customers.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_customers.py
@@ -1,4 +1,4 @@
-"""Lines of customers, their keys and their quotas."""
+"""Log lines about customers, their keys and their quotas."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerKeysChanged(LogLine):
-    """A configuration has come into force in which a customer holds other keys than
-    before; ``keys_left`` 0 means that no call of it is served any more."""
+    """A configuration has come into force that changes a customer's keys; ``keys_left``
+    0 means that its calls are no longer served."""
 
     event: ClassVar[str] = "customer_keys_changed"
     failure: ClassVar[bool] = False
@@ -36,8 +36,8 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotasInForce(LogLine):
-    """A configuration has come into force with other quotas than before. ``left_out``
-    are customers that the line has no room for."""
+    """A configuration has come into force that changes quotas. ``left_out`` is the
+    number of customers for which the line has no room."""
 
     event: ClassVar[str] = "quotas_in_force"
     failure: ClassVar[bool] = False
@@ -49,8 +49,8 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaAllocator(LogLine):
-    """This process has become the one that allocates quotas (``begins``), or isn't any
-    more, and why. ``members`` are the entries that the record named."""
+    """This process has become the quota allocator (``begins``), or is no longer, and
+    why. ``members`` is the number of entries that the allocator's record listed."""
 
     event: ClassVar[str] = "quota_allocator"
     failure: ClassVar[bool] = False
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_orders.py
@@ -1,4 +1,4 @@
-"""Lines of the orders to engines."""
+"""Log lines about the orders to engines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FencingToken(LogLine):
-    """This agent may give orders from now on; ``token`` is above all before it."""
+    """This agent may give orders from now on; ``token`` is greater than all tokens
+    before it."""
 
     event: ClassVar[str] = "fencing_token"
 
@@ -23,9 +24,9 @@
     """An order and the engine's answer.
 
     ``wanted_for`` is the model that others are unloaded for; ``rate`` and ``waiting``
-    are the demand of all entries for it, ``report_age_ms`` the age of the report.
-    ``wished_by`` is the entry that load_requested for it last, ``from_store`` whether a load
-    draws on the weight store."""
+    are the demand of all entries for it, ``report_age_ms`` the age of the engine's
+    report. ``wished_by`` is the entry that requested it last. ``from_store`` tells
+    whether a load reads from the weight store."""
 
     event: ClassVar[str] = "order"
 
@@ -45,14 +46,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLoadAsked(LogLine):
-    """An entry asked an agent for a load from the weight store.
+    """An entry requested a load from the weight store from an agent.
 
-    ``turn`` tells why it may begin now: the store serves it at full speed (``free``),
-    is tried for ``one more``, or is ``crowded``. ``under_way`` loads drew on the store,
-    of ``full_speed`` that it is taken to serve. ``waiting`` calls of all entries wait
-    for the model, ``unserved`` ended without an answer, the first of them
-    ``unserved_s`` ago; ``callers`` wait or are expected back, and ``rate`` calls a
-    second have come lately."""
+    ``turn`` tells why the load may start now: the store serves it at full speed
+    (``free``), it probes whether the store serves ``one more``, or the store is
+    oversubscribed (``crowded``). ``under_way`` loads were reading from the store, out
+    of ``full_speed`` that it is estimated to serve at full speed. ``waiting`` is the
+    number of calls of all entries that wait for the model, ``unserved`` that of calls
+    that ended without an answer, the first of them ``unserved_s`` ago. ``callers`` are
+    waiting or expected to retry, and ``rate`` is the recent number of calls a
+    second."""
 
     event: ClassVar[str] = "store_load_asked"
     failure: ClassVar[bool] = False
@@ -72,8 +75,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLoadNotBegun(LogLine):
-    """An entry gave up a load from the weight store that it had asked for: its agent
-    told of no such load."""
+    """An entry gave up on a load from the weight store that it had requested: the agent
+    reported no such load."""
 
     event: ClassVar[str] = "store_load_not_begun"
 
@@ -84,11 +87,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreTurn(LogLine):
-    """What came of an agent's try to take one of the ``turns`` of the weight store.
+    """The outcome of an agent's attempt to acquire one of the ``turns`` permits of the
+    weight store.
 
-    ``outcome``: ``taken`` (its ``number``), ``held`` by the ``holders``, or ``without``
-    (the key-value service couldn't be reached in time, and the load begins all the
-    same)."""
+    ``outcome``: ``taken`` (the permit with this ``number``), ``held`` (all are held by
+    the ``holders``), or ``without`` (the key-value service couldn't be reached in time,
+    and the load starts without a permit)."""
 
     event: ClassVar[str] = "store_turn"
 
@@ -101,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadEnded(LogLine):
-    """A load has ended; ``held`` tells whether the model is there."""
+    """A load has ended; ``held`` tells whether the engine holds the model now."""
 
     event: ClassVar[str] = "load_ended"
     failure: ClassVar[bool] = False
@@ -114,10 +118,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CopiesChanged(LogLine):
-    """The copies of weights that the engine has on its disk or in its memory.
+    """The models whose weights the engine caches on its disk or in its main memory have
+    changed.
 
-    ``lost`` were pushed out by others, or went with the engine's last start; a model
-    whose only copy is lost comes from the weight store next."""
+    ``lost`` copies were evicted by others, or lost with a restart of the engine; a
+    model whose only copy is lost must be loaded from the weight store next time."""
 
     event: ClassVar[str] = "copies_changed"
     failure: ClassVar[bool] = False
@@ -130,11 +135,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightStoreIdle(LogLine):
-    """No load from the weight store is under way, though callers wait for models that
-    no engine has a copy of.
+    """No load from the weight store is in progress, although callers wait for models
+    that no engine has a copy of.
 
-    ``seconds`` is for how long, ``awaited`` how many such models there are, ``model``
-    the most wanted of them, ``obstacles`` what keeps engines from loading that."""
+    ``seconds`` is the duration so far, ``awaited`` the number of such models, ``model``
+    the one with the greatest demand, ``obstacles`` what keeps engines from loading
+    it."""
 
     event: ClassVar[str] = "weight_store_idle"
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_process.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_process.py
@@ -1,4 +1,4 @@
-"""Lines of the process's own life."""
+"""Log lines about the lifecycle of a process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Started(LogLine):
-    """The process serves from now on."""
+    """The process has started and serves."""
 
     event: ClassVar[str] = "started"
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stopping(LogLine):
-    """A planned stop has begun."""
+    """A graceful shutdown has begun, with ``under_way`` calls in progress."""
 
     event: ClassVar[str] = "stopping"
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CutAtStop(LogLine):
-    """The time for a planned stop is over and some answers aren't."""
+    """The time for a graceful shutdown is over; answers in progress are cut off."""
 
     event: ClassVar[str] = "cut_at_stop"
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stopped(LogLine):
-    """The process has closed its ports and ends."""
+    """The process has closed its ports and exits."""
 
     event: ClassVar[str] = "stopped"
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reloaded(LogLine):
-    """Settings were read anew and taken over."""
+    """Settings were reloaded and applied."""
 
     event: ClassVar[str] = "reloaded"
 
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReloadRejected(LogLine):
-    """Settings that were to be read anew can't be used; the old ones stay."""
+    """Reloaded settings are invalid; the old ones stay in force."""
 
     event: ClassVar[str] = "reload_rejected"
 
@@ -68,7 +68,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LinesLeftOut(LogLine):
-    """How many lines of each event weren't written since this was last said."""
+    """The number of lines of each event that weren't written since the last such
+    line."""
 
     event: ClassVar[str] = "lines_left_out"
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_requests.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_requests.py
@@ -1,4 +1,4 @@
-"""Lines of one request."""
+"""Log lines about a single request."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 class BackendSnapshot:
     """What was known of a backend server when a call was sent there.
 
-    ``occupied`` are calls running or queued, ``unread`` those whose prompts it had
-    still to read, ``candidates`` the backend servers that could have been chosen,
-    ``revision`` the version of its registration, ``standing`` how it is judged,
-    ``agent_age_ms`` the age of its agent's word, None without one."""
+    ``occupied`` is the number of calls running or queued, ``unread`` that of calls
+    waiting for their prefill, ``candidates`` the number of backend servers that could
+    have been chosen. ``revision`` is the revision of its registration, ``standing`` its
+    health state, ``agent_age_ms`` the age of its agent's last report, None without an
+    agent."""
 
     zone: str
     occupied: int
@@ -28,9 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelCopy:
-    """An engine that has a copy of a model, and what keeps the model from being loaded
-    there: ``leaving``, ``lost``, ``unheard`` (its agent is silent), ``loading``,
-    ``unloading``, ``full``, or ``free`` if nothing does."""
+    """An engine that has a copy of a model's weights, and what keeps the model from
+    being loaded there: ``leaving``, ``lost``, ``unheard`` (its agent is silent),
+    ``loading``, ``unloading``, ``full``, or ``free`` if nothing does."""
 
     backend: str
     state: str
@@ -38,10 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Obstacles:
-    """How many engines are kept from loading a model, by what keeps them: ``no_orders``
-    (they take none, or their agent is silent), ``kept_for_adapters``, ``no_room`` (what
-    they hold doesn't make way). ``able`` are the others: they only wait for the weight
-    store."""
+    """The number of engines that can't load a model, by reason.
+
+    ``no_orders``: they accept no orders, or their agent is silent.
+    ``kept_for_adapters``: they must stay free to load adapters of other models during
+    that time. ``no_room``: the models that they hold mustn't be evicted. ``able``
+    counts the other engines, which only wait for the weight store."""
 
     no_orders: int = 0
     kept_for_adapters: int = 0
@@ -51,14 +54,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanSnapshot:
-    """The plan on which a call waited for its model, or was refused.
+    """The load plan because of which a call waited for its model, or was refused.
 
-    ``ready_in_s`` None: no engine can load it. ``backend`` is the engine of the planned
-    load; ``agent_age_ms`` the age of its agent's word, ``waiting`` the calls of all
-    entries that wait for the model. ``copies`` are engines with a copy of the model, a
-    few at most, ``store_loads`` the loads from the weight store that are under way.
-    ``obstacles`` tells why no engine can load it. ``unserved`` calls have ended without
-    an answer since an engine held the model last, the first ``unserved_s`` ago."""
+    ``ready_in_s`` is None if no engine can load the model. ``backend`` is the engine of
+    the planned load, ``agent_age_ms`` the age of its agent's last report, ``waiting``
+    the number of calls of all entries that wait for the model. ``copies`` lists a few
+    engines with a copy of the model, ``store_loads`` is the number of loads from the
+    weight store in progress. ``obstacles`` tells why no engine can load the model.
+    ``unserved`` calls have ended without an answer since an engine last held the model,
+    the first of them ``unserved_s`` ago."""
 
     ready_in_s: float | None = None
     backend: str | None = None
@@ -75,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaSnapshot:
-    """The quota on which a call was refused, in ``unit``.
+    """The quota because of which a call was refused, in ``unit``.
 
-    ``cost`` is what the call counts, ``demand_per_s`` what calls of the customer cost
-    here lately. This entry held the part ``share`` of the limit, and could spend
-    ``available``. ``term`` is the allocator's, None if none is heard, ``answer_age_ms``
-    how old its last answer is."""
+    ``cost`` is the cost of the call, ``demand_per_s`` the recent cost of the customer's
+    calls at this entry a second. The entry held the fraction ``share`` of the limit,
+    and could spend ``available``. ``term`` is the allocator's term, None if no
+    allocator answers, ``answer_age_ms`` the age of its last answer."""
 
     unit: str
     rate_per_s: float
@@ -95,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered(LogLine):
-    """A backend server's answer was passed on whole."""
+    """A backend server's answer was forwarded completely."""
 
     event: ClassVar[str] = "answered"
     failure: ClassVar[bool] = False
@@ -121,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailed(LogLine):
-    """An attempt ended without a whole answer; ``next`` says what was done then."""
+    """An attempt ended without a complete answer; ``next`` is the action taken."""
 
     event: ClassVar[str] = "attempt_failed"
 
@@ -144,8 +148,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused(LogLine):
-    """The gateway gave its own final answer; ``fingerprint`` is the request's across
-    its tries, where that decided it."""
+    """The gateway gave its own final answer. ``fingerprint`` is set if lost runs of the
+    same request decided that; it is the same for all its attempts."""
 
     event: ClassVar[str] = "refused"
 
@@ -170,7 +174,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut(LogLine):
-    """An answer that had begun couldn't be finished, so its connection was cut."""
+    """An answer that had begun couldn't be completed, so its connection was cut."""
 
     event: ClassVar[str] = "cut"
 
@@ -191,9 +195,9 @@
 class AnswerLost(LogLine):
     """The connection that a call was sent on broke or brought nothing usable.
 
-    ``fingerprint`` is the same for each try of a request, ``parts`` are those of its
-    prompt that others may have as well, ``progressed`` is whether this run had brought
-    an event."""
+    ``fingerprint`` is the same for every attempt of a request, ``parts`` are the prompt
+    parts that other requests may share, ``progressed`` tells whether this run had
+    produced an event."""
 
     event: ClassVar[str] = "answer_lost"
 
@@ -208,14 +212,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SilenceBorne(LogLine):
-    """A backend server was silent, and the call stays there all the same.
+    """A backend server was silent, but the call wasn't failed over.
 
-    ``why``: no attempt or no time left (``attempts``), the budget of second attempts
-    used up (``budget``), no other backend server with a place (``no_place``), no
-    connection to it (``no_connection``), its request may not run elsewhere now because
-    of crashes (``kept_apart``), or the silent one has spoken after all (``spoke``). The
-    call was sent to the one that ``detail`` names, which refused it (``refused``) or
-    lost it (``failed``)."""
+    ``why``: no attempt or no time left (``attempts``), the retry budget was used up
+    (``budget``), no other backend server had capacity (``no_place``), no connection to
+    it could be made (``no_connection``), the request is isolated because of crashes and
+    may not run elsewhere now (``kept_apart``), or the silent backend server has
+    answered after all (``spoke``). Or the call was sent to the backend server that
+    ``detail`` names, which refused it (``refused``) or lost it (``failed``)."""
 
     event: ClassVar[str] = "silence_borne"
 
@@ -227,8 +231,8 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptApart(LogLine):
-    """A call waited before it was sent: its request was at crashes, and has to run
-    apart from others that were, or what became of its last run isn't known yet."""
+    """A call was delayed before it was sent: its request was involved in crashes and
+    must run isolated from other suspects, or its last lost run has no verdict yet."""
 
     event: ClassVar[str] = "kept_apart"
 
@@ -240,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CannotConnect(LogLine):
-    """No connection to a backend server was made."""
+    """No connection to a backend server could be made."""
 
     event: ClassVar[str] = "cannot_connect"
 
@@ -251,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerGone(LogLine):
-    """The caller closed before its answer was whole."""
+    """The caller closed the connection before its answer was complete."""
 
     event: ClassVar[str] = "caller_gone"
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_state_changes.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_state_changes.py
@@ -1,4 +1,4 @@
-"""Lines that say what a process believes from now on."""
+"""Log lines about changes of what a process knows of the system."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigInForce(LogLine):
-    """A configuration came into force here; ``source``: the store, or who told."""
+    """A configuration came into force here; ``source`` is the store, or the peer that
+    sent it."""
 
     event: ClassVar[str] = "config_in_force"
 
@@ -24,8 +25,8 @@
 class ConfigPassedOn(LogLine):
     """A configuration was sent to a peer that, as far as known, lacked it.
 
-    ``peer_has`` is up to which revision the peer said to have all configurations, None
-    if it hasn't said so."""
+    ``peer_has`` is the revision up to which the peer reported to have all
+    configurations, None if it hasn't reported one."""
 
     event: ClassVar[str] = "config_passed_on"
     failure: ClassVar[bool] = False
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentUnreadable(LogLine):
-    """The configuration can't be read; what was in force before stays."""
+    """The configuration can't be parsed; the previous one stays in force."""
 
     event: ClassVar[str] = "document_unreadable"
 
@@ -49,10 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendUnreadable(LogLine):
-    """An entry of the registry can't be read, so it names no backend server to use.
+    """A registration can't be parsed, so its backend server isn't used.
 
-    Said once for each reason until the entry is good again. ``was_used`` tells a
-    backend server that is lost for calls from an entry that never was good."""
+    Logged once for each reason until the registration is valid again. ``was_used``
+    tells whether an earlier registration was valid, so that calls lose a backend
+    server."""
 
     event: ClassVar[str] = "backend_unreadable"
 
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendListed(LogLine):
-    """A backend server is registered, or its registration says something new."""
+    """A backend server is registered, or its registration has changed."""
 
     event: ClassVar[str] = "backend_listed"
 
@@ -79,10 +81,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendRestarted(LogLine):
-    """A backend server has started again under its name; nothing of before holds.
+    """A backend server has restarted under its name; all earlier state about it is
+    dropped.
 
-    ``started_ms`` and ``before_ms`` are the Unix milliseconds of both starts;
-    ``source`` is who told: the store, a peer, or the engine's own report."""
+    ``started_ms`` and ``before_ms`` are the Unix milliseconds of the new and the
+    previous start; ``source`` is the store, a peer, or the engine's own report."""
 
     event: ClassVar[str] = "backend_restarted"
 
@@ -94,11 +97,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendRemoved(LogLine):
-    """A backend server is registered no more.
+    """A backend server is no longer registered.
 
-    ``reason``: "removed" (the registration went), "missing_after_outage" (it hadn't
-    come back some seconds after the store had). ``was_leaving`` tells a planned leave
-    from a loss."""
+    ``reason``: "removed" (the registration was removed), "missing_after_outage" (the
+    registration hadn't come back some seconds after the store had). ``was_leaving``
+    distinguishes a planned leave from a loss."""
 
     event: ClassVar[str] = "backend_removed"
 
@@ -111,8 +114,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendJudged(LogLine):
-    """A backend server is held to be good, failing, slow or unreachable from now on,
-    by what became of calls."""
+    """The health state of a backend server has changed to good, failing, slow or
+    unreachable, because of the outcome of calls."""
 
     event: ClassVar[str] = "backend_judged"
 
@@ -126,9 +129,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendLimit(LogLine):
-    """A backend server names another limit than before: ``per_s`` calls a second of all
-    instances together, none where it has ended. ``source``: "answer", or the peer that
-    told."""
+    """A backend server reports another rate limit than before: ``per_s`` calls a second
+    for all instances together, None if the limit has ended. ``source``: "answer", or
+    the peer that reported it."""
 
     event: ClassVar[str] = "backend_limit"
 
@@ -140,7 +143,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendLimitUnreadable(LogLine):
-    """What a backend server names as its limit isn't one; the one before holds."""
+    """The rate limit that a backend server reports can't be parsed; the previous one
+    stays in force."""
 
     event: ClassVar[str] = "backend_limit_unreadable"
 
@@ -150,8 +154,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestQuarantined(LogLine):
-    """A request is kept from all backend servers from now on: it ended those that ran
-    it. ``crashes`` is how much counts against it, ``backends`` where it was lost."""
+    """A request is quarantined: no backend server gets it from now on, because those
+    that ran it crashed. ``crashes`` is the weighted number of crashes that count
+    against it, ``backends`` are the backend servers where its runs were lost."""
 
     event: ClassVar[str] = "request_quarantined"
 
@@ -162,8 +167,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCleared(LogLine):
-    """A request that was at ``lost_runs`` lost runs has completed, so it ended no
-    backend server. ``source``: "run" if it did so here, or the peer that told."""
+    """A request with ``lost_runs`` lost runs has completed, so it isn't the cause of a
+    crash. ``source``: "run" if it completed here, or the peer that reported it."""
 
     event: ClassVar[str] = "request_cleared"
 
@@ -174,7 +179,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryHeard(LogLine):
-    """An agent hears an entry, or doesn't any more."""
+    """An agent receives messages from an entry again (``heard``), or has stopped
+    receiving them."""
 
     event: ClassVar[str] = "entry_heard"
 
@@ -184,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHeard(LogLine):
-    """The stream to another process brings something."""
+    """The stream from another process delivers messages."""
 
     event: ClassVar[str] = "peer_heard"
 
@@ -193,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSilent(LogLine):
-    """The stream to another process has ended or brings nothing any more."""
+    """The stream from another process has ended or no longer delivers messages."""
 
     event: ClassVar[str] = "peer_silent"
 
@@ -202,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DependencyLost(LogLine):
-    """The store or the engine can't be reached, or doesn't answer sensibly."""
+    """The store or the engine can't be reached, or gives unusable answers."""
 
     event: ClassVar[str] = "dependency_lost"
 
@@ -222,8 +228,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Overloaded(LogLine):
-    """This entry has more work than time, and closes a part of the new connections
-    unread (``begins``), or takes all again. ``late_s`` is how late its loop was."""
+    """This entry is overloaded and closes some of the new connections without reading
+    from them (``begins``), or accepts all of them again. ``late_s`` is the delay of its
+    event loop."""
 
     event: ClassVar[str] = "overloaded"
 
@@ -233,8 +240,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StoodStill(LogLine):
-    """This process didn't look at its sockets for ``seconds``: it was starved of its
-    processor, stopped, or held up by one piece of its own work."""
+    """This process didn't poll its sockets for ``seconds``: it got no processor time,
+    was stopped, or was blocked by a piece of its own work."""
 
     event: ClassVar[str] = "stood_still"
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
@@ -1,4 +1,4 @@
-"""What keeps engines from loading a model that the plan has no load for.
+"""Counts why engines can't load a model that the plan contains no load for.
 
 Example::
 
@@ -26,8 +26,8 @@
     load_targets: Iterable[LoadTarget],
     adapters: AdapterAvailability,
 ) -> Obstacles:
-    """Counts engines by what keeps them from the load; ``load_targets`` are those of the
-    ``known`` engines that take orders."""
+    """Count the ``known`` engines by what keeps them from loading the model;
+    ``load_targets`` are those engines that accept orders."""
     taking = kept = no_room = able = 0
     for load_target in load_targets:
         taking += 1
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/report_identity.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/report_identity.py
@@ -1,4 +1,4 @@
-"""Whose report it is: an engine's own report doesn't name it."""
+"""Attributes an engine's report to an instance; the report itself doesn't name one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def registration_at(backends: Iterable[Backend], address: str) -> Registration | None:
-    """Who is at an address by the registry: the latest to be listed."""
+    """The latest registration at an address, None if there is none."""
     listed = [
         backend.registration
         for backend in backends
@@ -22,13 +22,14 @@
 def with_identity(
     report: EngineReport, listed: Registration | None
 ) -> EngineReport | None:
-    """The report with the name of who gives it, None if that isn't known.
+    """The report with the instance that it comes from, None if that isn't known.
 
-    An order always names the instance that it is meant for. Without the name, one that
-    was held up on its way could reach another engine at the same address.
+    The instance is needed because every order names the instance that it is meant for.
+    Otherwise a delayed order could reach another engine at the same address.
 
-    The start is the report's own word: the registry shows the start before for up to a
-    heartbeat. If it shows a later one, the report was too long on its way.
+    The start time is taken from the report if it has one, because the registry may show
+    the previous start for up to a heartbeat. If the registry shows a later start, the
+    report is outdated and dropped.
     """
     if listed is None:
         return None
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
@@ -1,4 +1,4 @@
-"""Which backend server a call goes to."""
+"""Selects the backend server for a call."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.health import Health
 
-#: What another availability zone costs, in units of a full batch: traffic between zones
-#: is paid for, and takes a little longer.
+#: The cost of a backend server in another availability zone, in units of a full batch:
+#: traffic between zones costs money, and is a little slower.
 ZONE_COST = 0.08
-#: What it costs to be one place later among the holders of a model.
+#: The cost of each further rank in the order of a model's holders.
 RANK_COST = 0.25
-#: What each prompt costs that the engine has still to read: it reads them one after
-#: the other, so a burst that gathers at one engine begins late.
+#: The cost of each prompt that still waits for its prefill: an engine prefills prompts
+#: one after the other, so a burst sent to one engine starts late.
 PREFILL_COST = 0.12
-#: Equal backend servers are drawn from, or all entries would choose the same one.
+#: Random cost, so that all entries don't choose the same one of equal backend servers.
 JITTER = 0.04
-#: An entry has no more of its own calls at a backend server than this many times what
-#: it serves at once; more would be refused there.
+#: A backend server is full at this multiple of the calls that it runs at once; it would
+#: refuse further calls.
 MAX_OCCUPANCY = 1.5
 
 
@@ -33,10 +33,10 @@
     zone: str,
     rng: random.Random,
 ) -> Backend | None:
-    """The best of the candidates, or None if each has as much as it can take.
+    """The candidate with the lowest cost, or None if all are full.
 
-    One that couldn't be reached a moment ago is taken only if there is no other: after
-    a cut that takes all of them, somebody has to try.
+    One that couldn't be reached a moment ago is chosen only if there is no other: after
+    a partition from all of them, some call has to try.
     """
     free = [backend for backend in candidates if not is_full(backend, now)]
     reachable = [
@@ -60,22 +60,22 @@
 
 
 def is_full(backend: Backend, now: float) -> bool:
-    """Whether one more call would only wait or be refused there."""
+    """Whether one more call would only queue or be refused there."""
     return backend.occupied(now) >= MAX_OCCUPANCY * max(1, backend.registration.slots)
 
 
 def placement_weight(ask: ModelRequest, instance: str) -> int:
-    """How early an engine comes in the order in which all entries seek a home for an
-    adapter; the greatest weight is first."""
+    """The engine's rendezvous hashing weight for the placement of an adapter; all
+    entries prefer the engine with the greatest weight."""
     return rendezvous.weight(f"{ask.model}/{ask.adapter}", instance)
 
 
 def _holder_ranks(call: Call, able: Sequence[Backend]) -> dict[str, int]:
-    """The place of each engine in the order in which all entries use a model's holders.
+    """The rank of each engine in the order in which all entries use a model's holders.
 
-    Calls of one model gather at the first of its holders, as long as that isn't much
-    busier than the next. The shared parts of their prompts are then read once, and the
-    further holders fall idle and make room for models that nobody holds.
+    Calls of one model go to the first of its holders, as long as that isn't much busier
+    than the next. So the shared parts of their prompts are prefilled once, and the
+    further holders become idle and can unload the model for one that no engine holds.
     """
     if call.ask is None:
         return {}
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/service_levels.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/service_levels.py
@@ -1,10 +1,10 @@
-"""How much one call counts in the demand for its model, by its service level.
+"""The weight of a call in the demand for its model, by its service level.
 
-Loads go to the models that are asked for most. Counted by calls alone, a kind of call
-that is rare as a whole never gets any: its models wait behind those of frequent kinds,
-and it is served far less often than the others. So calls are weighted by how much less
-their level is used than others, half of the way to the same part in all demand. With
-the whole way, one call of a rare level took the place of models with several calls a
+Models are loaded in the order of demand. If every call counted the same, the models of
+a rare service level would always wait behind those of frequent levels, and its calls
+would be served far less often. So calls of rarely used levels get a greater weight,
+halfway (:data:`WEIGHT_EXPONENT`) to an equal part of the total demand for every level.
+With fully equal parts, one call of a rare level displaced models with several calls a
 second.
 """
 
@@ -15,23 +15,23 @@
 
 from bambootiller_core.gateway.calls import Call
 
-#: Rates fade by a factor of e in this time: long enough for some calls of a rare level
-#: at one of many entries. Seconds.
+#: The time constant of the exponential decay of rates: long enough for some calls of a
+#: rare level at one of many entries. Seconds.
 DECAY_S = 10.0
-#: Calls of each level that are assumed besides those seen, so that the first call of a
-#: level doesn't count for many.
+#: Added to the call count of each level, so that the first call of a level doesn't get
+#: an excessive weight.
 PRIOR_CALLS = 1.0
-#: The power of the weight that would give each level the same part.
+#: The exponent that is applied to the weight that would give all levels equal demand.
 WEIGHT_EXPONENT = 0.5
-#: The least and the most that a call counts: a single caller of a level that nobody
-#: else uses mustn't rule the loads.
+#: The bounds of a call's weight: a single caller of a level that nobody else uses
+#: mustn't determine which models are loaded.
 MIN_WEIGHT = 0.5
 MAX_WEIGHT = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceLevel:
-    """Calls with the same rank and the same target belong together."""
+    """Calls with the same priority and the same target latency form a level."""
 
     priority: int
     target_s: float
@@ -54,7 +54,7 @@
         self._calls: dict[ServiceLevel, tuple[float, float]] = {}
 
     def weigh(self, now: float, level: ServiceLevel) -> float:
-        """Count a call of the level, and return how much it counts."""
+        """Count a call of the level, and return its weight."""
         self._calls[level] = (self._recent_calls(now, level) + 1.0, now)
         calls = {
             known: self._recent_calls(now, known) + PRIOR_CALLS for known in self._calls
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/timeline.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/timeline.py
@@ -1,18 +1,18 @@
-"""Joins the log lines of many processes into the story of one request.
+"""Merges the log lines of many processes into the timeline of one request.
 
-Two things stand in the way. The clocks of instances disagree and may jump, so lines of
-different processes can't be put in order by their times alone; and most of what decided
-a request was written without its id, by other processes, before it came.
+There are two difficulties. The clocks of instances differ and may jump, so lines of
+different processes can't be ordered by their timestamps alone; and most of what decided
+a request was logged without its id, by other processes, before it arrived.
 
-Each line carries the time since its process started, which neither jumps nor disagrees
-within one process. Between processes, events that all of them see serve as anchors: a
-configuration of one revision, or a registration of one revision, comes to all processes
-within a moment. The median of the differences is how far two processes are apart.
+Each line contains the time since its process started, which is monotonic and consistent
+within one process. Events that all processes see serve as anchors between them: a
+configuration or registration of one revision reaches all processes within a moment. The
+median of the differences between the anchors' times is the offset of two processes.
 
 Example::
 
-    story = tell(read_lines(text), "315a551c959c068c")
-    for step in story.steps: print(step.at_s, step.line["event"])
+    timeline = build_timeline(read_lines(text), "315a551c959c068c")
+    for step in timeline.steps: print(step.at_s, step.line["event"])
 """
 
 from __future__ import annotations
@@ -25,12 +25,13 @@
 
 Line = Mapping[str, Any]
 
-#: Lines about a backend server or model of the request count within this time of it.
-#: Seconds. A load from the weight store takes several.
+#: Lines about the request's backend servers or model are included from this time before
+#: the request to this time after it. Seconds. A load from the weight store takes
+#: several.
 CONTEXT_BEFORE_S = 10.0
 CONTEXT_AFTER_S = 3.0
-#: What a process says in the first moment of its life is what it found, not what
-#: happened then, and anchors nothing. Seconds.
+#: Events that a process logs this soon after its start are no anchors: they report the
+#: state that it found, not what happened then. Seconds.
 STARTUP_S = 1.0
 #: Events that all processes see at nearly the same moment.
 _ANCHORS = ("config_in_force", "backend_listed")
@@ -55,7 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One line of the story; ``at_s`` counts from the request's first line."""
+    """One line of the timeline.
+
+    ``at_s`` is the time since the request arrived, in seconds. ``own`` tells whether
+    the line contains the request's id.
+    """
 
     at_s: float
     own: bool
@@ -66,8 +71,9 @@
 class Timeline:
     """The lines of a request and those that explain it, in order.
 
-    ``unaligned`` are processes without an anchor in common with the one that served the
-    request; their lines are placed by the time of day, which may be wrong."""
+    ``unaligned`` lists the instances whose processes share no anchor with the one that
+    served the request; their lines are ordered by wall-clock time, which may be wrong.
+    """
 
     steps: tuple[Step, ...]
     unaligned: tuple[str, ...]
@@ -75,18 +81,18 @@
 
 @dataclass(slots=True)
 class _ProcessRun:
-    """One start of one process: its lines in the order in which it wrote them."""
+    """One run of one process, with its lines in the order in which it wrote them."""
 
     instance: str
     lines: list[Line]
-    #: What is added to its uptime to get the serving process's.
+    #: Added to its uptime to get the serving process's uptime. Seconds.
     offset_s: float = 0.0
     aligned: bool = True
 
 
 def read_lines(text: Iterable[str]) -> Iterator[Line]:
-    """The log lines in ``text``; what precedes the JSON on a line is skipped, and lines
-    that hold none as well."""
+    """The log lines in ``text``. Text in front of the JSON of a line is skipped, and so
+    are lines without JSON."""
     for raw in text:
         start = raw.find("{")
         if start < 0:
@@ -100,7 +106,7 @@
 
 
 def build_timeline(lines: Iterable[Line], request: str) -> Timeline | None:
-    """The story of ``request``; None if no line names it."""
+    """The timeline of ``request``; None if no line contains its id."""
     runs = _runs(lines)
     serving = [
         run for run in runs if any(line.get("request") == request for line in run.lines)
@@ -135,7 +141,8 @@
 
 
 class _Subject:
-    """What a request is about: its model, its backend servers, who served it."""
+    """What a request involves: its model, its backend servers, and the instances that
+    served it."""
 
     def __init__(
         self, request: str, own: list[Line], serving: list[_ProcessRun]
@@ -150,8 +157,8 @@
         self._backends |= {plan["backend"] for plan in plans if plan.get("backend")}
 
     def is_of_same_request(self, line: Line) -> bool:
-        """Whether a line tells of another try of the request. Those of minutes before
-        may be why it was refused."""
+        """Whether a line is about another attempt of the same request, by its
+        fingerprint. Attempts of minutes before may be the reason why it was refused."""
         return line.get("fingerprint") in self._fingerprints
 
     def concerns(self, run: _ProcessRun, line: Line) -> bool:
@@ -163,14 +170,14 @@
             return line.get("backend") in self._backends
         if event in _ABOUT_PROCESS:
             return run.instance in self._serving
-        # Other requests that lost their answer at the same backend server tell whether
-        # it failed, or the way to it.
+        # Other requests that lost their answer at the same backend server show whether
+        # it failed, or the connection to it.
         others = event in ("answer_lost", "cannot_connect")
         return others and line.get("backend") in self._backends
 
 
 def _runs(lines: Iterable[Line]) -> list[_ProcessRun]:
-    """The lines by process and start: the uptime begins anew at each."""
+    """The lines by instance and process run; the uptime restarts with each run."""
     runs: list[_ProcessRun] = []
     current: dict[str, _ProcessRun] = {}
     for line in lines:
@@ -196,7 +203,7 @@
 
 
 def _anchors(run: _ProcessRun) -> dict[tuple[Any, ...], float]:
-    """When this process saw each event that all processes see."""
+    """The uptime at which this process first logged each anchor event."""
     seen: dict[tuple[Any, ...], float] = {}
     for line in run.lines:
         if line["event"] not in _ANCHORS or line["uptime_s"] < STARTUP_S:
@@ -207,5 +214,6 @@
 
 
 def _clock_base(run: _ProcessRun) -> float:
-    """The time of day at the process's start, by most of its lines."""
+    """The Unix time of the process's start: the median over its lines, since the clock
+    may jump."""
     return statistics.median(line["time"] - line["uptime_s"] for line in run.lines)
