--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -1,7 +1,7 @@
-"""An entry's front over stand-in replicas, in the test's own loop.
+"""An entry's HTTP front with stand-in replicas, in the test's own event loop.
 
-The front is called as the HTTP server would call it, so that a test sees each message
-and decides when the caller leaves.
+The front is called through ASGI as the HTTP server would call it, so that a test
+sees each message and controls when the caller disconnects.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 class RecordingEventLog:
-    """Keeps what would be logged."""
+    """Records events instead of writing them to the log."""
 
     def __init__(self):
         self.lines = []
@@ -44,7 +44,7 @@
 
 
 class EmptyPlans:
-    """Plans without engines that take orders."""
+    """Plans of an entry whose engines accept no orders."""
 
     def __init__(self):
         self.entries = ("e1", "e2")
@@ -76,7 +76,7 @@
 
 
 class EnginesWithoutAgents:
-    """Engines without agents: nothing can be ordered."""
+    """Engines without agents: load requests are recorded and never executed."""
 
     def __init__(self):
         self.plans = EmptyPlans()
@@ -88,7 +88,11 @@
 
 
 class ReceivedResponse:
-    """What a caller received."""
+    """What a caller received.
+
+    ``whole`` is true once the last part of the body has arrived; ``arrivals`` are the
+    times at which the parts arrived, in seconds of the event loop's clock.
+    """
 
     def __init__(self):
         self.status = None
@@ -99,7 +103,7 @@
 
 
 class Bench:
-    """One entry over some replicas.
+    """One entry with some replicas.
 
     Example::
 
@@ -133,7 +137,8 @@
             limits,
             ServerAdmission(limits, allowances, loop.time),
         )
-        # It has been running for a while: what it doesn't know, it won't learn soon.
+        # Simulates an entry that started a minute ago: calls don't wait for information
+        # that an entry only expects after its start.
         self.context.started_at -= 60
         self.leaving = False
         self.front = HttpFront(self.context, None, lambda: True, lambda: self.leaving)
@@ -141,7 +146,7 @@
         self.revision = 0
 
     def running_time(self):
-        """The running time of the process."""
+        """Seconds for which the process has run, without its stalls."""
         return self._running.running_time(asyncio.get_running_loop().time())
 
     async def _tick(self):
@@ -152,7 +157,7 @@
             await asyncio.sleep(TICK_S)
 
     def configure(self, **route_fields):
-        """Put a configuration into force."""
+        """Apply a configuration; ``route_fields`` override those of the plain route."""
         fields = {
             "name": "p",
             "path-prefix": "/plain/",
@@ -161,21 +166,23 @@
             "timeout-ms": 3000,
             **route_fields,
         }
-        form = {
+        document = {
             **CONFIG,
             "routes": [{**ROUTE, **fields}, ROUTE],
             "services": [SERVICE, {"name": "plain"}],
         }
-        self.add_document("op/config", form)
+        self.add_document("op/config", document)
 
-    def add_document(self, key, form):
-        """Have a document known."""
+    def add_document(self, key, document):
+        """Pass a document to the entry as a change in the store."""
         self.revision += 1
-        value = form if isinstance(form, bytes) else json.dumps(form).encode()
+        value = (
+            document if isinstance(document, bytes) else json.dumps(document).encode()
+        )
         self.knowledge.learnt(Changed(Record(key, value, self.revision)), "test")
 
     async def add(self, replica):
-        """Start a replica and list it."""
+        """Start a replica and add it to the registry."""
         await replica.server.start()
         self.replicas.append(replica)
         self.add_document(f"servers/{replica.instance}", replica.entry())
@@ -188,7 +195,7 @@
             await replica.server.stop()
 
     async def call(self, path=b"/plain/x", method="POST", leave_after=None, **headers):
-        """Call as a client; ``leave_after`` seconds closes the connection."""
+        """Send a request as a client; it disconnects after ``leave_after`` seconds."""
         fields = [(b"host", HOST), (b"x-request-attempt", b"r-1")]
         fields += [
             (name.replace("_", "-").encode(), str(value).encode())
@@ -203,11 +210,11 @@
             "headers": fields,
         }
         answer = ReceivedResponse()
-        told = []
+        sent = []
 
         async def receive():
-            if not told:
-                told.append(True)
+            if not sent:
+                sent.append(True)
                 return {"type": "http.request", "body": b"body", "more_body": False}
             if leave_after is None:
                 await asyncio.Event().wait()
--- a/tests/adapter/common/fleet.py
+++ b/tests/adapter/common/fleet.py
@@ -1,7 +1,7 @@
-"""The real programs as processes, before stand-ins for the store and the replicas.
+"""Runs the real programs as processes, with stand-ins for the store and the replicas.
 
-Each machine has an address of its own in the loopback network, as agents are found by
-the address of their replica.
+Each machine has its own loopback address, as entries find an agent by the address of
+its replica.
 """
 
 import asyncio
@@ -22,21 +22,21 @@
 from tests.adapter import PLATFORM
 from tests.adapter.cover.test_documents import CONFIG, ROUTE, SERVICE
 
-#: Waiting for a condition is bounded generously: a busy machine proves nothing.
+#: Generous, so that a busy machine alone doesn't fail a test. Seconds.
 WAIT_TIMEOUT_S = 40.0
-#: One question whether an entry is ready; a stopped one never answers.
+#: For one readiness request; a suspended process never responds.
 READINESS_TIMEOUT = aiohttp.ClientTimeout(total=2.0)
-#: Lines of a program's output that a failure shows.
+#: Number of last lines of a program's output shown in a failure.
 LOG_TAIL_LINES = 30
 HOST = "classes.example"
 
 
 class NotReady(AssertionError):
-    """A program didn't get ready; the text tells how all programs fare."""
+    """An entry didn't get ready; the text has the state and output of all programs."""
 
 
 async def until(condition, what, pause_s=0.05, seconds=WAIT_TIMEOUT_S):
-    """Wait until ``await condition()`` is true."""
+    """Wait until ``await condition()`` is true, or fail after ``seconds``."""
     end = asyncio.get_running_loop().time() + seconds
     while not await condition():
         if asyncio.get_running_loop().time() > end:
@@ -46,7 +46,10 @@
 
 @dataclass
 class Program:
-    """One running program."""
+    """A running program.
+
+    ``form`` is its settings document, ``metrics`` the HOST:PORT of its metrics page.
+    """
 
     process: asyncio.subprocess.Process
     form: dict
@@ -54,7 +57,7 @@
     metrics: str
 
     def lines(self):
-        """What it has logged."""
+        """Return the log lines that it has written."""
         found = []
         for line in self.log.read_text().splitlines():
             with contextlib.suppress(ValueError):
@@ -62,25 +65,25 @@
         return found
 
     def events(self, kind):
-        """Its events of one kind."""
+        """Return its log lines of one event."""
         return [line for line in self.lines() if line.get("event") == kind]
 
     def status_summary(self):
-        """How it fares, and the last lines of its output."""
+        """Return whether it runs, and the last lines of its output."""
         code = self.process.returncode
-        standing = "running" if code is None else f"exit code {code}"
+        state = "running" if code is None else f"exit code {code}"
         output = self.log.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:]
-        return "\n".join((f"{self.form['node-name']}: {standing}", *output))
+        return "\n".join((f"{self.form['node-name']}: {state}", *output))
 
     async def stop(self, signum=signal.SIGTERM):
-        """Signal it, and return its exit code."""
+        """Send it a signal and wait for its exit code."""
         if self.process.returncode is None:
             self.process.send_signal(signum)
         return await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT_S)
 
 
 class Fleet:
-    """Entries, agents, replicas and the store.
+    """Runs entries, agents, replicas and the store.
 
     Example::
 
@@ -90,7 +93,7 @@
             entry = await fleet.entry("e1")
     """
 
-    #: What the platform bounds, as its settings say it.
+    #: The bounds that the platform sets, as in the settings file.
     bounds = {"grace-s": 6}
 
     def __init__(self):
@@ -118,7 +121,7 @@
         self._folder.cleanup()
 
     def configure(self, version=1, **fields):
-        """Have the operator write a configuration."""
+        """Write a configuration to the store, as the operator does."""
         form = {
             **CONFIG,
             "version": version,
@@ -129,7 +132,7 @@
         self.store.put("op/config", json.dumps(form).encode())
 
     async def replica(self, host, instance, service, models=()):
-        """Start and list a replica."""
+        """Start a replica and add it to the registry."""
         replica = StandinReplica(instance, service, models)
         await replica.server.start(host)
         self.replicas[instance] = replica
@@ -137,7 +140,7 @@
         return replica
 
     async def entry(self, name, seeds=(), stdout=None, front_port=None):
-        """Start an entry; its ``form`` holds its addresses."""
+        """Start an entry; its ``form`` contains its addresses."""
         host = "127.0.0.1"
         ports = {
             "front": front_port or quiet_port(),
@@ -151,11 +154,11 @@
     async def agent(self, name, replica):
         """Start the agent beside a replica."""
         host = replica.server.address.rpartition(":")[0]
-        beside = {"app": replica.server.address, "service": replica.service}
-        return await self.start("agent", self._form(name, host, beside))
+        engine_fields = {"app": replica.server.address, "service": replica.service}
+        return await self.start("agent", self._form(name, host, engine_fields))
 
     async def is_ready(self, entry):
-        """Whether the entry says that it is ready."""
+        """Whether the entry reports that it is ready."""
         url = f"http://{entry.form['listen']['ready']}/bambootiller/ready"
         try:
             async with self.session.get(url, timeout=READINESS_TIMEOUT) as response:
@@ -164,9 +167,10 @@
             return False
 
     async def wait_ready(self, entry, seconds=WAIT_TIMEOUT_S):
-        """Wait until the entry is ready; tells of all programs if it doesn't get so.
+        """Wait until the entry is ready; raises ``NotReady`` if it doesn't get ready.
 
-        The logs are removed with the fleet, so without that nobody would know why.
+        The error contains the logs of all programs, as the files are removed with the
+        fleet.
         """
         what = f"{entry.form['node-name']} ready"
 
@@ -184,7 +188,7 @@
     async def call(
         self, entry, model, path="/a/x", attempt="r-1", body=b"b", headers=()
     ):
-        """Call as a client; returns the status and the body."""
+        """Send a request as a client; returns the status and the body."""
         headers = {
             "Host": HOST,
             "X-Request-Attempt": attempt,
@@ -198,7 +202,7 @@
             return response.status, await response.read()
 
     async def metrics(self, program):
-        """What its metrics page shows, by name and labels as they stand there."""
+        """Return its metrics by name with labels, as written on the metrics page."""
         async with self.session.get(f"http://{program.metrics}/metrics") as response:
             text = await response.text()
         lines = [line for line in text.splitlines() if not line.startswith("#")]
@@ -218,8 +222,11 @@
         }
 
     async def start(self, role, form, metrics=None, stdout=None):
-        """Start a program; ``metrics`` is where it serves its metrics, ``stdout`` a
-        descriptor for its standard output instead of the log file."""
+        """Start a program.
+
+        ``metrics`` is the HOST:PORT at which it serves its metrics, ``stdout`` a file
+        descriptor to write output to instead of the log file.
+        """
         folder = Path(self._folder.name)
         file = folder / f"{form['node-name']}-{len(self._programs)}.json"
         file.write_text(json.dumps(form))
--- a/tests/adapter/cover/test_boundary.py
+++ b/tests/adapter/cover/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in one folder, and that folder hides nothing."""
+"""The platform's protocol stays in the adapter, whose folder shadows no module."""
 
 import json
 import re
@@ -8,7 +8,7 @@
 
 from tests.adapter import PLATFORM, ROOT
 
-#: Names on the wire that have no meaning of their own outside the platform.
+#: Names of the platform's protocol that mean nothing to the product.
 PLATFORM_NAMES = (
     "x-request-attempt",
     "x-response-seal",
@@ -70,10 +70,10 @@
         return done.stdout.strip()
 
     def test_the_standard_library_module_is_not_shadowed(self):
-        """Symptom: every library that asks for its platform fails to import.
+        """Symptom: every library that imports ``platform`` fails to import.
 
         The folder has the name of a module of the standard library. With an
-        ``__init__.py``, or a module of that name inside, it would be found first.
+        ``__init__.py``, or a module of that name inside, it would be imported instead.
         """
         code = "import platform; print(platform.python_version())"
         expected = sys.version.split()[0]
--- a/tests/adapter/cover/test_callcost.py
+++ b/tests/adapter/cover/test_callcost.py
@@ -1,4 +1,4 @@
-"""The measurement of calls goes on working; its figures aren't looked at."""
+"""The benchmark of the cost of a call runs; its results aren't checked."""
 
 import os
 import subprocess
@@ -10,9 +10,9 @@
 
 class TestCallCost(unittest.TestCase):
     def test_one_round_measures_calls_and_events(self):
-        """Symptom: the measurement ends with an error when it is needed.
+        """Symptom: the benchmark fails when it is needed.
 
-        Its registry entries lacked a field that had been required since.
+        Its registrations lacked a field that had become required.
         """
         module = "bambootiller_platform_standins.callcost"
         done = subprocess.run(
--- a/tests/adapter/cover/test_days.py
+++ b/tests/adapter/cover/test_days.py
@@ -1,4 +1,4 @@
-"""The days in deploy/days fit every deployment and say what they bring about."""
+"""The days in deploy/days fit every deployment and describe their disruptions."""
 
 import re
 import tomllib
@@ -8,14 +8,15 @@
 
 FOLDER = ROOT / "deploy" / "days"
 
-#: Fields that name a part of a deployment, and the placeholder for such a part.
+#: Fields that refer to a part of a deployment, and the placeholder they must use.
 PLACEHOLDERS = {
     "zone": re.compile(r"@z\d+"),
     "to_zone": re.compile(r"@z\d+"),
     "service": re.compile(r"@s\d+"),
     "class": re.compile(r"@c\d+"),
 }
-#: Fields that mean the same on every deployment; `region`, for one, has no placeholder.
+#: Fields that mean the same on every deployment. `region` is missing: it has no
+#: placeholder.
 GENERIC_FIELDS = {"at", "kind", "for_s", "gap_s", "share", "count", "x", "how", "on"}
 DAY_FIELDS = {"name", "slot", "seed", "closing", "plan", "faults"}
 CLOSING_FIELDS = {"kind", "down_s", "how"}
@@ -23,7 +24,7 @@
 
 
 def leading_comment(text):
-    """Return the comment that stands above all else in a file, in one line."""
+    """Return the comment at the top of a file, joined to one line."""
     lines = []
     for line in text.splitlines():
         if not line.startswith("# "):
@@ -33,7 +34,7 @@
 
 
 def deployment_specific_fields(entry):
-    """Return the fields of a disruption that tie it to one deployment."""
+    """Return the fields of a disruption that only fit one deployment."""
     return [
         f"{field} = {value!r}"
         for field, value in entry.items()
--- a/tests/adapter/cover/test_dialect.py
+++ b/tests/adapter/cover/test_dialect.py
@@ -1,4 +1,4 @@
-"""The platform's headers of requests and answers."""
+"""Request and response headers of the platform's protocol."""
 
 import unittest
 
@@ -42,9 +42,9 @@
         self.assertEqual(found.target, b"/a/b?q=1")
 
     def test_internal_headers_are_removed(self):
-        """Symptom: a caller chooses its backend server, or claims memory of one.
+        """Symptom: a caller picks its backend server, or reserves memory on one.
 
-        It sends a header that only this system may set, and the entry passes it on.
+        It sends a header that only the gateway may set, and the entry forwards it.
         """
         names = (
             b"x-expected-instance",
--- a/tests/adapter/cover/test_documents.py
+++ b/tests/adapter/cover/test_documents.py
@@ -1,4 +1,4 @@
-"""Decoding the operator's configuration and the registry."""
+"""Decoding of the operator's configuration and of registrations."""
 
 import json
 import unittest
--- a/tests/adapter/cover/test_key_changes.py
+++ b/tests/adapter/cover/test_key_changes.py
@@ -1,4 +1,4 @@
-"""Calls that wait while keys change."""
+"""Queued calls whose API key is removed or moves to another customer."""
 
 import unittest
 from dataclasses import replace
--- a/tests/adapter/cover/test_start.py
+++ b/tests/adapter/cover/test_start.py
@@ -1,7 +1,7 @@
-"""What the platform's programs load before they serve.
+"""Modules that the platform's programs import before they serve.
 
-Each module is read again by each process at each start, also after a loss of power with
-hundreds of others, on a part of a core.
+Every process imports all of them at every start, on a fraction of a core; after a power
+failure, hundreds of processes do so at once.
 """
 
 import subprocess
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[3]
-#: Parts of the product's own roles, which the gateway doesn't use.
+#: Modules of the product's own roles, which the gateway doesn't use.
 UNUSED_MODULES = (
     "bambootiller.catalogue",
     "bambootiller.entry.role",
@@ -27,7 +27,7 @@
 
 
 def loaded_modules(role):
-    """The names of the modules that a program of the platform has loaded."""
+    """Return the names of the modules that a program has imported."""
     script = SCRIPT.format(folder=str(ROOT / "platform"), role=role)
     done = subprocess.run(
         [sys.executable, "-c", script], capture_output=True, text=True, check=True
@@ -36,8 +36,10 @@
 
 
 class TestGarbageCollection(unittest.TestCase):
-    """Symptom: a process with hundreds of modules holds up calls for a twentieth of a
-    second, each time that it looks through all of them for garbage."""
+    """Symptom: calls are delayed by 50 ms from time to time.
+
+    Full garbage collections scanned the objects of hundreds of imported modules.
+    """
 
     def test_modules_are_frozen_and_collection_is_enabled(self):
         script = SCRIPT.format(folder=str(ROOT / "platform"), role="agent")
--- a/tests/adapter/cover/test_store.py
+++ b/tests/adapter/cover/test_store.py
@@ -1,4 +1,4 @@
-"""The platform's store behind the product's port."""
+"""The client of the platform's store."""
 
 import asyncio
 import unittest
@@ -89,10 +89,10 @@
         self.assertEqual((await waiting)[0].record.key, "p/a")
 
     async def test_a_compacted_history_ends_the_watch(self):
-        """Symptom: a process goes on with the configuration of yesterday.
+        """Symptom: a process keeps an outdated configuration.
 
-        The store drops its history; the watch resumes from a revision of before and
-        would miss what changed in between.
+        The store compacts its history. A watch that resumes from an older revision
+        misses the changes in between.
         """
         found = await self.kv.get_prefix("p/")
         self.store.put("p/a", b"1")
