--- a/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
@@ -67,8 +67,8 @@
 
 
 def _refusal(reason: Reason, admission: Admission) -> Refusal:
-    come_back_s = max(admission.retry_in_s, attempts.DEFAULT_RETRY_AFTER_S)
+    retry_after_s = max(admission.retry_in_s, attempts.DEFAULT_RETRY_AFTER_S)
     detail = f"{admission.crashes:g} crashes of backend servers"
     if admission.name.startswith(PART_PREFIX):
         detail = f"{admission.name}: {detail}"
-    return Refusal(reason, come_back_s, detail)
+    return Refusal(reason, retry_after_s, detail)
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -133,11 +133,11 @@
         self._overload = Overload()
         self._stall_monitor.on_tick(self._on_tick)
         protocol = limited_protocol(
-            self._limits, self._head_refused, lambda: self._leaving
+            self._limits, self._log_head_refusal, lambda: self._leaving
         )
         caller_protocol = limited_protocol(
             self._limits,
-            self._head_refused,
+            self._log_head_refusal,
             lambda: self._leaving,
             self._sheds_connection,
         )
@@ -204,7 +204,7 @@
         config = self.knowledge.config
         return config.limits if config is not None else CallLimits()
 
-    def _head_refused(self, refusal: HeadRefusal) -> None:
+    def _log_head_refusal(self, refusal: HeadRefusal) -> None:
         config = self.knowledge.config
         line = lines.Refused(
             request=None,
--- a/packages/bambootiller/src/bambootiller/gateway/failover.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -133,8 +133,8 @@
         try:
             found = await self._head_unless_resumed(attempt, silent, seen_count)
             if found is None:
-                spoke = silent.has_changed_since(seen_count) and silent.loss is None
-                keep_attempt = not spoke
+                resumed = silent.has_changed_since(seen_count) and silent.loss is None
+                keep_attempt = not resumed
             elif self._sender.is_refusal(attempt, found):
                 answered = True
                 return StayReason.REFUSED
--- a/packages/bambootiller/src/bambootiller/gateway/http_front.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_front.py
@@ -215,10 +215,10 @@
         call: Call | None = None,
     ) -> None:
         context = self._context
-        known = incoming if isinstance(incoming, Incoming) else None
+        parsed = incoming if isinstance(incoming, Incoming) else None
         config = context.knowledge.config
         line = Refused(
-            request=known.request_id if known else None,
+            request=parsed.request_id if parsed else None,
             route=call.route.name if call else None,
             service=call.service if call else None,
             kind=call.route.kind.value if call else None,
@@ -238,7 +238,7 @@
         )
         context.events.emit(line)
         body = refusal.reason.value.encode()
-        headers = context.dialect.refusal_headers(known, refusal.come_back_s)
+        headers = context.dialect.refusal_headers(parsed, refusal.come_back_s)
         if refusal.reason is Reason.UNKNOWN_KEY:
             headers.append((b"www-authenticate", b"Bearer"))
         headers.append((b"content-length", b"%d" % len(body)))
@@ -253,7 +253,7 @@
         await wrapped_send({"type": "http.response.body", "body": body})
 
 
-class ReadyPage:
+class ReadinessPage:
     """The readiness page for the load balancer."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
@@ -269,7 +269,7 @@
 def pages(ready_path: str, is_ready: Callable[[], bool]) -> falcon.asgi.App:
     """A Falcon application with the process's own pages."""
     app = falcon.asgi.App()
-    app.add_route(ready_path, ReadyPage(is_ready))
+    app.add_route(ready_path, ReadinessPage(is_ready))
     return app
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -268,13 +268,13 @@
         )
         return None
 
-    def _refuse_cold(self, now: float, come_back_s: float) -> Refusal:
+    def _refuse_cold(self, now: float, retry_after_s: float) -> Refusal:
         """Refuse the call and request its adapter for when the caller retries. This has
         to be noted now: as soon as the engine's present load ends it may begin another
         long one."""
         due = self._context.engines.plans.adapter_prefetch(self._call.service)
-        due.refused(now, self._call.ask, come_back_s)
-        return Refusal(Reason.MODEL_NOT_LOADED, come_back_s)
+        due.refused(now, self._call.ask, retry_after_s)
+        return Refusal(Reason.MODEL_NOT_LOADED, retry_after_s)
 
     def _record_adapter_miss(self, now: float) -> None:
         if self._missed_adapter:
@@ -305,18 +305,18 @@
             return None
         if ready_in is None and self._context.is_starting() and now < due:
             return None
-        come_back = UNPLANNED_RETRY_S if ready_in is None else ready_in
+        retry_delay_s = UNPLANNED_RETRY_S if ready_in is None else ready_in
         detail = "no engine can load it" if ready_in is None else ""
-        come_back = max(come_back, attempts.DEFAULT_RETRY_AFTER_S)
+        retry_delay_s = max(retry_delay_s, attempts.DEFAULT_RETRY_AFTER_S)
         retry_predictor = self._context.service(call.service).retry_predictor
-        returns_in_s = retry_predictor.expected_retry_in_s(call, now, come_back)
+        returns_in_s = retry_predictor.expected_retry_in_s(call, now, retry_delay_s)
         demand = engines.plans.demand(call.service)
-        demand.refused(now, ask.model, come_back, self._weight, returns_in_s)
-        engines.plans.adapter_prefetch(call.service).refused(now, ask, come_back)
-        plan = self._plan_seen(now, planned)
-        return Refusal(Reason.MODEL_NOT_LOADED, come_back, detail, plan)
+        demand.refused(now, ask.model, retry_delay_s, self._weight, returns_in_s)
+        engines.plans.adapter_prefetch(call.service).refused(now, ask, retry_delay_s)
+        plan = self._plan_snapshot(now, planned)
+        return Refusal(Reason.MODEL_NOT_LOADED, retry_delay_s, detail, plan)
 
-    def _plan_seen(self, now: float, planned: PlannedLoad | None) -> PlanSnapshot:
+    def _plan_snapshot(self, now: float, planned: PlannedLoad | None) -> PlanSnapshot:
         call = self._call
         plans = self._context.engines.plans
         demand = plans.wanted(call.service, call.ask.model)
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -112,7 +112,7 @@
     def response_headers(self, head: AnswerHead) -> list[Header]:
         """The headers of an answer that are forwarded to the caller."""
 
-    def refusal_headers(self, incoming: Incoming | None, come_back_s: float | None):
+    def refusal_headers(self, incoming: Incoming | None, retry_after_s: float | None):
         """The headers of a refusal by the gateway itself."""
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -30,7 +30,7 @@
 #: The pause, and the retry-after time of a refusal, if no allocator has answered.
 #: Seconds.
 NO_ALLOCATOR_PAUSE_S = 0.5
-NO_ALLOCATOR_COME_BACK_S = 1.0
+NO_ALLOCATOR_RETRY_AFTER_S = 1.0
 #: How long a backend server is marked as short of permits after it had none. Seconds.
 SHORTAGE_S = 3.0
 
@@ -132,7 +132,7 @@
         allowances, name = self._allowances, limit_name(backend.instance)
         if allowances.allocator is None:
             return PermitEstimate(
-                backend.instance, NO_ALLOCATOR_COME_BACK_S, known=False
+                backend.instance, NO_ALLOCATOR_RETRY_AFTER_S, known=False
             )
         ahead = self._waiting[backend.instance]
         in_s = allowances.dry_s(name, CALL_COST) + ahead * allowances.next_in_s(name)
--- a/tests/gateway/cover/test_retry_prediction.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -99,7 +99,7 @@
             )
             placement = Placement(context, call, Progress())
             placement.ask()
-            with mock.patch.object(Placement, "_plan_seen", return_value=None):
+            with mock.patch.object(Placement, "_plan_snapshot", return_value=None):
                 await placement.place()
         return demand.demands(6.0, {}, {})["tutor"].callers
 
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -140,7 +140,7 @@
         context.engines.plans.plan_for.return_value = planned
         call = samples.call(now=5.0, ask=samples.ask("tutor"), service="llm")
         placement = Placement(context, call, Progress())
-        with mock.patch.object(Placement, "_plan_seen", return_value=None):
+        with mock.patch.object(Placement, "_plan_snapshot", return_value=None):
             return (await placement.place()).come_back_s
 
     async def test_they_are_told_when_the_model_is_to_be_there(self):
