--- a/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
@@ -104,7 +104,7 @@
         for use in self._entries.values():
             use.in_use = {}
 
-    def model_loaded(self, now: float, model: str, seconds: float) -> None:
+    def load_finished(self, now: float, model: str, seconds: float) -> None:
         """The model has come, after a load of so many seconds."""
         turn_s = max(MIN_RESIDENCY_S, RESIDENCY_LOAD_FRACTION * seconds)
         self._protected_until[model] = now + turn_s
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -320,7 +320,7 @@
                 seconds = now - load.began
                 ended = LoadEnded(load.model, held, seconds, load.from_store)
             if held:
-                self._entry_reports.model_loaded(now, load.model, now - load.began)
+                self._entry_reports.load_finished(now, load.model, now - load.began)
         if self._unloading is not None and self._unconfirmed is None:
             if self._unloading not in report.holdings or not report.busy:
                 self._unloading = None
