--- a/packages/bambootiller-core/src/bambootiller_core/gateway/engine_state.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/engine_state.py
@@ -1,4 +1,4 @@
-"""What an agent tells entries of the engine beside it."""
+"""The state of an engine, as its agent reports it to entries."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Loading:
-    """A model on its way in; ``left_s`` is the estimate of the time still needed."""
+    """A load under way. ``left_s`` is the estimated time until it ends, in seconds;
+    ``from_store`` tells whether the load uses the weight store."""
 
     model: str
     left_s: float
@@ -19,14 +20,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an agent says of the engine beside it.
+    """The state of one engine.
 
-    ``holdings`` maps each held model to its adapters. ``in_memory`` and ``on_disk`` are
-    copies of weights from which a load is faster. ``in_use`` counts, for each model,
-    the calls that entries have under way there; ``keep_values`` how much it matters to
-    all entries together that each held model stays. In ``in_use``, MODEL/ADAPTER counts
-    those of an adapter. ``silent``: the engine doesn't answer its agent, and the rest
-    is what it said last."""
+    ``holdings`` maps each resident model to its resident adapters. ``in_memory`` and
+    ``on_disk`` are the models whose weights are cached at the engine, so that they load
+    faster than from the weight store. ``in_use`` counts, for each model, the calls that
+    entries have under way there; the key MODEL/ADAPTER counts those of an adapter.
+    ``keep_values`` is how much it matters to all entries together that a resident model
+    stays. If ``silent``, the engine doesn't answer its agent, and the other fields are
+    from its last answer.
+    """
 
     instance: str
     holdings: Mapping[str, frozenset[str]]
@@ -45,5 +48,5 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """The start of the engine that this is said of."""
+        """The incarnation of the engine that this state describes."""
         return Incarnation(self.instance, self.started_ms)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/incarnation.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/incarnation.py
@@ -1,35 +1,36 @@
-"""Which start of a backend server something was said of."""
+"""Identifies the process of a backend server that a message is about."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-#: For how long word of an earlier start counts as late. Writes and messages are held up
-#: for seconds at most; a registration lapses within three heartbeats, and an agent
-#: speaks twice a second. Seconds.
+#: How long the current incarnation must have been silent before a message about a
+#: seemingly earlier one counts as current rather than late. Writes and messages are
+#: delayed by seconds at most, a registration expires within three heartbeats, and an
+#: agent reports twice a second. Seconds.
 TAKEOVER_SILENCE_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One start of a backend server.
+    """One incarnation of a backend server, from a start of it to its end.
 
-    A backend server may start again under the name that it had. It then holds nothing
-    of before and counts anew, so the name alone doesn't say what is true of it.
-    ``started_ms`` is the Unix millisecond of the start by its own clock, None if nobody
-    has told it; then the name alone has to do.
+    A backend server may restart under the same name. It then holds nothing from before
+    and its counters start again, so the name alone doesn't identify its state.
+    ``started_ms`` is the time of the start in Unix milliseconds by its own clock, None
+    if unknown; then incarnations can't be distinguished.
 
     Example::
 
-        if said_of.precedes(known):
-            return  # Late word of a start that has ended.
+        if reported.precedes(known):
+            return  # A late message about an incarnation that has ended.
     """
 
     instance: str
     started_ms: int | None = None
 
     def precedes(self, other: Incarnation) -> bool:
-        """Whether this start had ended before the ``other`` one began.
+        """Whether this incarnation ended before the ``other`` one started.
 
         >>> Incarnation("b1", 5).precedes(Incarnation("b1", 7))
         True
@@ -43,16 +44,17 @@
         return self.started_ms < other.started_ms
 
     def differs_from(self, other: Incarnation) -> bool:
-        """Whether both are known to be different starts of one backend server."""
+        """Whether both are known to be different incarnations of one backend server."""
         return self.precedes(other) or other.precedes(self)
 
     def supersedes(self, other: Incarnation, silent_s: float) -> bool:
-        """Whether this start takes the place of the ``other`` one, of which nothing was
-        heard for ``silent_s`` seconds.
+        """Whether this incarnation replaces the ``other`` one, of which nothing has
+        been heard for ``silent_s`` seconds.
 
-        A start that tells an earlier time does so only after a while. If the clock is
-        set back between two starts, all words of the second look late; dropped for
-        good, they would leave a healthy backend server without work.
+        An incarnation with an earlier start time replaces the other one only after
+        :data:`TAKEOVER_SILENCE_S`. If the clock of the backend server is set back
+        between two starts, all messages about the second incarnation look late. If they
+        were dropped forever, a healthy backend server would get no calls.
         """
         if other.precedes(self):
             return True
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/overload.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/overload.py
@@ -1,9 +1,10 @@
-"""Which part of its new connections an entry turns away while it can't keep up.
+"""Decides what fraction of new connections an overloaded entry rejects.
 
-A balancer may hand one entry most of the new connections. Taken all, their calls wait
-for each other until each is late; turned away unread, callers go to other entries at
-once. How late the loop gets to its timers tells whether it keeps up: once is a pause,
-several times in a row is more work than there is time for.
+A load balancer may send most of the new connections to one entry. If the entry accepted
+all of them, their calls would wait for each other until every one is late. If it closes
+some unread, those callers go to other entries at once. The delay with which the event
+loop runs its timers shows whether the entry keeps up: a single delay is a pause, and
+several in a row mean more work than the loop has time for.
 
 Example::
 
@@ -13,34 +14,36 @@
 
 from __future__ import annotations
 
-#: A loop that gets to a timer this much late is busy. Seconds.
+#: A tick is busy if the loop runs its timer this much too late, or more. Seconds.
 BUSY_S = 0.06
-#: So many times in a row make an overload.
+#: How many busy ticks in a row count as overload.
 SUSTAINED_TICKS = 3
-#: How fast the share grows while the loop is busy, and shrinks while it isn't, a tick.
+#: How much the share grows with each tick during overload.
 GROWTH = 0.1
+#: How much the share shrinks with each tick that isn't busy.
 DECAY = 0.05
-#: Some connections are always taken: others may have no room either.
+#: The upper bound of the share. Some connections are always accepted, as other entries
+#: may be overloaded too.
 MAX_SHARE = 0.9
-#: From this share on no new connections are wanted at all.
+#: From this share on, the entry reports that it isn't ready for new connections.
 UNREADY_SHARE = 0.5
 
 
 class Overload:
-    """The share of one entry."""
+    """Measures the overload of one entry."""
 
     def __init__(self) -> None:
         self._busy_ticks = 0
-        #: The part of new connections to turn away, 0 if the entry keeps up.
+        #: The fraction of new connections to reject, 0 if the entry keeps up.
         self.share = 0.0
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer may go on sending new connections."""
+        """Whether the load balancer may keep sending new connections."""
         return self.share < UNREADY_SHARE
 
     def tick(self, late_s: float) -> None:
-        """The loop got to its timer, so much late."""
+        """Record that the loop ran its timer, ``late_s`` seconds too late."""
         self._busy_ticks = self._busy_ticks + 1 if late_s >= BUSY_S else 0
         if self._busy_ticks >= SUSTAINED_TICKS:
             self.share = min(MAX_SHARE, self.share + GROWTH)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_limits.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_limits.py
@@ -67,7 +67,7 @@
 
         >>> limit = Limit.of(Quota(100.0, 100.0), QuotaTolerance(8.0, 0.1, 10.0))
         >>> round(limit.depth), round(limit.rate_per_s)
-        (242, 88)
+        (243, 88)
         """
         used = USABLE_FRACTION * tolerance.allowed(quota)
         depth = max(DEPTH_FRACTION * used, min(quota.burst, MAX_DEPTH_FRACTION * used))
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/reported_limits.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/reported_limits.py
@@ -1,8 +1,9 @@
-"""How many calls a second backend servers take, where they say so in their answers.
+"""The rate limits that backend servers report in their answers.
 
-A backend server that is short of something names a limit for the calls of all instances
-together. It holds until an answer to a later call names none. What was said is told
-among processes; of two words the later one holds, by the process that heard it.
+A backend server that is short of some resource reports a limit for the calls of all
+instances together. The limit holds until the answer to a later call reports none.
+Processes exchange these reports; of two reports the later one applies, by the time at
+which a process received it from the backend server.
 """
 
 from __future__ import annotations
@@ -13,28 +14,30 @@
 from bambootiller_core.gateway.quota_limits import Limit
 from bambootiller_core.gateway.update_filter import UpdateFilter
 
-#: What was said of a backend server that is gone, or no limit any more, is forgotten
-#: after this time. Seconds; longer than word of it is under way.
+#: How long a report is kept that says there is no limit, or comes from a backend server
+#: that is gone. Seconds; longer than a report takes to reach other processes.
 RETENTION_S = 60.0
-#: A backend server that takes less is called so often all the same, or nobody would
-#: hear when it takes calls again. Calls a second.
+#: The rate at which a backend server is called even if its limit is lower. Without such
+#: calls nobody would notice when it accepts calls again. Calls a second.
 MIN_PER_S = 0.25
-#: What isn't sent is stored for so long, one call at least. Seconds.
+#: The depth of the bucket, in seconds of its rate; the depth is at least one call.
 BUCKET_S = 0.5
-#: The time in which the first users' platform counts calls against a limit. Seconds.
+#: The window in which the first users' platform counts calls against a limit. Seconds.
 WINDOW_S = 4.0
-#: What stands before the backend server in the name of its limit.
+#: The prefix of the name of a backend server's limit.
 PREFIX = "backend server "
 
 
 def limit_name(instance: str) -> str:
-    """The name of a backend server's limit among all that are shared out."""
+    """Return the name of a backend server's limit among all limits that are divided."""
     return PREFIX + instance
 
 
 def shared_limits(in_force: Mapping[str, float]) -> dict[str, Limit]:
-    """Named limits by their names, as they are shared out among the entries: call by
-    call, as a part of one would often be less than a call.
+    """Return reported limits, by name, in the form in which the allocator divides them.
+
+    They have no shares, only advances for each call: a share of such a limit would
+    often be less than one call.
 
     >>> shared_limits({"i-1": 1.5})["backend server i-1"].rate_per_s
     1.5
@@ -50,8 +53,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLimit:
-    """What a backend server said of its limit: ``per_s`` calls a second, None for no
-    limit. ``reported_at`` is in seconds on this process's monotonic clock."""
+    """A report of a backend server: its limit is ``per_s`` calls a second, or there is
+    none if that is None. ``reported_at`` is in seconds on this process's monotonic
+    clock."""
 
     instance: str
     per_s: float | None
@@ -66,30 +70,35 @@
 
 
 class ReportedLimits:
-    """The last word of each backend server that has named a limit.
+    """The latest report of each backend server that has reported a limit.
 
     Example::
 
-        limits.said(ReportedLimit("i-1", 1.9, now))
+        limits.apply(ReportedLimit("i-1", 1.9, now))
         limits.per_s("i-1")    # 1.9
-        limits.said(ReportedLimit("i-1", None, later))
+        limits.apply(ReportedLimit("i-1", None, later))
     """
 
     def __init__(self) -> None:
         self._records: dict[str, _Record] = {}
-        #: How many changes there have been that others may have to hear of.
+        #: The number of changes so far that peers may have to receive.
         self.version = 0
 
     def apply(self, limit: ReportedLimit, source: str = "") -> bool:
-        """Take over a word, ``source`` being the peer that told of it; returns whether
-        another limit holds now."""
+        """Apply a report, unless a later one is known. Returns whether the limit in
+        force has changed.
+
+        ``source`` is the peer that forwarded the report, empty if an answer to a call
+        of this process had it.
+        """
         held = self._records.get(limit.instance)
         if held is None:
             if limit.per_s is None:
                 return False
         elif limit.reported_at <= held.limit.reported_at:
             if limit.per_s != held.limit.per_s and source:
-                # The peer hasn't heard the later word.
+                # The peer doesn't know the later report: recorded without a source,
+                # it is sent to that peer too.
                 self._keep(held.limit, "")
             return False
         elif limit.per_s == held.limit.per_s:
@@ -99,12 +108,12 @@
         return True
 
     def per_s(self, instance: str) -> float | None:
-        """The limit that holds, in calls a second, None without one."""
+        """Return the limit in force, in calls a second, None if there is none."""
         record = self._records.get(instance)
         return record.limit.per_s if record is not None else None
 
     def in_force(self) -> dict[str, float]:
-        """The limits that hold, by backend server."""
+        """Return the limits in force in calls a second, by backend server."""
         return {
             name: record.limit.per_s
             for name, record in self._records.items()
@@ -112,7 +121,7 @@
         }
 
     def unsent(self, update_filter: UpdateFilter) -> list[ReportedLimit]:
-        """What was said that a peer hasn't been told."""
+        """Return the reports that the filter of a peer selects."""
         return [
             record.limit
             for record in self._records.values()
@@ -120,8 +129,11 @@
         ]
 
     def forget(self, now: float, is_known: Callable[[str], bool]) -> bool:
-        """Drop what is over; ``is_known`` tells whether a backend server is still
-        there. Returns whether a limit that held is gone."""
+        """Drop old reports of no limit, and those of backend servers that are gone.
+
+        ``is_known`` tells whether a backend server still exists. Returns whether a
+        limit that was in force has been dropped.
+        """
         dropped = False
         for name, record in list(self._records.items()):
             if now - record.limit.reported_at <= RETENTION_S:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/retry_budget.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/retry_budget.py
@@ -1,30 +1,35 @@
-"""The budget of second attempts that all entries share.
+"""The retry budget that all entries share.
 
-The platform bounds, over any window of some seconds, the arrivals at a service beyond
-the first of each call: a share of the calls, plus a fixed slack. Each entry spends its
-part without asking the others, so the bound holds while they can't talk. The share goes
-with an entry's own calls; the slack is divided by the number of entries.
+The platform bounds how many retries may arrive at a service in any window of some
+seconds: a fraction of the calls, plus a fixed slack. Each entry spends its own part
+without asking the others, so the bound holds even while entries can't reach each other.
+An entry's part is that fraction of its own calls, plus the slack divided by the number
+of entries.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-#: The part of the allowance that is used. The rest covers entries that start or that
-#: aren't known yet, and windows that begin in the middle of a burst.
+#: The fraction of the allowance that is used. The rest covers entries that are starting
+#: or not known yet, and windows that begin in the middle of a burst.
 USABLE_FRACTION = 0.6
-#: How many entries are assumed to share the slack while their number isn't known.
+#: The number of entries that are assumed to share the slack until it is known.
 ASSUMED_ENTRIES = 8
 
 
 class RetryBudget:
-    """Second attempts at one service, as one entry may make them.
+    """The part of the retry budget of one service that one entry may spend.
+
+    In any ``window_s`` seconds all entries together may retry the fraction ``ratio`` of
+    the calls, and ``slack`` calls more. Raises :class:`ValueError` if ``ratio`` or
+    ``slack`` is negative or ``window_s`` isn't positive.
 
     Example::
 
         budget = RetryBudget(ratio=0.2, slack=54, window_s=10.0)
-        budget.called(now)
-        if budget.take(now): ...    # send it to another backend server
+        budget.record_call(now)
+        if budget.take(now): ...    # send the call to another backend server
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
@@ -41,19 +46,19 @@
         self._retries: deque[float] = deque()
 
     def record_call(self, now: float) -> None:
-        """A call is sent for the first time."""
+        """Record the first attempt of a call."""
         self._first_attempts.append(now)
         self._expire(now)
 
     def remaining(self, now: float) -> float:
-        """The second attempts that may be made now."""
+        """Return how many retries may be made now."""
         self._expire(now)
         share = self._slack / max(1, self.entries)
         allowed = USABLE_FRACTION * (self._ratio * len(self._first_attempts) + share)
         return allowed - len(self._retries)
 
     def take(self, now: float) -> bool:
-        """Spend one second attempt; False if none is left."""
+        """Spend one retry. Returns False if none remains."""
         if self.remaining(now) < 1.0:
             return False
         self._retries.append(now)
