--- a/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
@@ -1,4 +1,5 @@
-"""What entries have told one agent: wishes, demand, and their calls at its engine."""
+"""What entries report to one agent: load requests, demand, and their calls at its
+engine."""
 
 from __future__ import annotations
 
@@ -10,23 +11,22 @@
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.order_messages import LoadRequest
 
-#: What an entry asked for is forgotten after this time unless it is asked for again.
-#: Seconds.
+#: Seconds after which a load request expires unless it is repeated.
 LOAD_REQUEST_TTL_S = 0.25
-#: An entry's figures of use count for this long after it fell silent: its calls may
-#: still be running here. Seconds.
+#: Seconds for which an entry's report counts after its last message: its calls may
+#: still be running here.
 REPORT_TTL_S = 3.0
-#: A model stays at least this long once it is loaded, and for this part of the time
-#: that its load took: callers who were refused meanwhile are on their way back.
-#: Seconds.
+#: A loaded model stays resident for at least this many seconds, and for at least this
+#: fraction of the time that its load took: callers who were refused meanwhile are about
+#: to come back.
 MIN_RESIDENCY_S = 0.6
 RESIDENCY_LOAD_FRACTION = 0.25
-#: An adapter used this recently isn't unloaded: the call that wanted it may be
-#: on its way. Seconds.
+#: Seconds for which an adapter stays loaded after it was requested: the call that needs
+#: it may be on its way.
 RECENT_USE_S = 0.4
 
-#: Rates are summed anew after this time, as they fade: by 5 % of them in it, half of
-#: what makes an entry tell a rate again. Seconds.
+#: Seconds after which the rates are summed again, because they decay: by 5 % in this
+#: time, half of the change that makes an entry report a rate again.
 DEMAND_SUM_TTL_S = 0.25
 
 _NEVER = float("-inf")
@@ -34,8 +34,8 @@
 
 @dataclass(slots=True)
 class _EntryReport:
-    """What one entry last said: demand and use by model, adapters in use. The rates
-    fade from ``reported_at`` on, here as there."""
+    """The last report of one entry: demand and calls in progress by model, adapters
+    included. The rates decay from ``reported_at`` on, as they do at the entry."""
 
     reported_at: float
     last_received_at: float
@@ -44,13 +44,13 @@
 
 
 class EntryReports:
-    """The words of all entries together, each for as long as it counts.
+    """The load requests and reports of all entries, each until it expires.
 
     Example::
 
-        say.wished(now, LoadRequest("tutor"))
-        say.told(now, "entry-1", wants, in_use)
-        first = say.wishes()[0]
+        entry_reports.load_requested(now, LoadRequest("tutor"))
+        entry_reports.reported(now, "entry-1", demands, in_use)
+        first = entry_reports.load_requests()[0]
     """
 
     def __init__(self) -> None:
@@ -58,15 +58,15 @@
         self._requested_by: dict[tuple[str, str], str] = {}
         self._entries: dict[str, _EntryReport] = {}
         self._used_at: dict[tuple[str, str], float] = {}
-        #: Until when models that have come stay.
+        #: When the protection of recently loaded models from eviction ends.
         self._protected_until: dict[str, float] = {}
-        #: The sum over all entries; None once one of them has spoken since.
+        #: The sum over all entries; None after a new report or request.
         self._demands: dict[str, Demand] | None = None
         self._summed_at = _NEVER
         self._now = _NEVER
 
     def load_requested(self, now: float, request: LoadRequest, entry: str = "") -> None:
-        """An entry has calls that need the model or adapter."""
+        """Record that an entry has calls that need the model or adapter."""
         self._advance_clock(now)
         self._demands = None
         self._load_requests[(request.model, request.adapter)] = (
@@ -83,59 +83,63 @@
         demands: Mapping[str, Demand],
         in_use: Mapping[str, int],
     ) -> None:
-        """An entry's demand over all engines, and its calls here, by model."""
+        """Record an entry's demand over all engines, and its calls at this engine, by
+        model."""
         self._advance_clock(now)
         self._demands = None
         self._entries[entry] = _EntryReport(now, now, demands, in_use)
 
     def keep_alive(self, now: float, entry: str) -> bool:
-        """An entry has nothing new to say; False if what it said before is forgotten,
-        and has to be told again."""
-        use = self._entries.get(entry)
-        if use is None:
+        """Record that an entry has no changes to report; False if its last report has
+        expired and must be sent again."""
+        report = self._entries.get(entry)
+        if report is None:
             return False
-        use.last_received_at = now
+        report.last_received_at = now
         return True
 
     def engine_restarted(self) -> None:
-        """What came to the engine, and the calls there, are gone with its last start.
-        Entries tell of calls to the new one with their next message."""
+        """Discard the calls at the previous start of the engine and the protection of
+        recently loaded models. Entries report calls at the new start with their next
+        message."""
         self._protected_until.clear()
-        for use in self._entries.values():
-            use.in_use = {}
+        for report in self._entries.values():
+            report.in_use = {}
 
     def load_finished(self, now: float, model: str, seconds: float) -> None:
-        """The model has come, after a load of so many seconds."""
-        turn_s = max(MIN_RESIDENCY_S, RESIDENCY_LOAD_FRACTION * seconds)
-        self._protected_until[model] = now + turn_s
+        """Record that the model was loaded, in so many seconds."""
+        protected_s = max(MIN_RESIDENCY_S, RESIDENCY_LOAD_FRACTION * seconds)
+        self._protected_until[model] = now + protected_s
 
     def expire(self, now: float) -> None:
-        """Drop what is too old to count."""
+        """Drop requests and reports that have expired."""
         self._advance_clock(now)
         for key, (_, at) in list(self._load_requests.items()):
             if now - at > LOAD_REQUEST_TTL_S:
                 self._demands = None
                 del self._load_requests[key]
                 del self._requested_by[key]
-        for entry, use in list(self._entries.items()):
-            if now - use.last_received_at > REPORT_TTL_S:
+        for entry, report in list(self._entries.items()):
+            if now - report.last_received_at > REPORT_TTL_S:
                 self._demands = None
                 del self._entries[entry]
 
     def renew_request(self, now: float, model: str) -> None:
-        """A wish for the model lives on: what comes of it isn't known yet, and it isn't
-        repeated meanwhile."""
+        """Extend the request for a model while its outcome isn't known yet; entries
+        don't repeat it meanwhile."""
         request, at = self._load_requests.get((model, ""), (None, now))
         if request is not None:
             self._load_requests[(model, "")] = (request, max(at, now))
 
     def requested_by(self, model: str, adapter: str = "") -> str:
-        """The entry that wished for it last, empty if none does now."""
+        """The entry that requested the load last, empty if there is no current
+        request."""
         return self._requested_by.get((model, adapter), "")
 
     def load_requests(self) -> list[LoadRequest]:
-        """Urgent wishes first, among these the one whose calls are in time, but not
-        for long, and then the one whose calls have waited longest."""
+        """The current requests: urgent ones first; among these the one whose calls are
+        in time with the shortest time left, and then the one whose calls have waited
+        longest."""
         demands = self.demands()
 
         def key(request: LoadRequest) -> tuple[float, ...]:
@@ -150,14 +154,15 @@
         return sorted([request for request, _ in self._load_requests.values()], key=key)
 
     def demands(self) -> dict[str, Demand]:
-        """The demand of all entries together, by what they say here, or by what the
-        one that asks for a load knows from the collectors if that is more."""
+        """The demand of all entries together: as they reported it here, or as the entry
+        that requests a load knows it from the collectors, whichever is greater."""
         if self._demands is None:
             self._demands = self._sum()
         return self._demands
 
     def _advance_clock(self, now: float) -> None:
-        """Time goes on, and what was summed up fades."""
+        """Advance the clock, and drop the summed demand once its rates have decayed too
+        far."""
         self._now = max(self._now, now)
         if self._now - self._summed_at > DEMAND_SUM_TTL_S:
             self._demands = None
@@ -165,10 +170,10 @@
     def _sum(self) -> dict[str, Demand]:
         self._summed_at = self._now
         merged: dict[str, Demand] = {}
-        for use in self._entries.values():
-            elapsed_s = self._now - use.reported_at
+        for report in self._entries.values():
+            elapsed_s = self._now - report.reported_at
             left = decayed(1.0, elapsed_s)
-            for model, demand in use.demands.items():
+            for model, demand in report.demands.items():
                 held = merged.get(model, Demand())
                 merged[model] = Demand(
                     held.rate + demand.rate * left,
@@ -190,29 +195,30 @@
     def in_use(self) -> dict[str, int]:
         """The calls of all entries at this engine, by model and MODEL/ADAPTER."""
         merged: dict[str, int] = {}
-        for use in self._entries.values():
-            for model, count in use.in_use.items():
+        for report in self._entries.values():
+            for model, count in report.in_use.items():
                 merged[model] = merged.get(model, 0) + count
         return merged
 
     def recently_loaded(self, now: float, model: str) -> bool:
-        """Whether the model came so lately that its waiting calls may not be here yet,
-        or have only begun; unloaded now, it would have been loaded for nothing."""
+        """Whether the model was loaded so recently that its waiting calls may not have
+        arrived yet, or have only started; if it were unloaded now, the load would have
+        been wasted."""
         return now < self._protected_until.get(model, _NEVER)
 
     def recently_used(self, now: float, model: str, adapter: str) -> bool:
-        """Whether a call that wants the adapter may be on its way."""
+        """Whether a call that needs the adapter may be on its way."""
         return now - self._used_at.get((model, adapter), _NEVER) <= RECENT_USE_S
 
     def used_at(self, model: str, adapter: str) -> float:
-        """When the adapter was wished for last, 0 if it wasn't."""
+        """When the adapter was requested last, 0 if it never was."""
         return self._used_at.get((model, adapter), 0.0)
 
 
 def sum_known(first: float | None, second: float | None) -> float | None:
-    """The sum of two counts, where None stands for one that wasn't told.
+    """The sum of two counts, where None stands for a count that wasn't reported.
 
-    >>> added(None, 2.0), added(1.0, 2.0), added(None, None)
+    >>> sum_known(None, 2.0), sum_known(1.0, 2.0), sum_known(None, None)
     (2.0, 3.0, None)
     """
     reported = [count for count in (first, second) if count is not None]
@@ -220,5 +226,5 @@
 
 
 def _unserved_age_s(demand: Demand, elapsed_s: float) -> float:
-    """How long ago the first unserved call came, so long after it was told."""
+    """Seconds since the first unserved call, some time after it was reported."""
     return demand.unserved_s + elapsed_s if demand.unserved else 0.0
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
@@ -1,4 +1,4 @@
-"""What passes between an engine's agent, the engine and the entries."""
+"""The messages between an engine's agent, the engine and the entries."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an engine is told to do."""
+    """What an order asks the engine to do."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -19,8 +19,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOrder:
-    """An order; ``expected`` is the number of orders accepted before it, ``wanted_for``
-    the model that others are unloaded for, told for the log only."""
+    """An order to an engine. ``expected`` is the number of orders that the engine
+    accepted before it; ``wanted_for`` is the model that others are unloaded for, used
+    only in the log."""
 
     kind: OrderKind
     model: str
@@ -30,13 +31,14 @@
 
 
 class OrderAnswer(enum.Enum):
-    """What the engine said to an order.
-
-    ``ACCEPTED``: it is being carried out. ``HOLDS``: it has been carried out, or was so
-    already. ``CONFLICT``: another order is in progress, or the number accepted differs.
-    ``FENCED``: a higher fencing token has been seen. ``INVALID``: the engine knows no
-    such order. ``OTHER_INSTANCE``: another backend server has the address.
-    ``UNANSWERED``: it may have been accepted, or may be later.
+    """The engine's answer to an order.
+
+    ``ACCEPTED``: it is being carried out. ``HOLDS``: it has been carried out, or the
+    engine was already in the requested state. ``CONFLICT``: another order is in
+    progress, or the number of accepted orders differs. ``FENCED``: the engine has seen
+    a higher fencing token. ``INVALID``: the engine knows no such order.
+    ``OTHER_INSTANCE``: another backend server has the address. ``UNANSWERED``: the
+    order may have been accepted, or may be accepted later.
     """
 
     ACCEPTED = "accepted"
@@ -50,8 +52,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself. ``accepted`` counts the orders accepted since its
-    start; ``adapters_loading`` are (model, adapter) on their way in."""
+    """An engine's report of its state. ``accepted`` counts the orders that it accepted
+    since its start; ``adapters_loading`` lists (model, adapter) pairs that are being
+    loaded."""
 
     instance: str
     holdings: Mapping[str, frozenset[str]]
@@ -65,25 +68,27 @@
     started_ms: int | None = None
 
     def has_copy(self, model: str) -> bool:
-        """Whether a load of the model needn't draw on the weight store."""
+        """Whether the engine can load the model from its own memory or disk, without
+        the weight store."""
         return model in self.in_memory or model in self.on_disk
 
     @property
     def incarnation(self) -> Incarnation:
-        """The start of the engine that says this."""
+        """The start of the engine that this report is about."""
         return Incarnation(self.instance, self.started_ms)
 
 
-#: The urgency of what calls wait for now; higher ones are asked for ahead of demand.
+#: The urgency of a load that calls are waiting for. Loads with a higher number are
+#: requested ahead of demand.
 CALLS_WAITING = 0
 
 
 @dataclass(frozen=True, slots=True)
 class LoadRequest:
-    """A model, or an adapter of one, that an entry has calls for; 0 is most urgent.
-    ``demand`` is the demand of all entries for the model, as the one that asks knows
-    it, ``store_permits`` how many loads it takes the weight store to serve; 0 if it doesn't
-    say."""
+    """An entry's request to load a model, or an adapter of one; 0 is the highest
+    urgency. ``demand`` is the demand of all entries for the model, as far as the
+    requesting entry knows it. ``store_permits`` is how many loads the weight store is
+    taken to serve at a time, 0 if the entry doesn't state it."""
 
     model: str
     adapter: str = ""
@@ -94,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadEnded:
-    """A load that has ended; ``held`` tells whether the model is there."""
+    """A load that has ended; ``held`` tells whether the engine holds the model."""
 
     model: str
     held: bool
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -1,19 +1,20 @@
-"""The orders that one agent gives its engine: which comes next, and what became of it.
+"""Chooses the orders that one agent sends to its engine and tracks their results.
 
-Only the agent beside an engine gives it orders, so what it may hold is decided in one
-place. Four things can go wrong, and each is met here.
+Only the agent beside an engine gives it orders, so a single process decides what the
+engine holds. The order book handles four failures:
 
-- *An order beyond the memory crashes the engine.* What is held, what is on its way in
-  and what an order still unsettled may bring all count until a report shows otherwise.
+- *An order beyond the memory crashes the engine.* Held models, models being loaded and
+  whatever an unconfirmed order may load all count as used memory until a report shows
+  otherwise.
 - *An order without an answer may be carried out seconds later, after newer orders.*
-  Each order names the number of orders that the engine has accepted so far, and the
-  engine refuses it once that number has moved on. The same order is sent again with the
-  same number until the number moves, so exactly one of the copies can take effect.
-- *A report is older than the last order.* After each order nothing further is decided
-  until a report has been read that was asked for later.
-- *The engine starts anew, maybe under the same name.* Nothing of before holds, and a
-  report of the start before changes nothing. An order that may still arrive from before
-  is left room for (:mod:`late_orders`).
+  Each order carries the number of orders that the engine has accepted so far, and the
+  engine refuses it once that number has changed. The same order is resent with the same
+  number until the number changes, so exactly one of the copies can take effect.
+- *A report may be older than the last order.* After each order nothing further is
+  decided until a report arrives that was requested after it.
+- *The engine may restart, possibly under the same name.* All earlier state is
+  discarded, and a report from an earlier start changes nothing. Room is reserved for an
+  order that may still arrive from before the restart (:mod:`late_orders`).
 """
 
 from __future__ import annotations
@@ -44,16 +45,17 @@
 )
 from bambootiller_core.gateway.store_permit_gate import StorePermitGate
 
-#: Adapters that may be on their way to an engine at a time.
+#: The most adapters that may be loading at an engine at the same time.
 MAX_ADAPTER_LOADS = 4
-#: A load shows in reports within this time. An engine that isn't busy later than this,
-#: and doesn't hold the model, has given the load up. Seconds.
+#: Seconds within which a load shows in the engine's reports. An engine that isn't busy
+#: after this time, and doesn't hold the model, has abandoned the load.
 LOAD_VISIBLE_S = 0.4
-#: An engine that refused an order because it is another instance isn't ordered for so
-#: long, unless its name is known sooner: it would refuse the same order again and
-#: again. Seconds; about a heartbeat, within which a new start is listed.
+#: Seconds for which no orders are sent to an engine that refused one because it is
+#: another instance, unless its name becomes known earlier; it would keep refusing the
+#: same order. About one heartbeat, within which the registry lists a new start.
 WRONG_INSTANCE_COOLDOWN_S = 1.0
-#: A load that has outlived its estimate is expected to last this part of it longer.
+#: The remaining time of a load that has exceeded its estimate, as a fraction of that
+#: estimate.
 OVERRUN_FRACTION = 0.15
 
 
@@ -74,8 +76,8 @@
 
 
 class OrderBook:
-    """Decides the orders of one engine. Without a ``gate`` loads from the weight store
-    begin whenever they are wished for.
+    """Chooses the orders of one engine. Without a ``gate``, loads from the weight store
+    start whenever they are requested.
 
     Example::
 
@@ -107,19 +109,19 @@
 
     @property
     def unconfirmed(self) -> EngineOrder | None:
-        """An order of which it isn't known whether it was accepted."""
+        """An order of which it isn't known whether the engine accepted it."""
         return self._unconfirmed
 
     def configured(self, engine: EngineSpec) -> None:
-        """A new configuration describes the engine."""
+        """Apply a new configuration of the engine."""
         self._engine = engine
 
     def load_requested(self, now: float, request: LoadRequest, entry: str = "") -> None:
-        """An entry has calls that need the model or adapter."""
+        """Record that an entry has calls that need_mb the model or adapter."""
         self._entry_reports.load_requested(now, request, entry)
 
     def requested_by(self, order: EngineOrder) -> str:
-        """The entry that wished last for what the order is for."""
+        """The entry that last requested the load that the order is for."""
         if order.wanted_for:
             return self._entry_reports.requested_by(order.wanted_for)
         return self._entry_reports.requested_by(order.model, order.adapter)
@@ -131,16 +133,18 @@
         demands: Mapping[str, Demand],
         in_use: Mapping[str, int],
     ) -> None:
-        """An entry's demand over all engines, and its calls here, by model."""
+        """Record an entry's demand over all engines, and its calls at this engine, by
+        model."""
         self._entry_reports.reported(now, entry, demands, in_use)
 
     def entry_alive(self, now: float, entry: str) -> bool:
-        """An entry has nothing new to say; False if it has to be told again."""
+        """Record that an entry has no changes to report; False if its last report has
+        expired and must be sent again."""
         return self._entry_reports.keep_alive(now, entry)
 
     def reported(self, now: float, report: EngineReport) -> LoadEnded | None:
-        """Take over a report that was asked for after the last order was answered;
-        returns the load that it shows as ended, if any."""
+        """Apply a report that was requested after the last order was answered; returns
+        the load that the report shows as ended, if any."""
         if self._is_restart(now, report):
             self._restarted()
         elif self._is_late(report):
@@ -166,10 +170,12 @@
         return report.incarnation.precedes(self._report.incarnation)
 
     def _restarted(self) -> None:
-        """A new start holds nothing and knows no orders.
+        """Discard the state of the previous start: a new one holds nothing and knows no
+        orders.
 
-        Whether an order that got no answer was carried out no longer matters. It may
-        reach the new start, which refuses it only if that has another name or count.
+        Whether an unanswered order was carried out no longer matters. It may reach the
+        new start, which refuses it only if the instance name or the order count
+        differs.
         """
         self._load = self._unloading = self._unconfirmed = self._preparing = None
         self._entry_reports.engine_restarted()
@@ -177,12 +183,13 @@
         self._wrong_instance_until = float("-inf")
 
     def engine_ended(self) -> None:
-        """The engine has ended, and its load with it. Told as going on, it would keep
-        the weight store's turn from others until the engine is back or dropped."""
+        """Record that the engine has ended, and its load with it. If the load were
+        still reported as in progress, it would keep the weight store's permit from
+        other agents until the engine is back or removed."""
         self._load = None
 
     def next_order(self, now: float) -> EngineOrder | None:
-        """The order to send now, if any."""
+        """The order to send now, or None."""
         if self._gate is not None:
             self._gate.blocked_load = None
         report = self._report
@@ -196,8 +203,8 @@
             self._entry_reports.renew_request(now, self._gate.acquiring.model)
         self._entry_reports.expire(now)
         if report.busy or self._load is not None or self._unloading is not None:
-            # The engine turns down every order while it carries one out for a model,
-            # those for adapters too.
+            # While it carries out an order for a model, the engine refuses all other
+            # orders, including those for adapters.
             return None
         load_requests = self._entry_reports.load_requests()
         if self._preparing is not None:
@@ -216,8 +223,8 @@
         return None
 
     def uses_store(self) -> bool:
-        """Whether a load from the weight store is under way, may be, or has room made
-        for it."""
+        """Whether a load from the weight store is in progress, may be in progress, or
+        has models unloaded to make room for it."""
         if self._load is not None:
             return self._load.from_store
         if self._report is None:
@@ -230,20 +237,22 @@
         )
 
     def order_sent(self, order: EngineOrder) -> None:
-        """The order goes out now; until it is answered it may take effect."""
+        """Record that the order is being sent; it may take effect until it is
+        answered."""
         self._unconfirmed = order
         if order.kind is OrderKind.UNLOAD and not order.adapter:
             self._unloading = order.model
 
     def answered(self, now: float, order: EngineOrder, answer: OrderAnswer) -> None:
-        """Note the engine's answer."""
+        """Record the engine's answer."""
         self._needs_report = True
         if answer is OrderAnswer.UNANSWERED:
             self._late_orders.unanswered(now, order)
             return
         if answer is OrderAnswer.CONFLICT:
-            # An earlier copy of this order may have been accepted, which the report's
-            # number tells; if it hasn't moved, another order is in progress.
+            # An earlier copy of this order may have been accepted, which shows in the
+            # order count of the next report. If the count is unchanged, another order
+            # is in progress.
             return
         self._unconfirmed = None
         if answer is OrderAnswer.ACCEPTED or answer is OrderAnswer.HOLDS:
@@ -257,15 +266,15 @@
             self._unloading = None
 
     def conflict_confirmed(self, order: EngineOrder) -> None:
-        """A report after a conflict shows that the number hasn't moved: the order was
-        turned down, and all its copies are answered."""
+        """Record that a report after a conflict shows an unchanged order count: the
+        order was refused, and all its copies have been answered."""
         if self._unconfirmed == order:
             self._unconfirmed = None
             if self._unloading == order.model and not order.adapter:
                 self._unloading = None
 
     def state(self, now: float) -> EngineState | None:
-        """What entries are told of this engine."""
+        """The state of this engine as it is advertised to entries."""
         report = self._report
         if report is None:
             return None
@@ -335,8 +344,9 @@
         return Loading(load.model, left, load.from_store)
 
     def _upcoming_load(self, now: float) -> Loading | None:
-        """The load to come, told as if it had begun, or entries would have the model
-        loaded elsewhere while others are unloaded for it here."""
+        """The load that models are being unloaded for. It is advertised as already
+        started; otherwise entries would have the model loaded at another engine
+        meanwhile."""
         preparing = self._preparing
         spec = preparing and self._engine.models.get(preparing.request.model)
         if not spec:
@@ -346,8 +356,9 @@
         return Loading(spec.name, left, from_store)
 
     def _acquiring_load(self) -> Loading | None:
-        """The load for which a turn of the weight store is being taken, told as if it
-        had begun, or the next plan would ask for another elsewhere."""
+        """The load for which a store permit is being acquired. It is advertised as
+        already started; otherwise the next plan would request another one at another
+        engine."""
         acquiring = self._gate.acquiring if self._gate is not None else None
         return acquiring and Loading(acquiring.model, acquiring.load_s, True)
 
@@ -358,16 +369,16 @@
         held = report.holdings.get(request.model)
         if held is None or request.model == self._unloading or request.adapter in held:
             return None
-        coming = report.adapters_loading
-        if (request.model, request.adapter) in coming or len(
-            coming
+        loading = report.adapters_loading
+        if (request.model, request.adapter) in loading or len(
+            loading
         ) >= MAX_ADAPTER_LOADS:
             return None
         spec = self._engine.models.get(request.model)
         if spec is None:
             return None
         count = sum(len(adapters) for adapters in report.holdings.values())
-        slots_free = count + len(coming) < self._engine.adapter_slots
+        slots_free = count + len(loading) < self._engine.adapter_slots
         fits = self._memory_used() + spec.adapter_mb <= self._engine.memory_mb
         if slots_free and fits:
             return self._order(now, OrderKind.LOAD, request.model, request.adapter)
@@ -396,8 +407,8 @@
         spec = self._engine.models.get(request.model)
         if spec is None or request.model in report.holdings:
             return None
-        need = self._memory_used() + spec.size_mb - self._engine.memory_mb
-        if need <= 0:
+        need_mb = self._memory_used() + spec.size_mb - self._engine.memory_mb
+        if need_mb <= 0:
             if not self._may_load(spec, request):
                 return None
             return self._order(now, OrderKind.LOAD, request.model, "")
@@ -409,15 +420,15 @@
         elif not incoming.awaited:
             incoming = replace(incoming, waiting=1)
         values = keep_values(report.holdings, demands)
-        fresh = [
+        protected = [
             name
             for name in report.holdings
             if self._entry_reports.recently_loaded(now, name)
         ]
-        values.update(dict.fromkeys(fresh, float("inf")))
+        values.update(dict.fromkeys(protected, float("inf")))
         seconds, _ = self._load_time(spec)
         victims = choose_victims(
-            self._engine, report.holdings, need, in_use, values, incoming, seconds
+            self._engine, report.holdings, need_mb, in_use, values, incoming, seconds
         )
         if victims is None or not self._may_load(spec, request):
             return None
@@ -438,7 +449,7 @@
         adapter: str,
         wanted_for: str = "",
     ) -> EngineOrder | None:
-        """The order, unless it would let a late one overfill the engine."""
+        """The order, or None if it would leave too little memory for a late one."""
         report = self._report
         order = EngineOrder(kind, model, adapter, report.accepted, wanted_for)
         late = list(self._late_orders.loads_after(now, order.expected + 1))
@@ -455,5 +466,5 @@
         return memory_used(self._engine, self._report, loading, self._unconfirmed)
 
     def demands(self) -> dict[str, Demand]:
-        """The demand of all entries together."""
+        """The demand of all entries together, by model."""
         return self._entry_reports.demands()
