--- a/packages/bambootiller-core/src/bambootiller_core/gateway/attempts.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/attempts.py
@@ -52,7 +52,7 @@
     costs_budget: bool
 
 
-class Reason(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why the gateway itself answers a call, without a backend server's answer."""
 
     NO_CONFIGURATION = "no_configuration"
@@ -76,26 +76,26 @@
     BACKEND_LIMITED = "backend_limited"
 
 
-STATUS: dict[Reason, int] = {
-    Reason.NO_CONFIGURATION: 503,
-    Reason.NO_ROUTE: 404,
-    Reason.NO_BACKEND: 503,
-    Reason.BODY_TOO_LARGE: 413,
-    Reason.BAD_REQUEST: 400,
-    Reason.REFUSED_BY_BACKEND: 503,
-    Reason.OVERLOADED: 503,
-    Reason.MODEL_NOT_LOADED: 503,
-    Reason.OUTCOME_UNKNOWN: 502,
-    Reason.TIMED_OUT_BEFORE_SENDING: 503,
-    Reason.TIMED_OUT: 504,
-    Reason.LEAVING: 503,
-    Reason.QUARANTINED: 503,
-    Reason.KEPT_APART: 503,
-    Reason.UNKNOWN_KEY: 401,
-    Reason.KEY_CHANGED_HANDS: 503,
-    Reason.OVER_QUOTA: 429,
-    Reason.QUOTA_UNKNOWN: 503,
-    Reason.BACKEND_LIMITED: 503,
+STATUS: dict[RefusalReason, int] = {
+    RefusalReason.NO_CONFIGURATION: 503,
+    RefusalReason.NO_ROUTE: 404,
+    RefusalReason.NO_BACKEND: 503,
+    RefusalReason.BODY_TOO_LARGE: 413,
+    RefusalReason.BAD_REQUEST: 400,
+    RefusalReason.REFUSED_BY_BACKEND: 503,
+    RefusalReason.OVERLOADED: 503,
+    RefusalReason.MODEL_NOT_LOADED: 503,
+    RefusalReason.OUTCOME_UNKNOWN: 502,
+    RefusalReason.TIMED_OUT_BEFORE_SENDING: 503,
+    RefusalReason.TIMED_OUT: 504,
+    RefusalReason.LEAVING: 503,
+    RefusalReason.QUARANTINED: 503,
+    RefusalReason.KEPT_APART: 503,
+    RefusalReason.UNKNOWN_KEY: 401,
+    RefusalReason.KEY_CHANGED_HANDS: 503,
+    RefusalReason.OVER_QUOTA: 429,
+    RefusalReason.QUOTA_UNKNOWN: 503,
+    RefusalReason.BACKEND_LIMITED: 503,
 }
 
 
@@ -108,7 +108,7 @@
     its customer's quota decided.
     """
 
-    reason: Reason
+    reason: RefusalReason
     come_back_s: float | None = None
     detail: str = ""
     plan: PlanSnapshot | None = None
@@ -151,9 +151,13 @@
     if progress.forwarded:
         return CutOff()
     if progress.may_have_run:
-        reason = Reason.TIMED_OUT if timed_out else Reason.OUTCOME_UNKNOWN
+        reason = RefusalReason.TIMED_OUT if timed_out else RefusalReason.OUTCOME_UNKNOWN
         return Refusal(reason)
-    reason = Reason.TIMED_OUT_BEFORE_SENDING if timed_out else Reason.REFUSED_BY_BACKEND
+    reason = (
+        RefusalReason.TIMED_OUT_BEFORE_SENDING
+        if timed_out
+        else RefusalReason.REFUSED_BY_BACKEND
+    )
     return Refusal(reason, DEFAULT_RETRY_AFTER_S)
 
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/config.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/config.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceShare:
+class ServiceWeight:
     """A service and the relative weight of its part of a route's calls."""
 
     service: str
@@ -59,7 +59,7 @@
     host: str
     prefix: str
     kind: CallKind
-    shares: tuple[ServiceShare, ...]
+    service_weights: tuple[ServiceWeight, ...]
     timeout_s: float | None = None
     target_s: float = 1.0
     priority: int = 5
@@ -88,12 +88,12 @@
     def pick_service(self, draw: float) -> str | None:
         """The service that the random number ``draw`` in [0, 1) selects by weight; None
         if no service has any weight."""
-        total = sum(share.weight for share in self.shares)
+        total = sum(service_weight.weight for service_weight in self.service_weights)
         point = draw * total
-        for share in self.shares:
-            point -= share.weight
-            if share.weight > 0 and point < 0:
-                return share.service
+        for service_weight in self.service_weights:
+            point -= service_weight.weight
+            if service_weight.weight > 0 and point < 0:
+                return service_weight.service
         return None
 
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
@@ -49,5 +49,5 @@
 
 def _answered_later(lost_at: float, backend: Backend) -> bool:
     """Whether the agent has reported long enough after a run was lost."""
-    heard_s = backend.last_received_at - backend.running_time(lost_at)
-    return backend.engine is not None and heard_s > AGENT_DETECTION_S
+    reported_after_s = backend.last_received_at - backend.running_time(lost_at)
+    return backend.engine is not None and reported_after_s > AGENT_DETECTION_S
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
@@ -188,7 +188,7 @@
         #: source.
         self._cleared: OrderedDict[str, tuple[int, str]] = OrderedDict()
         #: Lost runs whose verdict isn't final.
-        self._watched: list[_Record] = []
+        self._unsettled: list[_Record] = []
         self._quarantined: dict[str, float] = {}
         self._explained: set[Incarnation] = set()
         #: Counts the changes that peers may have to be sent.
@@ -211,7 +211,7 @@
         if held is not None:
             record.verdict = held.verdict
         records[run.incarnation] = record
-        self._watched.append(record)
+        self._unsettled.append(record)
         self._evict_least_suspicious()
         return True
 
@@ -235,8 +235,8 @@
         """Update the verdicts that aren't final; ``crash_verdict`` gets a run and its
         previous verdict. Returns the suspects that are newly quarantined."""
         changed = False
-        watched, self._watched = self._watched, []
-        for record in watched:
+        unsettled, self._unsettled = self._unsettled, []
+        for record in unsettled:
             if not self._holds(record):
                 continue
             before = record.verdict
@@ -248,7 +248,7 @@
                 now - record.run.lost_at <= VERDICT_FINAL_S
                 or record.verdict is CrashVerdict.UNDECIDED
             ):
-                self._watched.append(record)
+                self._unsettled.append(record)
         if not changed:
             return []
         before = set(self._quarantined)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/document_propagation.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/document_propagation.py
@@ -64,8 +64,8 @@
     return 1 + rendezvous.weight(f"tells {entry}", agent) % AGENT_RANKS
 
 
-def is_covered(complete: Revisions, change: Changed) -> bool:
-    """Whether a process that has all documents up to the revisions ``complete`` has
+def is_covered(revisions: Revisions, change: Changed) -> bool:
+    """Whether a process that has all documents up to the revisions ``revisions`` has
     this one.
 
     >>> from bambootiller_core.ports import Record
@@ -75,7 +75,7 @@
     record = change.record
     return any(
         is_under(record.key, part) and record.mod_revision <= revision
-        for part, revision in complete.items()
+        for part, revision in revisions.items()
     )
 
 
@@ -101,7 +101,7 @@
 
     def __init__(self) -> None:
         self._queued: dict[str, tuple[Changed, float]] = {}
-        self._peer: Revisions | None = None
+        self._peer_revisions: Revisions | None = None
 
     def add(
         self,
@@ -112,18 +112,20 @@
     ) -> None:
         """Queue a document that has become known here; with rank 0 it is due at
         once."""
-        if self._peer is not None and is_covered(self._peer, change):
+        if self._peer_revisions is not None and is_covered(
+            self._peer_revisions, change
+        ):
             # The peer has reported that already, and doesn't repeat it.
             return
         due_at = now + self_update_grace_s + (rank - 1) * STAGGER_S if rank else now
         self._queued[change.record.key] = (change, due_at)
 
-    def peer_has(self, complete: Revisions) -> None:
+    def peer_has(self, revisions: Revisions) -> None:
         """Record the revisions that the peer reports, and drop documents that it
         has."""
-        self._peer = complete
+        self._peer_revisions = revisions
         for key, (change, _) in list(self._queued.items()):
-            if is_covered(complete, change):
+            if is_covered(revisions, change):
                 del self._queued[key]
 
     def peer_revision(self, key: str) -> int | None:
@@ -131,7 +133,7 @@
         store, None if unknown."""
         revisions = [
             revision
-            for part, revision in (self._peer or {}).items()
+            for part, revision in (self._peer_revisions or {}).items()
             if is_under(key, part)
         ]
         return max(revisions, default=None)
@@ -139,7 +141,7 @@
     def due(self, now: float) -> list[Changed]:
         """Remove and return the documents that are to be sent now; none before the peer
         has reported its revisions."""
-        if self._peer is None:
+        if self._peer_revisions is None:
             return []
         ready = [key for key, (_, due_at) in self._queued.items() if due_at <= now]
         return [self._queued.pop(key)[0] for key in ready]
@@ -147,7 +149,7 @@
     def next_due(self) -> float | None:
         """When the next document is to be sent, None if none is queued or the peer
         hasn't reported its revisions."""
-        if self._peer is None or not self._queued:
+        if self._peer_revisions is None or not self._queued:
             return None
         return min(due_at for _, due_at in self._queued.values())
 
@@ -155,4 +157,4 @@
     def is_empty(self) -> bool:
         """Whether the peer has reported its revisions and lacks no document that is
         known here."""
-        return self._peer is not None and not self._queued
+        return self._peer_revisions is not None and not self._queued
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -197,7 +197,7 @@
             return self.pending_prefills
         return max(self.pending_prefills, self.engine.queued)
 
-    def prefill_pending(self) -> None:
+    def prefill_queued(self) -> None:
         """Count a call of this entry that is sent there as waiting for its prefill."""
         self.pending_prefills += 1
 
@@ -246,7 +246,7 @@
 
     def __iter__(self) -> Iterator[Backend]:
         for backend in self._backends.values():
-            if backend.readable and not self._superseded(backend):
+            if backend.readable and not self._is_address_reused(backend):
                 yield backend
 
     def get(self, instance: str) -> Backend | None:
@@ -301,7 +301,7 @@
         if record.started_ms is None:
             record = replace(record, started_ms=held.registration.started_ms)
         held.registration = record
-        self._note_address(record)
+        self._update_address(record)
         return True
 
     def _add_start(
@@ -316,7 +316,7 @@
         backend = self._backends[record.instance] = Backend(
             record, listed=listed, last_reported_at=now, running_time=self._running_time
         )
-        self._note_address(record)
+        self._update_address(record)
         return backend
 
     def registry_unreadable(self, instance: str, revision: int) -> None:
@@ -367,24 +367,25 @@
         gone = [
             backend.instance
             for backend in self._backends.values()
-            if backend.missing_since is not None and self._stays_missing(now, backend)
+            if backend.missing_since is not None
+            and self._is_still_missing(now, backend)
         ]
         for instance in gone:
             self._drop(instance)
         return gone
 
-    def _stays_missing(self, now: float, backend: Backend) -> bool:
+    def _is_still_missing(self, now: float, backend: Backend) -> bool:
         since = self._store_returned_at
         if not backend.listed:
             since = max(since, backend.missing_since)
         return now - since >= EXPIRY_GRACE_S
 
-    def _note_address(self, record: Registration) -> None:
+    def _update_address(self, record: Registration) -> None:
         last = self._backends.get(self._instance_by_address.get(record.address, ""))
         if last is None or last.registration.revision < record.revision:
             self._instance_by_address[record.address] = record.instance
 
-    def _superseded(self, backend: Backend) -> bool:
+    def _is_address_reused(self, backend: Backend) -> bool:
         """Whether another instance has registered at the same address since.
 
         The registry lists a crashed start until it has missed some heartbeats. Until
@@ -407,7 +408,7 @@
         del self._instance_by_address[address]
         for backend in self._backends.values():
             if backend.registration.address == address:
-                self._note_address(backend.registration)
+                self._update_address(backend.registration)
 
     def engine_told(self, now: float, state: EngineState) -> bool:
         """Apply an agent's report; returns False if the instance isn't listed (yet), or
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/health.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/health.py
@@ -29,8 +29,8 @@
 SLOW_COST = 0.5
 #: How long a backend server that couldn't be connected to is avoided: exponential
 #: backoff, doubled with each further failure up to the maximum. Seconds.
-UNREACHABLE_S = 0.4
-UNREACHABLE_MAX_S = 4.0
+BACKOFF_S = 0.4
+MAX_BACKOFF_S = 4.0
 #: From the first cost on a backend server counts as failing or slow, and below the
 #: second as good again; in between the state stays, so that it doesn't flap. In units
 #: of a full batch: from 1 on, calls go elsewhere even while others are full.
@@ -95,11 +95,11 @@
     def unreachable(self, now: float, server: Incarnation) -> None:
         """Record that no connection could be made."""
         score = self._decayed_score(now, server)
-        pause = min(UNREACHABLE_S * 2**score.unreachable, UNREACHABLE_MAX_S)
+        backoff_s = min(BACKOFF_S * 2**score.unreachable, MAX_BACKOFF_S)
         score.unreachable = min(score.unreachable + 1, 8)
-        score.avoid_until = now + pause
+        score.avoid_until = now + backoff_s
 
-    def avoided(self, now: float, server: Incarnation) -> bool:
+    def is_avoided(self, now: float, server: Incarnation) -> bool:
         """Whether the backend server is avoided because it couldn't be connected to."""
         score = self._scores.get(server)
         return score is not None and now < score.avoid_until
@@ -142,7 +142,9 @@
 
     def _failure_cost(self, now: float, score: _Score) -> float:
         excess = (
-            _decayed_failures(score, now) - self._mean_failures(now) - RATE_TOLERANCE
+            _decayed_failures(score, now)
+            - self._typical_failure_rate(now)
+            - RATE_TOLERANCE
         )
         return RATE_COST * max(0.0, excess)
 
@@ -168,7 +170,7 @@
         score.updated_at = now
         return score
 
-    def _mean_failures(self, now: float) -> float:
+    def _typical_failure_rate(self, now: float) -> float:
         rates = sorted(_decayed_failures(score, now) for score in self._scores.values())
         return rates[len(rates) // 2] if len(rates) > 2 else 0.0
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_base.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_base.py
@@ -22,19 +22,19 @@
         {'peer': '10.0.0.1:7'}
         """
         return {
-            item.name: _plain(getattr(self, item.name))
+            item.name: _to_plain(getattr(self, item.name))
             for item in fields(self)
             if getattr(self, item.name) is not None
         }
 
 
-def _plain(value: Any) -> Any:
+def _to_plain(value: Any) -> Any:
     if hasattr(value, "__dataclass_fields__"):
         return {
-            item.name: _plain(getattr(value, item.name))
+            item.name: _to_plain(getattr(value, item.name))
             for item in fields(value)
             if getattr(value, item.name) is not None
         }
     if isinstance(value, tuple):
-        return [_plain(item) for item in value]
+        return [_to_plain(item) for item in value]
     return value
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
@@ -28,14 +28,14 @@
 ) -> Obstacles:
     """Count the ``known`` engines by what keeps them from loading the model;
     ``load_targets`` are those engines that accept orders."""
-    taking = kept = no_room = able = 0
+    accepting = kept_for_adapters = no_room = able = 0
     for load_target in load_targets:
-        taking += 1
+        accepting += 1
         seconds, _ = load_target.load_time(spec)
         if load_target.victims(engine, spec, demand, seconds) is None:
             no_room += 1
         elif adapters.blocked_calls(load_target, seconds) > demand.value:
-            kept += 1
+            kept_for_adapters += 1
         else:
             able += 1
-    return Obstacles(len(known) - taking, kept, no_room, able)
+    return Obstacles(len(known) - accepting, kept_for_adapters, no_room, able)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quarantine_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quarantine_record.py
@@ -23,7 +23,7 @@
     Times are written as Unix time, which is precise enough: clocks of instances differ
     by seconds, while a quarantine lasts for minutes.
     """
-    form = [
+    document = [
         {
             "instance": run.incarnation.instance,
             "started_ms": run.incarnation.started_ms,
@@ -32,7 +32,7 @@
         }
         for run in runs
     ]
-    return json.dumps(form).encode()
+    return json.dumps(document).encode()
 
 
 def decode(key: str, value: bytes, now: float, unix_s: float) -> tuple[LostRun, ...]:
@@ -41,8 +41,8 @@
     Raises :class:`ValueError` if the record can't be read.
     """
     try:
-        form = json.loads(value)
-        runs = tuple(_run(key, item, now, unix_s) for item in form)
+        document = json.loads(value)
+        runs = tuple(_run(key, item, now, unix_s) for item in document)
     except (KeyError, TypeError) as exc:
         raise ValueError(
             f"{key}: {value[:80]!r}; allowed: a list of lost runs"
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
@@ -40,12 +40,12 @@
     """
     free = [backend for backend in candidates if not is_full(backend, now)]
     reachable = [
-        backend for backend in free if not health.avoided(now, backend.incarnation)
+        backend for backend in free if not health.is_avoided(now, backend.incarnation)
     ]
-    able = reachable or free
-    if not able:
+    eligible = reachable or free
+    if not eligible:
         return None
-    holder_rank = _holder_ranks(call, able)
+    holder_rank = _holder_ranks(call, eligible)
 
     def cost(backend: Backend) -> float:
         total = backend.occupied(now) / max(1, backend.registration.slots)
@@ -56,7 +56,7 @@
             total += PREFILL_COST * backend.engine_pending_prefills(now)
         return total + rng.random() * JITTER
 
-    return min(able, key=cost)
+    return min(eligible, key=cost)
 
 
 def is_full(backend: Backend, now: float) -> bool:
@@ -70,7 +70,7 @@
     return rendezvous.weight(f"{ask.model}/{ask.adapter}", instance)
 
 
-def _holder_ranks(call: Call, able: Sequence[Backend]) -> dict[str, int]:
+def _holder_ranks(call: Call, eligible: Sequence[Backend]) -> dict[str, int]:
     """The rank of each engine in the order in which all entries use a model's holders.
 
     Calls of one model go to the first of its holders, as long as that isn't much busier
@@ -79,5 +79,7 @@
     """
     if call.ask is None:
         return {}
-    names = rendezvous.ranked(call.ask.model, [backend.instance for backend in able])
+    names = rendezvous.ranked(
+        call.ask.model, [backend.instance for backend in eligible]
+    )
     return {name: place for place, name in enumerate(names)}
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/service_levels.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/service_levels.py
@@ -59,8 +59,8 @@
         calls = {
             known: self._recent_calls(now, known) + PRIOR_CALLS for known in self._calls
         }
-        even = sum(calls.values()) / (len(calls) * calls[level])
-        weight = even**WEIGHT_EXPONENT
+        equal_weight = sum(calls.values()) / (len(calls) * calls[level])
+        weight = equal_weight**WEIGHT_EXPONENT
         return max(MIN_WEIGHT, min(MAX_WEIGHT, weight))
 
     def _recent_calls(self, now: float, level: ServiceLevel) -> float:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/timeline.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/timeline.py
@@ -131,8 +131,8 @@
             at = line["uptime_s"] + run.offset_s
             is_own = line.get("request") == request
             near = begin - CONTEXT_BEFORE_S <= at <= end + CONTEXT_AFTER_S
-            tries = subject.is_of_same_request(line)
-            if is_own or tries or (near and subject.concerns(run, line)):
+            is_same_request = subject.is_of_same_request(line)
+            if is_own or is_same_request or (near and subject.concerns(run, line)):
                 steps.append(Step(round(at - begin, 3), is_own, line))
                 if not run.aligned:
                     unaligned.add(run.instance)
--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -37,7 +37,7 @@
         self._last_event = progress.last_event
         backend.call_sent(*self._model_and_adapter())
         if self._prompt_unread:
-            backend.prefill_pending()
+            backend.prefill_queued()
         progress.tried.append(backend.incarnation)
         progress.sends += 1
         progress.may_have_run = True
--- a/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
@@ -7,7 +7,7 @@
 from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.reporting import CallReport
 from bambootiller_core.gateway import attempts
-from bambootiller_core.gateway.attempts import Reason, Refusal
+from bambootiller_core.gateway.attempts import Refusal, RefusalReason
 from bambootiller_core.gateway.calls import Call, Progress
 from bambootiller_core.gateway.crash_ledger import (
     PART_PREFIX,
@@ -50,9 +50,9 @@
         while admission.decision is not AdmissionDecision.ADMITTED:
             now = self._context.clock()
             if admission.decision is AdmissionDecision.QUARANTINED:
-                return _refusal(Reason.QUARANTINED, admission)
+                return _refusal(RefusalReason.QUARANTINED, admission)
             if now + admission.retry_in_s > give_up_at:
-                return _refusal(Reason.KEPT_APART, admission)
+                return _refusal(RefusalReason.KEPT_APART, admission)
             await asyncio.sleep(admission.retry_in_s)
             admission = self._admission()
         self._report.kept_apart(admission.crashes, self._context.clock() - began)
@@ -66,7 +66,7 @@
         return max(0.0, min(MAX_HOLD_S, (due - now) * HOLD_FRACTION))
 
 
-def _refusal(reason: Reason, admission: Admission) -> Refusal:
+def _refusal(reason: RefusalReason, admission: Admission) -> Refusal:
     retry_after_s = max(admission.retry_in_s, attempts.DEFAULT_RETRY_AFTER_S)
     detail = f"{admission.crashes:g} crashes of backend servers"
     if admission.name.startswith(PART_PREFIX):
--- a/packages/bambootiller/src/bambootiller/gateway/failover.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -242,7 +242,7 @@
         if service.budget.remaining(now) < 1.0:
             return StayReason.BUDGET
         backend = self._placement.find_alternative()
-        if backend is None or service.health.avoided(now, backend.incarnation):
+        if backend is None or service.health.is_avoided(now, backend.incarnation):
             return StayReason.NO_PLACE
         return backend
 
--- a/packages/bambootiller/src/bambootiller/gateway/http_front.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_front.py
@@ -17,7 +17,11 @@
 from bambootiller.gateway.ports import Incoming, Unreadable
 from bambootiller.gateway.relay import AnswerTruncated, Relay
 from bambootiller.gateway.relay_context import RelayContext
-from bambootiller_core.gateway.attempts import DEFAULT_RETRY_AFTER_S, Reason, Refusal
+from bambootiller_core.gateway.attempts import (
+    DEFAULT_RETRY_AFTER_S,
+    Refusal,
+    RefusalReason,
+)
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.config import GatewayConfig, Route
 from bambootiller_core.gateway.fingerprint import fingerprint
@@ -98,17 +102,17 @@
         incoming = context.dialect.read(scope)
         config = context.knowledge.config
         if config is None:
-            refusal = Refusal(Reason.NO_CONFIGURATION, DEFAULT_RETRY_AFTER_S)
+            refusal = Refusal(RefusalReason.NO_CONFIGURATION, DEFAULT_RETRY_AFTER_S)
             await self._refuse(send, incoming, refusal, arrived)
             return
         if isinstance(incoming, Unreadable):
-            refusal = Refusal(Reason.BAD_REQUEST, detail=incoming.detail)
+            refusal = Refusal(RefusalReason.BAD_REQUEST, detail=incoming.detail)
             await self._refuse(send, incoming, refusal, arrived)
             return
         try:
             body = await _read_body(receive, config.limits.max_body_bytes)
         except BodyTooLarge:
-            refusal = Refusal(Reason.BODY_TOO_LARGE)
+            refusal = Refusal(RefusalReason.BODY_TOO_LARGE)
             await self._refuse(send, incoming, refusal, arrived)
             return
         # Read again: the configuration may have changed while the body was received.
@@ -118,7 +122,7 @@
             await self._refuse(send, incoming, call, arrived)
             return
         if self._is_stop_imminent():
-            refusal = Refusal(Reason.LEAVING, DEFAULT_RETRY_AFTER_S)
+            refusal = Refusal(RefusalReason.LEAVING, DEFAULT_RETRY_AFTER_S)
             await self._refuse(send, incoming, refusal, arrived, call)
             return
         closing_send = self._with_connection_close(send)
@@ -169,14 +173,14 @@
     ) -> Call | Refusal:
         route = config.match(incoming.host, incoming.path)
         if route is None:
-            return Refusal(Reason.NO_ROUTE)
+            return Refusal(RefusalReason.NO_ROUTE)
         customers = config.customers
         customer = customers.holder(incoming.key) if customers is not None else None
         if customers is not None and customer is None and not route.public:
-            return Refusal(Reason.UNKNOWN_KEY)
+            return Refusal(RefusalReason.UNKNOWN_KEY)
         service = route.pick_service(self._context.rng.random())
         if service is None:
-            return Refusal(Reason.NO_BACKEND, DEFAULT_RETRY_AFTER_S)
+            return Refusal(RefusalReason.NO_BACKEND, DEFAULT_RETRY_AFTER_S)
         spec = config.services.get(service)
         has_engine = spec is not None and spec.engine is not None
         return Call(
@@ -239,7 +243,7 @@
         context.events.emit(line)
         body = refusal.reason.value.encode()
         headers = context.dialect.refusal_headers(parsed, refusal.come_back_s)
-        if refusal.reason is Reason.UNKNOWN_KEY:
+        if refusal.reason is RefusalReason.UNKNOWN_KEY:
             headers.append((b"www-authenticate", b"Bearer"))
         headers.append((b"content-length", b"%d" % len(body)))
         wrapped_send = self._with_connection_close(send)
@@ -283,7 +287,7 @@
 
 
 def _crash_fingerprint(refusal: Refusal, call: Call | None) -> str | None:
-    because_of_crashes = (Reason.QUARANTINED, Reason.KEPT_APART)
+    because_of_crashes = (RefusalReason.QUARANTINED, RefusalReason.KEPT_APART)
     if call is None or refusal.reason not in because_of_crashes:
         return None
     return call.fingerprint
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -7,7 +7,7 @@
 from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.server_admission import Permit, PermitEstimate
 from bambootiller_core.gateway import attempts, selection
-from bambootiller_core.gateway.attempts import Reason, Refusal
+from bambootiller_core.gateway.attempts import Refusal, RefusalReason
 from bambootiller_core.gateway.calls import Call, Progress
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.fleet import Backend
@@ -151,7 +151,7 @@
         while True:
             candidates = self.untried()
             if not candidates:
-                return Refusal(Reason.NO_BACKEND, attempts.DEFAULT_RETRY_AFTER_S)
+                return Refusal(RefusalReason.NO_BACKEND, attempts.DEFAULT_RETRY_AFTER_S)
             found = self._choose(candidates) or self._refuse_or_wait(candidates)
             if found is not None:
                 return found
@@ -166,7 +166,7 @@
         ]
         estimate = self._context.server_admission.estimate(free)
         if estimate is None:
-            return Refusal(Reason.OVERLOADED, attempts.DEFAULT_RETRY_AFTER_S)
+            return Refusal(RefusalReason.OVERLOADED, attempts.DEFAULT_RETRY_AFTER_S)
         due = min(self._call.next_event_due(self._progress), self._call.deadline)
         begins = (
             self._awaited_permit is None
@@ -183,7 +183,7 @@
             return None
         detail = f"{estimate.instance} allows a call in {estimate.in_s:.2f} s"
         return Refusal(
-            Reason.BACKEND_LIMITED,
+            RefusalReason.BACKEND_LIMITED,
             max(estimate.in_s, attempts.DEFAULT_RETRY_AFTER_S),
             detail,
         )
@@ -225,7 +225,7 @@
                 backend
                 for backend in self._in_service()
                 if backend.serves(now, ask.model)
-                and not self._health.avoided(now, backend.incarnation)
+                and not self._health.is_avoided(now, backend.incarnation)
             ]
         if not holders:
             return self._await_model(now, untried)
@@ -240,7 +240,7 @@
         if with_adapter:
             return self._refuse_or_wait(with_adapter)
         if now > self._call.first_event_due - FIRST_EVENT_MARGIN_S:
-            return Refusal(Reason.OVERLOADED, attempts.DEFAULT_RETRY_AFTER_S)
+            return Refusal(RefusalReason.OVERLOADED, attempts.DEFAULT_RETRY_AFTER_S)
         return self._await_adapter(now, began, holders)
 
     def _await_adapter(
@@ -274,7 +274,7 @@
         long one."""
         due = self._context.engines.plans.adapter_prefetch(self._call.service)
         due.refused(now, self._call.ask, retry_after_s)
-        return Refusal(Reason.MODEL_NOT_LOADED, retry_after_s)
+        return Refusal(RefusalReason.MODEL_NOT_LOADED, retry_after_s)
 
     def _record_adapter_miss(self, now: float) -> None:
         if self._missed_adapter:
@@ -289,7 +289,7 @@
         admission = self._context.quarantine.load_admission(ask.model)
         if admission.decision is AdmissionDecision.QUARANTINED:
             return Refusal(
-                Reason.MODEL_NOT_LOADED,
+                RefusalReason.MODEL_NOT_LOADED,
                 admission.retry_in_s,
                 "loading it crashes engines",
             )
@@ -314,7 +314,7 @@
         demand.refused(now, ask.model, retry_delay_s, self._weight, returns_in_s)
         engines.plans.adapter_prefetch(call.service).refused(now, ask, retry_delay_s)
         plan = self._plan_snapshot(now, planned)
-        return Refusal(Reason.MODEL_NOT_LOADED, retry_delay_s, detail, plan)
+        return Refusal(RefusalReason.MODEL_NOT_LOADED, retry_delay_s, detail, plan)
 
     def _plan_snapshot(self, now: float, planned: PlannedLoad | None) -> PlanSnapshot:
         call = self._call
--- a/packages/bambootiller/src/bambootiller/gateway/quotas.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quotas.py
@@ -8,7 +8,11 @@
 from bambootiller.gateway import wire
 from bambootiller.gateway.allowances import Allowances, Shortage
 from bambootiller.gateway.knowledge import Knowledge
-from bambootiller_core.gateway.attempts import DEFAULT_RETRY_AFTER_S, Reason, Refusal
+from bambootiller_core.gateway.attempts import (
+    DEFAULT_RETRY_AFTER_S,
+    Refusal,
+    RefusalReason,
+)
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.config import GatewayConfig
 from bambootiller_core.gateway.log_lines import QuotaSnapshot
@@ -91,7 +95,7 @@
         allowances, quota = self._allowances, call.customer.quota
         name, limit = call.customer.name, allowances.limit(call.customer.name)
         account, now = allowances.account(name), allowances.clock()
-        reason, come_back_s = Reason.QUOTA_UNKNOWN, UNKNOWN_S
+        reason, come_back_s = RefusalReason.QUOTA_UNKNOWN, UNKNOWN_S
         if shortage is Shortage.NO_ROOM and limit is not None:
             own_s = account.room_in_s(now, limit, call.cost)
             told_s = allowances.room_in_s(name) or math.inf
@@ -99,7 +103,7 @@
             # All of the limit may be held by entries that the allocator doesn't hear
             # yet.
             if room_in_s < wire.MOST_ROOM_S:
-                reason, come_back_s = Reason.OVER_QUOTA, room_in_s
+                reason, come_back_s = RefusalReason.OVER_QUOTA, room_in_s
         age_s = now - allowances.last_received_at
         available = account.available(now, limit) if limit is not None else 0.0
         seen = QuotaSnapshot(
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -16,7 +16,11 @@
 from bambootiller.gateway.server_admission import ServerAdmission
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller.gateway.silence import RunningClock
-from bambootiller_core.gateway.attempts import DEFAULT_RETRY_AFTER_S, Reason, Refusal
+from bambootiller_core.gateway.attempts import (
+    DEFAULT_RETRY_AFTER_S,
+    Refusal,
+    RefusalReason,
+)
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.health import Health
@@ -134,9 +138,9 @@
             return None
         holder = config.customers.holder(call.key)
         if holder is None:
-            return None if call.route.public else Refusal(Reason.UNKNOWN_KEY)
+            return None if call.route.public else Refusal(RefusalReason.UNKNOWN_KEY)
         if holder.name != call.customer.name:
-            return Refusal(Reason.KEY_CHANGED_HANDS, DEFAULT_RETRY_AFTER_S)
+            return Refusal(RefusalReason.KEY_CHANGED_HANDS, DEFAULT_RETRY_AFTER_S)
         return None
 
     def pool(self, backend: Backend) -> ConnectionPool:
--- a/tests/adapter/cover/test_documents.py
+++ b/tests/adapter/cover/test_documents.py
@@ -93,7 +93,7 @@
         route = {**ROUTE, "service": None, "traffic-split": split}
         config = self.directory.config(record({**CONFIG, "routes": [route]}))
         found = config.match("classes.example", "/a/")
-        self.assertEqual([item.service for item in found.shares], ["a", "b"])
+        self.assertEqual([item.service for item in found.service_weights], ["a", "b"])
 
     def test_unknown_fields_are_ignored(self):
         config = self.directory.config(record({**CONFIG, "new-field": 1}))
--- a/tests/adapter/cover/test_key_changes.py
+++ b/tests/adapter/cover/test_key_changes.py
@@ -3,7 +3,7 @@
 import unittest
 from dataclasses import replace
 
-from bambootiller_core.gateway.attempts import Reason
+from bambootiller_core.gateway.attempts import RefusalReason
 from bambootiller_core.gateway.customers import Customer, Customers, digest
 from tests.adapter.common.entry import Bench
 from tests.gateway.common import samples
@@ -28,10 +28,10 @@
         self.assertIsNone(self.refusal((FIRST, (KEY, "k-2"))))
 
     async def test_a_removed_key_ends_the_call(self):
-        self.assertIs(self.refusal((FIRST, ("k-2",))), Reason.UNKNOWN_KEY)
+        self.assertIs(self.refusal((FIRST, ("k-2",))), RefusalReason.UNKNOWN_KEY)
 
     async def test_a_key_given_to_another_customer_ends_the_call(self):
-        self.assertIs(self.refusal((SECOND, (KEY,))), Reason.KEY_CHANGED_HANDS)
+        self.assertIs(self.refusal((SECOND, (KEY,))), RefusalReason.KEY_CHANGED_HANDS)
 
     async def test_a_call_without_a_key_is_not_checked(self):
         self.assertIsNone(self.refusal((FIRST, ("k-2",)), call=samples.call()))
--- a/tests/adapter/failures/test_restarts.py
+++ b/tests/adapter/failures/test_restarts.py
@@ -60,7 +60,7 @@
         health = self.bench.context.service("plain").health
         health.unreachable(loop.time(), self.backend().incarnation)
         self.restart()
-        self.assertFalse(health.avoided(loop.time(), self.backend().incarnation))
+        self.assertFalse(health.is_avoided(loop.time(), self.backend().incarnation))
 
     async def test_a_call_lost_by_the_start_before_may_go_to_the_next(self):
         def crash(request):
--- a/tests/gateway/common/samples.py
+++ b/tests/gateway/common/samples.py
@@ -9,8 +9,8 @@
     GatewayConfig,
     ModelSpec,
     Route,
-    ServiceShare,
     ServiceSpec,
+    ServiceWeight,
 )
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.fleet import Backend, Registration
@@ -20,8 +20,8 @@
 
 
 def route(kind=CallKind.IDEMPOTENT, prefix="/a/", service="plain", **fields):
-    shares = fields.pop("shares", (ServiceShare(service, 1.0),))
-    return Route(prefix, HOST, prefix, kind, shares, **fields)
+    service_weights = fields.pop("service_weights", (ServiceWeight(service, 1.0),))
+    return Route(prefix, HOST, prefix, kind, service_weights, **fields)
 
 
 def model(name="tutor", size_mb=40.0, **fields):
--- a/tests/gateway/cover/test_attempts.py
+++ b/tests/gateway/cover/test_attempts.py
@@ -5,8 +5,8 @@
 from bambootiller_core.gateway.attempts import (
     AttemptOutcome,
     CutOff,
-    Reason,
     Refusal,
+    RefusalReason,
     SendAgain,
     give_up,
     next_action,
@@ -39,7 +39,7 @@
         decision = decide(
             CallKind.IDEMPOTENT, AttemptOutcome.REFUSED, sent(), max_attempts=1
         )
-        self.assertEqual(decision.reason, Reason.REFUSED_BY_BACKEND)
+        self.assertEqual(decision.reason, RefusalReason.REFUSED_BY_BACKEND)
         self.assertEqual(decision.status, 503)
         self.assertIsNotNone(decision.come_back_s)
 
@@ -61,7 +61,7 @@
         decision = decide(
             CallKind.NON_IDEMPOTENT, AttemptOutcome.UNKNOWN, sent(may_have_run=True)
         )
-        self.assertEqual(decision, Refusal(Reason.OUTCOME_UNKNOWN))
+        self.assertEqual(decision, Refusal(RefusalReason.OUTCOME_UNKNOWN))
         self.assertEqual(decision.status, 502)
 
     def test_nor_is_a_stream_that_cannot_be_resumed(self):
@@ -78,7 +78,7 @@
     def test_a_call_refused_elsewhere_keeps_the_doubt_of_its_first_attempt(self):
         progress = Progress(tried=["b1", "b2"], sends=2, may_have_run=True)
         decision = decide(CallKind.IDEMPOTENT, AttemptOutcome.REFUSED, progress)
-        self.assertEqual(decision.reason, Reason.OUTCOME_UNKNOWN)
+        self.assertEqual(decision.reason, RefusalReason.OUTCOME_UNKNOWN)
 
 
 class TestBrokenStreams(unittest.TestCase):
@@ -118,4 +118,4 @@
         decision = decide(
             CallKind.IDEMPOTENT, AttemptOutcome.UNKNOWN, progress, now=9.99
         )
-        self.assertEqual(decision.reason, Reason.OUTCOME_UNKNOWN)
+        self.assertEqual(decision.reason, RefusalReason.OUTCOME_UNKNOWN)
--- a/tests/gateway/cover/test_config.py
+++ b/tests/gateway/cover/test_config.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bambootiller_core.gateway.config import CallKind, ServiceShare, is_newer
+from bambootiller_core.gateway.config import CallKind, ServiceWeight, is_newer
 from tests.gateway.common import samples
 
 
@@ -31,18 +31,22 @@
 
 class TestSplit(unittest.TestCase):
     def test_a_service_is_drawn_by_its_weight(self):
-        shares = (ServiceShare("old", 90), ServiceShare("new", 10))
-        route = samples.route(shares=shares)
+        service_weights = (ServiceWeight("old", 90), ServiceWeight("new", 10))
+        route = samples.route(service_weights=service_weights)
         drawn = [route.pick_service(n / 100) for n in range(100)]
         self.assertEqual(drawn.count("new"), 10)
 
     def test_a_service_without_weight_is_never_drawn(self):
-        shares = (ServiceShare("old", 0), ServiceShare("new", 1))
-        self.assertEqual(samples.route(shares=shares).pick_service(0.0), "new")
+        service_weights = (ServiceWeight("old", 0), ServiceWeight("new", 1))
+        self.assertEqual(
+            samples.route(service_weights=service_weights).pick_service(0.0), "new"
+        )
 
     def test_no_weight_at_all_gives_no_service(self):
-        shares = (ServiceShare("old", 0),)
-        self.assertIsNone(samples.route(shares=shares).pick_service(0.0))
+        service_weights = (ServiceWeight("old", 0),)
+        self.assertIsNone(
+            samples.route(service_weights=service_weights).pick_service(0.0)
+        )
 
 
 class TestPatience(unittest.TestCase):
--- a/tests/gateway/cover/test_health.py
+++ b/tests/gateway/cover/test_health.py
@@ -36,7 +36,7 @@
 
     def test_an_unreachable_one_is_avoided_longer_each_time(self):
         self.health.unreachable(0.0, "a")
-        self.assertTrue(self.health.avoided(0.3, "a"))
-        self.assertFalse(self.health.avoided(0.5, "a"))
+        self.assertTrue(self.health.is_avoided(0.3, "a"))
+        self.assertFalse(self.health.is_avoided(0.5, "a"))
         self.health.unreachable(0.5, "a")
-        self.assertTrue(self.health.avoided(1.2, "a"))
+        self.assertTrue(self.health.is_avoided(1.2, "a"))
--- a/tests/gateway/cover/test_selection.py
+++ b/tests/gateway/cover/test_selection.py
@@ -45,12 +45,12 @@
 
     def test_one_more_goes_elsewhere_while_prompts_are_still_unread_there(self):
         for _ in range(4):
-            self.first.prefill_pending()
+            self.first.prefill_queued()
         self.assertIs(self.choose(), self.next)
 
     def test_it_comes_back_once_they_are_read(self):
         for _ in range(4):
-            self.first.prefill_pending()
+            self.first.prefill_queued()
         for _ in range(4):
             self.first.prefill_done()
         self.assertIs(self.choose(), self.first)
@@ -72,6 +72,6 @@
         chosen = Counter()
         for _ in range(20):
             backend = self.choose()
-            backend.prefill_pending()
+            backend.prefill_queued()
             chosen[backend.instance] += 1
         self.assertLess(max(chosen.values()), 13, chosen)
