--- a/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
+++ b/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
@@ -26,7 +26,7 @@
 import httptools
 
 from bambootiller.gateway.ports import AnswerHead
-from bambootiller.gateway.silence import RunningClock, SilenceTimeout
+from bambootiller.gateway.silence import RunningTimeSource, SilenceTimeout
 
 #: An idle connection is reused only within this fraction of the keep-alive timeout that
 #: the backend server states. Later, a call could cross the server's close, and it would
@@ -84,7 +84,7 @@
 class BackendConnection(asyncio.Protocol):
     """One connection, which carries one call at a time."""
 
-    def __init__(self, running_time: RunningClock) -> None:
+    def __init__(self, running_time: RunningTimeSource) -> None:
         self._running_time = running_time
         #: The running time at which the answer last progressed, and how often it has.
         self.last_received_at = 0.0
--- a/packages/bambootiller/src/bambootiller/gateway/connection_pool.py
+++ b/packages/bambootiller/src/bambootiller/gateway/connection_pool.py
@@ -14,7 +14,7 @@
 from collections import deque
 
 from bambootiller.gateway.backend_connection import BackendConnection
-from bambootiller.gateway.silence import RunningClock, wait_running_time
+from bambootiller.gateway.silence import RunningTimeSource, wait_running_time
 
 #: Timeout for establishing a connection. Seconds of running time.
 CONNECT_TIMEOUT_S = 0.8
@@ -36,7 +36,9 @@
     backend server resets those beyond its limit for all clients together.
     """
 
-    def __init__(self, address: str, max_open: int, running_time: RunningClock) -> None:
+    def __init__(
+        self, address: str, max_open: int, running_time: RunningTimeSource
+    ) -> None:
         self._running_time = running_time
         host, _, port = address.rpartition(":")
         self._host = host
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -16,7 +16,7 @@
 
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller.gateway.knowledge import Knowledge
-from bambootiller.gateway.silence import RunningClock, SilenceDetector
+from bambootiller.gateway.silence import RunningTimeSource, SilenceDetector
 from bambootiller.rpc import bambootiller_pb2 as pb, bambootiller_pb2_grpc as api
 from bambootiller.rpc.channels import Channels
 from bambootiller_core.gateway.document_propagation import (
@@ -214,7 +214,7 @@
     awaited = True
 
     def __init__(
-        self, call: grpc.aio.StreamStreamCall, running_time: RunningClock
+        self, call: grpc.aio.StreamStreamCall, running_time: RunningTimeSource
     ) -> None:
         self._call = call
         self.last_received_at = running_time()
@@ -235,7 +235,7 @@
         knowledge: Knowledge,
         events: EventLog,
         channels: Channels,
-        running_time: RunningClock,
+        running_time: RunningTimeSource,
     ) -> None:
         self._name = name
         self._running_time = running_time
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -15,7 +15,7 @@
 from bambootiller.gateway.quotas import Quotas
 from bambootiller.gateway.server_admission import ServerAdmission
 from bambootiller.gateway.server_limits import ServerLimits
-from bambootiller.gateway.silence import RunningClock
+from bambootiller.gateway.silence import RunningTimeSource
 from bambootiller_core.gateway.attempts import (
     DEFAULT_RETRY_AFTER_S,
     Refusal,
@@ -67,7 +67,7 @@
         rng: random.Random,
         clock: Callable[[], float],
         new_budget: Callable[[], RetryBudget],
-        running_time: RunningClock,
+        running_time: RunningTimeSource,
         quarantine: Quarantine,
         quotas: Quotas,
         server_limits: ServerLimits,
--- a/packages/bambootiller/src/bambootiller/gateway/silence.py
+++ b/packages/bambootiller/src/bambootiller/gateway/silence.py
@@ -9,7 +9,7 @@
 T = TypeVar("T")
 #: Reads the running time of the process, in seconds; see
 #: :mod:`bambootiller_core.gateway.running_clock`.
-RunningClock = Callable[[], float]
+RunningTimeSource = Callable[[], float]
 #: Shortest timer, so that a wait that is almost over doesn't keep the event loop
 #: spinning. Seconds.
 MIN_TIMER_S = 0.005
@@ -52,7 +52,7 @@
     """
 
     def __init__(
-        self, conn: WatchedConnection, seconds: float, running_time: RunningClock
+        self, conn: WatchedConnection, seconds: float, running_time: RunningTimeSource
     ) -> None:
         self._conn = conn
         self._seconds = seconds
@@ -97,7 +97,7 @@
 
 
 async def wait_running_time(
-    running_time: RunningClock, seconds: float, coroutine: Coroutine[Any, Any, T]
+    running_time: RunningTimeSource, seconds: float, coroutine: Coroutine[Any, Any, T]
 ) -> T:
     """Await ``coroutine`` for at most ``seconds`` of running time; raises TimeoutError.
 
--- a/tests/gateway/failures/test_messages.py
+++ b/tests/gateway/failures/test_messages.py
@@ -185,7 +185,7 @@
         self.outgoing.heard(self.peer(complete={"op/": 6, "servers/": 40}))
         change = Changed(Record("op/config", b"12345", 9))
         self.knowledge.learnt(change, "store")
-        self.outgoing._documents.add(0.0, change, turn=0)
+        self.outgoing._documents.add(0.0, change, rank=0)
         self.outgoing._next()
         line = self.events.lines[-1]
         self.assertEqual(
