--- a/packages/bambootiller-core/src/bambootiller_core/gateway/demand_collection.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/demand_collection.py
@@ -1,13 +1,15 @@
-"""How the demand of all entries becomes known to each, without all telling all.
+"""Distributes the total demand to all entries without every process reporting to every
+other.
 
 With dozens of entries and engines there are a thousand streams. If each carried the
-demand for every model in both directions, the small instances would do nothing but read
-it. So two agents of a service collect the whole demand and tell the sum; the others
-hear only of the models that concern their own engine.
-
-Entries choose the collectors by themselves, from the agents that they hear. Where they
-disagree for a moment, the sums are too small for that moment; then loads come later
-than they could, and no promise depends on it.
+demand for every model in both directions, the small instances would spend all their
+time reading it. So two agents of a service collect the demand of all entries and report
+the sum; the other agents receive only the demand for the models that concern their own
+engine.
+
+Each entry chooses the collectors itself, from the agents that it receives messages
+from. While entries disagree, the sums are too small for a moment; loads then start
+later than they could, but no guarantee depends on it.
 """
 
 from __future__ import annotations
@@ -21,24 +23,26 @@
 from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S
 from bambootiller_core.gateway.model_demand import Demand
 
-#: A rate that differs by less than this part of it from what its receiver takes it for
-#: isn't told again: it changes no decision.
+#: A rate that differs by less than this fraction from the receiver's decayed value
+#: isn't reported again: the difference changes no decision.
 CHANGED_FRACTION = 0.1
-#: Callers, and calls without an answer, that weigh less than this aren't told by
-#: themselves, nor that the first of those calls came so many seconds sooner or later.
+#: Changes of callers and of calls without an answer that weigh less than this aren't
+#: reported on their own, nor is a change of less than this many seconds in the time of
+#: the first of these calls.
 CHANGED_CALLS = 0.25
 CHANGED_S = 1.0
-#: So many entries see to loads that no call of their own waits for, and so make plans
-#: without having calls that wait. More would make the same plan for the same end; one
-#: alone would leave all such loads undone until the agents notice its silence.
+#: The number of entries that request loads which none of their own calls waits for, and
+#: that therefore plan even without waiting calls. More of them would only compute the
+#: same plan again; a single one would leave all such loads undone until the agents
+#: detect its failure.
 PLANNER_COUNT = 4
-#: For how many models, times the lists of entries that agents tell, it is kept which
-#: entry sees to them.
+#: Cached results of :func:`responsible_planner`, for combinations of models and entry
+#: lists that agents report.
 PLANNER_CACHE_SIZE = 4096
-#: For how many lists of entries their planners are kept; agents tell a new one as an
-#: entry comes or goes.
+#: Cached results of :func:`planners`; agents report a new entry list when an entry
+#: starts or stops.
 ENTRY_LIST_CACHE_SIZE = 16
-#: One would do; the second is there when the first is lost.
+#: One collector would do; the second is a standby for when the first is lost.
 COLLECTOR_COUNT = 2
 
 
@@ -54,8 +58,9 @@
 def relevant_demands(
     demands: Mapping[str, Demand], state: EngineState | None
 ) -> dict[str, Demand]:
-    """The part of the demand that one agent decides on: of the models that its engine
-    holds or loads. With the wish for a load comes the demand for that model."""
+    """The part of the demand that one agent decides on: for the models that its engine
+    holds or loads. The demand for any other model arrives with the request to load it.
+    """
     if state is None:
         return {}
     names = set(state.holdings)
@@ -69,15 +74,19 @@
     demands: Mapping[str, Demand],
     elapsed_s: float = 0.0,
 ) -> bool:
-    """Whether somebody who was told the one, so long ago, has to be told the other.
+    """Whether a receiver of the first demands, reported ``elapsed_s`` ago, has to be
+    sent the second.
 
-    Both sides let a rate fade with time (:func:`demand.decayed`), so a model that nobody
-    calls any more takes no messages. Told as it faded, each call took two messages a
-    second for a quarter of a minute, on the stream to each engine that held its model.
+    Both sides let a rate decay with time (:func:`demand_tracker.decayed`), so a model
+    without calls causes no messages. When decaying rates were reported, each call
+    caused two messages a second for a quarter of a minute, on the stream to each engine
+    that held its model.
 
-    >>> moved({"tutor": Demand(rate=1.0)}, {"tutor": Demand(rate=0.95)})
+    >>> demands_changed({"tutor": Demand(rate=1.0)}, {"tutor": Demand(rate=0.95)})
     False
-    >>> moved({"tutor": Demand(rate=1.0)}, {"tutor": Demand(rate=1.0)}, elapsed_s=2.0)
+    >>> demands_changed(
+    ...     {"tutor": Demand(rate=1.0)}, {"tutor": Demand(rate=1.0)}, elapsed_s=2.0
+    ... )
     True
     """
     if reported.keys() != demands.keys():
@@ -111,30 +120,30 @@
     return any(_rate_changed(before * left, rate) for before, rate in rates)
 
 
-def _rate_changed(taken_for: float, rate: float) -> bool:
-    return abs(taken_for - rate) > CHANGED_FRACTION * max(taken_for, rate)
+def _rate_changed(assumed: float, rate: float) -> bool:
+    return abs(assumed - rate) > CHANGED_FRACTION * max(assumed, rate)
 
 
 class CollectedDemand:
-    """What the collectors told last, by service.
+    """The latest sums that the collectors reported, by service.
 
     Example::
 
-        totals.told(now, "tutor", "10.0.0.1", wants)
-        wants = totals.of(now, "tutor")
+        totals.reported(now, "tutor", "10.0.0.1", demands)
+        demands = totals.demands(now, "tutor")
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, dict[str, tuple[float, Mapping[str, Demand]]]] = {}
+        self._reported: dict[str, dict[str, tuple[float, Mapping[str, Demand]]]] = {}
 
     def reported(
         self, now: float, service: str, host: str, demands: Mapping[str, Demand]
     ) -> None:
-        """Take over the sum that the collector on ``host`` tells."""
-        self._told.setdefault(service, {})[host] = (now, demands)
+        """Record the sum that the collector on ``host`` reports."""
+        self._reported.setdefault(service, {})[host] = (now, demands)
 
     def demands(self, now: float, service: str) -> dict[str, Demand]:
-        """The demand for each model by the collector that knows of more."""
+        """The demand for each model, the greater value where collectors differ."""
         merged: dict[str, Demand] = {}
         for demands in self._current_reports(now, service):
             merged = merge_max(merged, demands)
@@ -144,14 +153,14 @@
         """The models that calls of any entry wait for, of all services."""
         return {
             model
-            for service in self._told
+            for service in self._reported
             for demands in self._current_reports(now, service)
             for model, demand in demands.items()
             if demand.waiting
         }
 
     def _current_reports(self, now: float, service: str) -> list[Mapping[str, Demand]]:
-        reported = self._told.get(service, {})
+        reported = self._reported.get(service, {})
         for host, (at, _) in list(reported.items()):
             if now - at > AGENT_TIMEOUT_S:
                 del reported[host]
@@ -166,7 +175,7 @@
     for model, demand in second.items():
         held = merged.get(model)
         if held is None or held == demand:
-            # Two collectors mostly tell the same.
+            # The two collectors mostly report the same values.
             merged[model] = demand
             continue
         merged[model] = Demand(
@@ -185,9 +194,9 @@
 
 
 def max_known(first: float | None, second: float | None) -> float | None:
-    """The greater of two counts, where None stands for one that wasn't told.
+    """The greater of two counts, where None stands for a count that wasn't reported.
 
-    >>> most(None, 2.0), most(1.0, 2.0), most(None, None)
+    >>> max_known(None, 2.0), max_known(1.0, 2.0), max_known(None, None)
     (2.0, 2.0, None)
     """
     reported = [count for count in (first, second) if count is not None]
@@ -195,9 +204,9 @@
 
 
 def min_nonzero(first: float, second: float) -> float:
-    """The lesser of two times left, where 0 stands for none.
+    """The lesser of two remaining times, where 0 stands for none.
 
-    >>> sooner(0.0, 2.5), sooner(1.0, 2.5)
+    >>> min_nonzero(0.0, 2.5), min_nonzero(1.0, 2.5)
     (2.5, 1.0)
     """
     return min(first, second) if first and second else max(first, second)
@@ -205,7 +214,7 @@
 
 @lru_cache(ENTRY_LIST_CACHE_SIZE)
 def planners(entries: tuple[str, ...]) -> tuple[str, ...]:
-    """The entries that see to loads which nobody waits for, or which draw on the weight
+    """The entries that request loads which no call waits for, or which use the weight
     store.
 
     >>> planners(("e1",))
@@ -216,6 +225,6 @@
 
 @lru_cache(PLANNER_CACHE_SIZE)
 def responsible_planner(model: str, entries: tuple[str, ...]) -> str | None:
-    """The one of the planners that sees to loads of the model."""
-    # Kept, as it is asked for each load of each plan.
+    """The planner that requests loads of the model; None without planners."""
+    # Cached, because it is called for each load of each plan.
     return rendezvous.first(model, planners(entries))
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/demand_tracker.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/demand_tracker.py
@@ -1,4 +1,4 @@
-"""How much each model is asked for at one entry."""
+"""Measures the demand for each model at one entry."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 
 from bambootiller_core.gateway.model_demand import Demand
 
-#: DemandTracker fades by this factor of e in this time: long enough to see a model that is
-#: asked for once in a few seconds, short enough to follow demand that moves on.
-#: Seconds.
+#: The time constant of the exponential decay of rates, in seconds: long enough to see a
+#: model that is called once in a few seconds, short enough to follow demand that shifts
+#: to other models.
 DECAY_S = 5.0
-#: A call that was refused because its model wasn't there counts as waiting until its
-#: caller comes back: so much later than it was told, but no longer than the other.
-#: Callers come sooner than told if they have little time. Seconds.
+#: A call that was refused because its model wasn't loaded counts as waiting until its
+#: caller is expected back: this many seconds after the retry time that it was given,
+#: but no longer than the maximum below. Callers with little time left come back sooner
+#: than that.
 RETURN_SLACK_S = 0.5
 MAX_RETURN_WAIT_S = 3.0
-#: A call that waits has waited for so long at least: 0 stands for none. Seconds.
+#: The least waiting time of a waiting call, in seconds, as 0 means that no call waits.
 MIN_WAIT_S = 0.001
-#: Below this rate a model isn't told of any more. Calls a second.
+#: Calls per second below which the demand for a model is no longer reported.
 MIN_RATE = 0.005
 
 
 @dataclass(frozen=True, slots=True)
 class _Waiting:
-    """A call that waits since ``since``; served after ``due`` it is late."""
+    """A call that has waited since ``since``; it is late if it is served after
+    ``due``."""
 
     since: float
     weight: float
@@ -35,52 +37,52 @@
 
 @dataclass(slots=True)
 class _Unserved:
-    """Calls that ended without an answer since ``since``, by their weights."""
+    """The total weight of the calls that ended without an answer since ``since``."""
 
     since: float
     weight: float
 
 
 class DemandTracker:
-    """Calls a second and calls waiting, by model, each call by its weight.
+    """Tracks calls per second and waiting calls by model, each call by its weight.
 
     Example::
 
-        demand.asked(now, "tutor")
-        demand.begin_waiting(now, "tutor")
+        demand_tracker.asked(now, "tutor")
+        demand_tracker.begin_waiting(now, "tutor")
         ...
-        demand.end_waiting(now, "tutor")
+        demand_tracker.end_waiting(now, "tutor")
     """
 
     def __init__(self) -> None:
         self._rates: dict[str, tuple[float, float]] = {}
-        self._missed: dict[str, tuple[float, float]] = {}
+        self._adapter_misses: dict[str, tuple[float, float]] = {}
         self._waiting: dict[str, list[_Waiting]] = {}
         self._refused: dict[str, deque[tuple[float, float]]] = {}
         self._returning: dict[str, list[tuple[float, float]]] = {}
         self._unserved: dict[str, _Unserved] = {}
 
     def asked(self, now: float, model: str, weight: float = 1.0) -> None:
-        """A call asks for the model."""
+        """Record a call for the model."""
         rate = _rate(self._rates, now, model) + weight / DECAY_S
         self._rates[model] = (rate, now)
 
     def adapter_missed(self, now: float, model: str, weight: float = 1.0) -> None:
-        """A call finds its adapter at none of the engines that hold the model."""
-        rate = _rate(self._missed, now, model) + weight / DECAY_S
-        self._missed[model] = (rate, now)
+        """Record a call whose adapter is at none of the engines that hold the model."""
+        rate = _rate(self._adapter_misses, now, model) + weight / DECAY_S
+        self._adapter_misses[model] = (rate, now)
 
     def begin_waiting(
         self, now: float, model: str, weight: float = 1.0, due: float = 0.0
     ) -> None:
-        """A call begins to wait for the model to be loaded; it is late if it is served
-        after ``due``."""
+        """Record that a call starts to wait for the model to be loaded; it is late if
+        it is served after ``due``."""
         self._waiting.setdefault(model, []).append(_Waiting(now, weight, due))
 
     def end_waiting(
         self, since: float, model: str, weight: float = 1.0, due: float = 0.0
     ) -> None:
-        """The call that began to wait at ``since`` waits no more."""
+        """Record that the call which started to wait at ``since`` waits no longer."""
         waiting = self._waiting[model]
         waiting.remove(_Waiting(since, weight, due))
         if not waiting:
@@ -88,17 +90,17 @@
 
     @property
     def has_waiting_calls(self) -> bool:
-        """Whether a call waits for a model now."""
+        """Whether any call is waiting for a model."""
         return bool(self._waiting)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no model has been asked for lately."""
+        """Whether there are no recent calls for any model."""
         return not self._rates and not self._waiting
 
     def unserved(self, since: float, model: str, weight: float = 1.0) -> None:
-        """The call that came at ``since`` has ended without an answer, refused or left
-        by its caller: the model didn't come in time."""
+        """Record that the call that arrived at ``since`` ended without an answer,
+        refused or abandoned by its caller, because the model wasn't loaded in time."""
         found = self._unserved.setdefault(model, _Unserved(since, 0.0))
         found.since = min(found.since, since)
         found.weight += weight
@@ -111,8 +113,9 @@
         weight: float = 1.0,
         returns_in_s: float | None = None,
     ) -> None:
-        """A call was refused because the model isn't there in time; its caller was told
-        when to come back, and is expected in ``returns_in_s``, None if not at all."""
+        """Record that a call was refused because the model couldn't be loaded in time.
+        ``come_back_s`` is the retry time that its caller was given, ``returns_in_s``
+        when it is expected back, None if it isn't."""
         due_in_s = min(come_back_s + RETURN_SLACK_S, MAX_RETURN_WAIT_S)
         due = self._refused.setdefault(model, deque())
         due.append((now + due_in_s, weight))
@@ -121,8 +124,8 @@
             self._returning.setdefault(model, []).append((back_by, weight))
 
     def waiting(self, now: float, model: str) -> int:
-        """The calls that wait for the model, by their weights; those that were refused
-        and are due back count too."""
+        """The number of calls waiting for the model, by their weights; refused calls
+        whose callers are expected back count too."""
         counted = sum(call.weight for call in self._waiting.get(model, ()))
         counted += self._due_to_return(now, model)
         return max(1, round(counted)) if counted else 0
@@ -130,8 +133,8 @@
     def demands(
         self, now: float, holders: Mapping[str, int], copies: Mapping[str, int]
     ) -> dict[str, Demand]:
-        """The demand for each model asked for lately, with the numbers of engines that
-        hold it, and that have its weights."""
+        """The demand for each model with recent calls; ``holders`` and ``copies`` are
+        the numbers of engines that hold the model and that have its weights."""
         found = {}
         for model in list(self._rates):
             rate = _rate(self._rates, now, model)
@@ -143,7 +146,7 @@
                 del self._rates[model]
                 self._refused.pop(model, None)
                 self._returning.pop(model, None)
-                self._missed.pop(model, None)
+                self._adapter_misses.pop(model, None)
                 self._unserved.pop(model, None)
                 continue
             if holders.get(model):
@@ -156,7 +159,7 @@
                 max(waited_s, default=0.0),
                 copies.get(model, 0),
                 min(left_s, default=0.0),
-                _rate(self._missed, now, model),
+                _rate(self._adapter_misses, now, model),
                 unserved.weight if unserved is not None else 0.0,
                 now - unserved.since if unserved is not None else 0.0,
                 self._callers(now, model),
@@ -164,7 +167,7 @@
         return found
 
     def _callers(self, now: float, model: str) -> float:
-        """Those who wait and those expected back, by their weights."""
+        """The callers who wait and those expected back, by their weights."""
         returning = self._returning.get(model)
         if returning is not None:
             returning[:] = [item for item in returning if item[0] >= now]
@@ -186,9 +189,9 @@
 
 
 def decayed(rate: float, seconds: float) -> float:
-    """What is left of a rate so long after its last call.
+    """What remains of a rate some seconds after its last call.
 
-    >>> faded(1.0, 0.0)
+    >>> decayed(1.0, 0.0)
     1.0
     """
     return rate * math.exp(-seconds / DECAY_S)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/late_orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/late_orders.py
@@ -1,13 +1,13 @@
-"""Orders that an engine may still carry out though it has started anew since.
+"""Orders that an engine may still carry out although it has restarted since.
 
 An order without an answer may arrive seconds later. It names the instance and the
-number of orders accepted before it. An engine that has started again under its name
-takes it, at the moment at which its own count, begun anew, is that number. The order
-was decided on what the start before held: on top of what the new start holds, its model
-may be more than fits, and the engine crashes.
+number of orders accepted before it. An engine that has restarted under the same name
+accepts it once its own count, which started again from 0, equals that number. The order
+was decided on what the previous start held; in addition to what the new start holds,
+its model may exceed the memory, and the engine crashes.
 
-Copies that were overtaken by an answered one count as well: to the new start they are
-as good as the first.
+Copies of an order that was answered meanwhile count as well: for the new start they are
+as valid as the first.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 
 from bambootiller_core.gateway.order_messages import EngineOrder, OrderKind
 
-#: An order that hasn't arrived by then won't. The platform says that it may take
-#: seconds; this is as long as the product's own agents wait after a restart by default.
-#: Meanwhile an order that leaves no room for a late one is put off. Seconds.
+#: Seconds after which an order can no longer arrive. The platform's documentation says
+#: that it may take seconds; this equals the default time for which the product's own
+#: agents wait after a restart. Meanwhile an order that leaves no room for a late one is
+#: postponed.
 MAX_ORDER_DELAY_S = 10.0
 
 
@@ -30,13 +31,13 @@
 
 
 class LateOrders:
-    """The orders to starts before the present one that may still arrive.
+    """The orders to earlier starts that may still arrive.
 
     Example::
 
-        late.unanswered(now, order)
-        late.engine_restarted()
-        for order in late.loads_after(now, accepted=4): ...
+        late_orders.unanswered(now, order)
+        late_orders.engine_restarted()
+        for order in late_orders.loads_after(now, accepted=4): ...
     """
 
     def __init__(self) -> None:
@@ -44,7 +45,7 @@
         self._to_earlier_starts: list[_Unanswered] = []
 
     def unanswered(self, now: float, order: EngineOrder) -> None:
-        """An order to the present start got no answer."""
+        """Record that an order to the current start got no answer."""
         self._to_current_start = [
             item
             for item in self._to_current_start
@@ -53,13 +54,14 @@
         self._to_current_start.append(_Unanswered(order, now))
 
     def engine_restarted(self) -> None:
-        """What was on its way to the present start may reach the next one."""
+        """Record a restart: orders on their way to the previous start may reach the new
+        one."""
         self._to_earlier_starts += self._to_current_start
         self._to_current_start = []
 
     def loads_after(self, now: float, accepted: int) -> Iterator[EngineOrder]:
         """The late loads that can take effect once the engine has accepted so many
-        orders: one that names that number, and those that may follow it."""
+        orders: those with this number, and those that may follow them."""
         self._to_earlier_starts = [
             item
             for item in self._to_earlier_starts
@@ -73,11 +75,12 @@
                 yield order
 
     def consecutive_before(self, now: float, number: int) -> list[EngineOrder]:
-        """The late orders that a start which nobody orders yet may carry out one after
-        the other, until it has accepted ``number`` of them; none if one is missing.
+        """The late orders that a start without orders from its agent may carry out one
+        after the other, until it has accepted ``number`` of them; empty if one of the
+        numbers is missing.
 
-        They were meant for different starts, so none of those held them all. If the
-        agent that knows of them ends together with the engine, nobody shuts them out.
+        They were sent to different starts, so no start held all of their models. If the
+        agent that knows of them ends together with the engine, nothing rules them out.
         """
         orders = {
             item.order
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
@@ -1,96 +1,95 @@
-"""The demand for one model, and how it compares with that for another."""
+"""The demand for one model, and how it compares with the demand for another."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-#: What a call that waits now adds to a model's demand, against its calls per second. If
-#: it were several, a single caller would have a busy model unloaded that has no call
-#: for a moment, and all of its callers would wait for it to come back.
+#: What a waiting call adds to a model's demand, in calls per second. With a weight of
+#: several, a single caller could have a busy model unloaded that has no call for a
+#: moment, and all of its callers would wait for it to be loaded again.
 WAITING_WEIGHT = 1.0
-#: A model that nobody could be served of for this long counts as if one more of its
-#: callers waited. So none is passed over for ever by others that are asked for more.
-#: Seconds.
+#: A model that nobody has been served of for this many seconds counts as if one more of
+#: its callers waited, so that no model is passed over forever in favor of models with
+#: more demand.
 UNSERVED_AGING_S = 4.0
-#: The calls to come that a load from the weight store is for, besides the callers who
-#: are there: as many as have come lately in this time. Seconds.
+#: A load from the weight store also serves calls that arrive later: as many as arrived
+#: in this many seconds recently.
 FORECAST_S = 5.0
-#: A model that nobody could be served of for this long is worth twice the store's time.
-#: So none waits for ever behind others that are asked for more. Seconds.
+#: A model that nobody has been served of for this many seconds is worth twice as much
+#: of the store's time, so that none waits forever behind models with more demand.
 STORE_AGING_S = 10.0
-#: A caller who is held for a second because its model is next counts as so many more:
-#: if another went first it would have waited for nothing.
+#: Each second for which a caller has been held because its model is next counts as this
+#: many more callers: if another model went first, the caller would have waited for
+#: nothing.
 WAITED_SECOND_VALUE = 3.0
-#: What keeping a model is worth without any demand for it, so that of models nobody
-#: asks for the one that several engines hold goes first. Calls a second.
+#: The value of keeping a model without any demand, in calls per second, so that of
+#: several such models the one that the most engines hold is evicted first.
 MIN_KEEP_VALUE = 0.01
-#: How much it matters to keep a model of which another engine has a copy, against one
-#: whose only copy is here.
+#: How much it matters to keep a model of which another engine has a copy, relative to a
+#: model whose only copy is here.
 COPIED_KEEP_FACTOR = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """The demand for one model, of one entry or of all."""
+    """The demand for one model, at one entry or at all entries together."""
 
-    #: Calls a second.
+    #: Calls per second.
     rate: float = 0.0
-    #: Calls that wait now, and refused ones whose callers are due back.
+    #: Calls waiting now, and refused calls whose callers are expected back.
     waiting: int = 0
-    #: Engines that hold it.
+    #: Engines that hold the model.
     holders: int = 0
-    #: How long the first of the calls that wait now has waited, 0 if none does; in
-    #: seconds.
+    #: Seconds for which the oldest waiting call has waited, 0 if none waits.
     oldest_s: float = 0.0
-    #: Engines that have its weights, those that hold it included.
+    #: Engines that have its weights, including those that hold the model.
     copies: int = 0
-    #: How long the next of the waiting calls to be late is still in time, 0 if none is.
-    #: Seconds.
+    #: Seconds until the next waiting call exceeds its deadline, 0 if none is in time.
     in_time_s: float = 0.0
-    #: Calls a second that find their adapter at no engine.
+    #: Calls per second whose adapter no engine holds.
     adapter_rate: float = 0.0
-    #: Calls that ended without an answer since an engine held it last.
+    #: Calls that ended without an answer since an engine last held the model.
     unserved: float = 0.0
-    #: How long ago the first of these came. Seconds.
+    #: Seconds since the first of these calls.
     unserved_s: float = 0.0
-    #: Callers who wait now or are expected back after a refusal, None if whoever told
-    #: the demand doesn't count them.
+    #: Callers who wait now or are expected back after a refusal; None if the reporting
+    #: process doesn't count them.
     callers: float | None = None
 
     @property
     def awaited(self) -> float:
-        """The calls that a load is for, those among them that were refused, and the
-        longer for the time that these have come in vain."""
+        """The calls that a load would serve. Calls that ended without an answer are
+        among them, and count for more the longer such calls have been coming."""
         if not self.unserved:
             return self.waiting
         return max(self.waiting, self.unserved + self.unserved_s / UNSERVED_AGING_S)
 
     @property
     def value(self) -> float:
-        """How much a load is worth, to compare models."""
+        """How much a load is worth, for comparison between models."""
         return self.rate + WAITING_WEIGHT * self.awaited
 
     @property
     def expected_callers(self) -> float:
-        """The callers who are there for a load from the weight store that begins now:
-        those who wait, and those who come back. Where they weren't counted, the calls
-        that ended without an answer stand for them."""
+        """The callers that a load from the weight store which starts now can serve:
+        those who wait, and those who are expected back. If they weren't counted, the
+        calls that ended without an answer stand for them."""
         if self.callers is None:
             return max(self.waiting, self.unserved)
         return self.callers
 
     @property
     def aged_callers(self) -> float:
-        """The same, and the more the longer nobody has been served."""
+        """The expected callers, weighted by how long nobody has been served."""
         return self.expected_callers * self._aging
 
     @property
     def store_load_value(self) -> float:
-        """How much a turn of the weight store is worth for the model, to compare those
+        """How much a load from the weight store is worth, for comparison between models
         that no engine has a copy of.
 
-        It is for callers to be: those who have left count for nothing, however many
-        they were.
+        It counts future callers only: those who have given up count for nothing,
+        however many they were.
         """
         to_come = FORECAST_S * self.rate
         return (
@@ -105,10 +104,10 @@
 
     @property
     def value_per_holder(self) -> float:
-        """How much it matters that one engine keeps the model. Every further engine
-        that holds it as well makes it matter far less, and one that could load it from
-        a copy somewhat less: unloaded for a load that takes long, a model with its only
-        copy there can't be had at all meanwhile."""
+        """How much it matters that one engine keeps the model. It matters far less with
+        each further engine that holds the model, and somewhat less if an engine could
+        load it from a copy: a model whose only copy is at an engine can't be used at
+        all while a long load blocks that engine."""
         return self.value_with_holders(self.holders)
 
     def value_with_holders(self, holders: int) -> float:
@@ -117,5 +116,5 @@
         return others * (MIN_KEEP_VALUE + self.value) / max(1, holders) ** 2
 
 
-#: What a model that nobody asks for is wanted.
+#: The demand for a model without calls.
 NO_DEMAND = Demand()
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_memory.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_memory.py
@@ -1,4 +1,4 @@
-"""How much of an engine's memory is used, or may be."""
+"""How much of an engine's memory is in use, or may be."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     loading: str | None,
     unconfirmed: EngineOrder | None,
 ) -> float:
-    """Megabytes held, on their way in, or possibly brought by an unsettled order.
+    """Megabytes held, being loaded, or possibly loaded by an unconfirmed order.
 
-    ``loading`` is a model known to be on its way. A model that is being unloaded counts
+    ``loading`` is a model known to be loading. A model that is being unloaded counts
     until a report no longer shows it.
     """
     total = 0.0
@@ -72,8 +72,8 @@
 
 def _size(engine: EngineSpec, model: str) -> float:
     spec = engine.models.get(model)
-    # A model that the configuration doesn't list any more still fills memory. How much
-    # isn't known, so it counts as all.
+    # A model that is no longer in the configuration still occupies memory. Its size
+    # isn't known, so it counts as all of the memory.
     return engine.memory_mb if spec is None else spec.size_mb
 
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -117,7 +117,7 @@
         self._engine = engine
 
     def load_requested(self, now: float, request: LoadRequest, entry: str = "") -> None:
-        """Record that an entry has calls that need_mb the model or adapter."""
+        """Record that an entry has calls that need the model or adapter."""
         self._entry_reports.load_requested(now, request, entry)
 
     def requested_by(self, order: EngineOrder) -> str:
@@ -449,7 +449,7 @@
         adapter: str,
         wanted_for: str = "",
     ) -> EngineOrder | None:
-        """The order, or None if it would leave too little memory for a late one."""
+        """The order, or None if it would leave too little room for a late one."""
         report = self._report
         order = EngineOrder(kind, model, adapter, report.accepted, wanted_for)
         late = list(self._late_orders.loads_after(now, order.expected + 1))
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/running_clock.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/running_clock.py
@@ -1,50 +1,50 @@
-"""How long a process has run, as against how long the clock has.
+"""Measures how long a process has run, as opposed to how long the clock has.
 
-A process that is starved of its processor, or stopped for a while, doesn't look at its
-sockets. What others sent meanwhile lies there unread. Measured by the clock alone,
-everybody else has then been silent: backend servers, agents, other entries, the store.
-Streams are given up although their events have come, and all connections are opened
-anew, which costs the process the little time that it gets.
+A process that gets no processor time, or is stopped for a while, doesn't read its
+sockets, and messages that arrive meanwhile stay unread. Measured by the clock alone,
+all others have then been silent: backend servers, agents, other entries, the key-value
+store. Streams would be given up although their events have arrived, and all connections
+opened again, which costs the process the little processor time that it gets.
 
-So whoever judges the silence of others measures it in the time during which this
-process could have heard them.
+So timeouts on the silence of others are measured in the time during which this process
+could have received messages.
 
 Example::
 
     running = RunningClock(now)
     timers.every("running time", TICK_S, now, running.tick)
-    began = running.ran(now)
+    started = running.running_time(now)
     ...
-    silent_s = running.ran(later) - began
+    silent_s = running.running_time(later) - started
 """
 
 from __future__ import annotations
 
-#: A process that runs looks at the clock this often. Seconds; an eighth of the shortest
-#: silence that is judged.
+#: Seconds between readings of the clock while the process runs; an eighth of the
+#: shortest silence that is measured.
 TICK_S = 0.1
-#: A look that comes no later than this is in order: timers of a process that runs fire
-#: some milliseconds late, more while it carries out one piece of work. Seconds.
+#: Delay of a tick that isn't a stall, in seconds: timers of a running process fire some
+#: milliseconds late, and later during one long piece of work.
 TICK_TOLERANCE_S = 0.03
 
 
 class RunningClock:
-    """A clock that stands still while its process does."""
+    """A clock that stops while its process doesn't run."""
 
     def __init__(self, now: float) -> None:
         self._last_tick = now
         self._stalled_s = 0.0
 
     def tick(self, now: float) -> float:
-        """The process runs. Returns for how long it had stood still before, 0 if it
-        hadn't. Seconds."""
+        """Record that the process runs. Returns the seconds for which it had stalled
+        before, 0 if it hadn't."""
         late_s = self._late_s(now)
         self._stalled_s += late_s
         self._last_tick = now
         return late_s
 
     def running_time(self, now: float) -> float:
-        """A reading of the clock, in seconds. Only differences mean something."""
+        """A reading of the clock, in seconds. Only differences are meaningful."""
         return now - self._stalled_s - self._late_s(now)
 
     def _late_s(self, now: float) -> float:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/unserved.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/unserved.py
@@ -1,9 +1,9 @@
-"""Models and adapters that are asked for and not served.
+"""Models and adapters that are called but not served.
 
-A caller that is refused comes back, is refused again and goes; each of these calls by
-itself looks like any other that came at a bad moment. That the same model has been
-refused to everybody for a minute shows only in how long ago its first call came that
-nobody has served since.
+A caller that is refused comes back, is refused again and gives up; each of these calls
+alone looks like any other that arrived at a bad moment. That a model has been refused
+to everybody for a minute shows only in the age of its first call since a call was last
+served.
 
 Example::
 
@@ -16,9 +16,9 @@
 
 from dataclasses import dataclass
 
-#: A model that nobody has asked for this long isn't asked for any more. Seconds.
+#: Seconds without a call after which a model no longer counts as called.
 RECENT_CALL_S = 60.0
-#: For how many models and adapters it is kept; those asked for last stay.
+#: The most models and adapters that are tracked; those called last are kept.
 MAX_TRACKED = 4096
 
 
@@ -30,14 +30,14 @@
 
 
 class UnservedTracker:
-    """The models and adapters of which calls of one entry ended without an answer since
-    one was served last; the adapter is empty where a call named none."""
+    """The models and adapters of which calls at one entry ended without an answer since
+    one was last served; the adapter is empty for calls that name none."""
 
     def __init__(self) -> None:
         self._unserved_calls: dict[tuple[str, str], _UnservedCalls] = {}
 
     def refused(self, now: float, model: str, adapter: str) -> None:
-        """A call for it ended without an answer."""
+        """Record that a call ended without an answer."""
         key = (model, adapter)
         unserved_calls = self._unserved_calls.pop(key, None)
         if unserved_calls is None or now - unserved_calls.last > RECENT_CALL_S:
@@ -49,12 +49,12 @@
             del self._unserved_calls[next(iter(self._unserved_calls))]
 
     def served(self, model: str, adapter: str) -> None:
-        """A call for it was served."""
+        """Record that a call was served."""
         self._unserved_calls.pop((model, adapter), None)
 
     def count(self, now: float, older_than_s: float) -> int:
-        """How many have had no call served for so long, though one came before that and
-        calls still come."""
+        """How many have had no call served for so long, although calls came before that
+        and still come."""
         return sum(
             now - unserved_calls.since >= older_than_s
             and now - unserved_calls.last <= RECENT_CALL_S
@@ -62,7 +62,7 @@
         )
 
     def oldest_s(self, now: float) -> float:
-        """How long ago the first of these calls came, 0 if there is none. Seconds."""
+        """Seconds since the first of these calls, 0 if there is none."""
         ages = [
             now - unserved_calls.since
             for unserved_calls in self._unserved_calls.values()
