--- a/packages/bambootiller-core/src/bambootiller_core/gateway/initial_discovery.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/initial_discovery.py
@@ -35,7 +35,7 @@
         self._listed_changed_at: float | None = None
         #: When that number, or the number of engines with a report, last changed.
         self._changed_at: float | None = None
-        self._first_heard_at: float | None = None
+        self._first_report_at: float | None = None
 
     def is_complete(
         self, now: float, backends: Collection[Backend], quiet_s: float
@@ -48,19 +48,19 @@
         """
         if self._complete:
             return True
-        heard = sum([backend.engine is not None for backend in backends])
-        counts = (len(backends), heard)
+        reported = sum([backend.engine is not None for backend in backends])
+        counts = (len(backends), reported)
         if self._listed_changed_at is None or counts[0] != self._counts[0]:
             self._listed_changed_at = now
         if self._changed_at is None or counts != self._counts:
             self._counts, self._changed_at = counts, now
-        if heard and self._first_heard_at is None:
-            self._first_heard_at = now
-        all_heard = 0 < len(backends) == heard
-        is_settled = all_heard and now - self._listed_changed_at >= quiet_s
+        if reported and self._first_report_at is None:
+            self._first_report_at = now
+        all_reported = 0 < len(backends) == reported
+        is_settled = all_reported and now - self._listed_changed_at >= quiet_s
         is_stalled = now - self._changed_at >= MAX_STALL_S
         elapsed_s = (
-            now - self._first_heard_at if self._first_heard_at is not None else 0.0
+            now - self._first_report_at if self._first_report_at is not None else 0.0
         )
         self._complete = is_settled or is_stalled or elapsed_s >= MAX_DISCOVERY_S
         return self._complete
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -110,7 +110,7 @@
 
     ``store_loads`` is how many loads the weight store serves at full speed; those that
     begin beyond it take longer. ``left_s`` is when the load under way at an engine
-    ends, ``ends_elsewhere`` when those end, in seconds, that draw on the weight store
+    ends, ``other_load_ends`` when those end, in seconds, that draw on the weight store
     at engines which can't be planned with. ``allows_probe``: whether the store may be
     asked for one more than it is known to serve. ``cooling_down`` are models and engines that
     no load from the store is planned for.
@@ -121,7 +121,7 @@
         engine: EngineSpec,
         store_loads: int,
         left_s: Callable[[Backend], float] | None = None,
-        ends_elsewhere: Collection[float] = (),
+        other_load_ends: Collection[float] = (),
         allows_probe: bool = False,
         cooling_down: Collection[tuple[str, str]] = (),
     ) -> None:
@@ -129,7 +129,7 @@
         #: How many loads the weight store is taken to serve at full speed.
         self.store_loads = store_loads
         self._left_s = left_s or _reported_left_s
-        self._ends_elsewhere = ends_elsewhere
+        self._other_load_ends = other_load_ends
         self._allows_probe = allows_probe
         self._cooling_down = cooling_down
         #: How many loads draw on the weight store at the time of the last plan.
@@ -165,7 +165,7 @@
         self._copy_counts = copies = self._survey_fleet(now, known, demands)
         plan = self._loads_in_progress(known)
         store_ends = [load.ready_in_s for load in plan.values() if load.from_store]
-        store_ends += self._ends_elsewhere
+        store_ends += self._other_load_ends
         self.store_loads_under_way = len(store_ends)
         order = prioritize_loads(self._engine, now, known, copies, demands, plan)
         order = [item for item in order if item[0].size_mb <= self._engine.memory_mb]
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -77,13 +77,13 @@
     have been the first to start.
     """
 
-    began: float
+    started_at: float
     running_before: int
     size: int = 0
     at_full_speed: int = 0
 
     @property
-    def most_under_way(self) -> int:
+    def slowest_position(self) -> int:
         """The number of loads under way when the slowest load of the group started,
         itself included: the lowest number that agrees with the loads that have ended.
         """
@@ -97,7 +97,7 @@
     """A load under way. ``position`` is 1 plus the loads under way when it started."""
 
     nominal_s: float
-    began: float
+    started_at: float
     seen_at: float
     position: int
     group: _Group
@@ -139,7 +139,7 @@
         if tracked is None:
             return loading.left_s
         seconds = self._expected_s(tracked)
-        left = tracked.began + seconds - now
+        left = tracked.started_at + seconds - now
         return max(left, OVERRUN_FRACTION * seconds, loading.left_s)
 
     def observe(
@@ -162,7 +162,7 @@
                     now, key, engine.models[loading.model].load_s, loading
                 )
         self._load_is_overdue = any(
-            now - tracked.began > tracked.nominal_s
+            now - tracked.started_at > tracked.nominal_s
             for tracked in self._tracked.values()
         )
         self._lower_estimate()
@@ -171,11 +171,11 @@
         )
         self._may_probe = now >= self._probe_not_before
 
-    def ends_elsewhere(self, now: float, known: Collection[str]) -> list[float]:
+    def other_load_ends(self, now: float, known: Collection[str]) -> list[float]:
         """Return in how many seconds the loads end that are under way at engines other
         than the ``known`` ones. The store serves these loads all the same."""
         return [
-            max(0.0, tracked.began + self._expected_s(tracked) - now)
+            max(0.0, tracked.started_at + self._expected_s(tracked) - now)
             for (incarnation, _), tracked in self._tracked.items()
             if incarnation.instance not in known
         ]
@@ -204,7 +204,7 @@
             return False
         if backend.agent_responsive(now):
             return False
-        return now < tracked.began + (1.0 + OVERRUN_FRACTION) * self._expected_s(
+        return now < tracked.started_at + (1.0 + OVERRUN_FRACTION) * self._expected_s(
             tracked
         )
 
@@ -256,19 +256,19 @@
         self, now: float, key: _Key, nominal_s: float, loading: Loading
     ) -> None:
         group = self._group
-        if group is None or now - group.began > SIMULTANEOUS_S:
+        if group is None or now - group.started_at > SIMULTANEOUS_S:
             group = self._group = _Group(now, len(self._tracked))
         group.size += 1
         position = len(self._tracked) + 1
-        began = now
+        started_at = now
         if loading.left_s <= OVERRUN_FRACTION * nominal_s:
             # The load was under way before this process first observed it, and is
             # overdue.
-            began -= nominal_s
-        self._tracked[key] = _TrackedLoad(nominal_s, began, now, position, group)
+            started_at -= nominal_s
+        self._tracked[key] = _TrackedLoad(nominal_s, started_at, now, position, group)
 
     def _learn_from(self, tracked: _TrackedLoad) -> None:
-        seconds = tracked.seen_at - tracked.began
+        seconds = tracked.seen_at - tracked.started_at
         at_full_speed = seconds <= FULL_SPEED_RATIO * tracked.nominal_s
         ran_fully = seconds >= tracked.nominal_s / FULL_SPEED_RATIO
         if ran_fully and at_full_speed:
@@ -281,9 +281,9 @@
         lower the number of loads at full speed that explains their duration."""
         bounds = []
         for tracked in self._tracked.values():
-            seconds = tracked.seen_at - tracked.began
+            seconds = tracked.seen_at - tracked.started_at
             if seconds > SLOW_RATIO * tracked.nominal_s:
-                most = tracked.group.most_under_way
+                most = tracked.group.slowest_position
                 bounds.append(most * tracked.nominal_s / seconds)
         if not bounds:
             return
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
@@ -57,7 +57,7 @@
 class _Load:
     """A load under way or planned; times are in seconds from now."""
 
-    begins: float
+    starts: float
     ends: float
 
 
@@ -87,12 +87,12 @@
         oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
     ) -> tuple[float, float]:
         """Plan one more load. Returns in how many seconds it starts and ends."""
-        begins, ready = self.preview(load_s, oversubscription)
-        self._loads.append(_Load(begins, ready))
+        starts, ready = self.preview(load_s, oversubscription)
+        self._loads.append(_Load(starts, ready))
         # The store may serve a probe first and slow down the load planned here, so no
         # probe starts after it.
         self._allow_probe = False
-        return begins, ready
+        return starts, ready
 
     def can_start(
         self,
@@ -112,8 +112,8 @@
         oversubscription: Oversubscription = Oversubscription.MUST_QUEUE,
     ) -> tuple[float, float]:
         """Return what :meth:`add` would, without planning the load."""
-        begins, ends, _ = self._schedule(load_s, oversubscription)
-        return begins, ends
+        starts, ends, _ = self._schedule(load_s, oversubscription)
+        return starts, ends
 
     def start_reason(
         self,
@@ -127,21 +127,21 @@
     def _schedule(
         self, load_s: float, oversubscription: Oversubscription
     ) -> tuple[float, float, StartReason]:
-        begins = self._next_free()
-        if begins <= 0:
-            return begins, begins + load_s, StartReason.FREE
+        starts = self._next_free()
+        if starts <= 0:
+            return starts, starts + load_s, StartReason.FREE
         under_way = self._under_way(0.0)
         slowed_s = load_s * max(1.0, (under_way + 1) / self._capacity)
         can_probe = self._allow_probe and oversubscription >= Oversubscription.MAY_PROBE
         if can_probe and under_way == len(self._loads) <= self._capacity:
             # No other load is waiting.
-            if begins > MIN_PROBE_WAIT_FRACTION * load_s:
+            if starts > MIN_PROBE_WAIT_FRACTION * load_s:
                 return 0.0, slowed_s, StartReason.PROBE
-        is_sooner = slowed_s + MIN_GAIN_S <= begins + load_s
+        is_sooner = slowed_s + MIN_GAIN_S <= starts + load_s
         can_oversubscribe = oversubscription is Oversubscription.MAY_OVERSUBSCRIBE
         if can_oversubscribe and is_sooner and slowed_s <= MAX_SLOWDOWN * load_s:
             return 0.0, slowed_s, StartReason.OVERSUBSCRIBED
-        return begins, begins + load_s, StartReason.QUEUED
+        return starts, starts + load_s, StartReason.QUEUED
 
     def _next_free(self) -> float:
         ends = sorted([load.ends for load in self._loads])
@@ -151,4 +151,4 @@
         return ends[-1]
 
     def _under_way(self, at: float) -> int:
-        return sum([load.begins <= at < load.ends for load in self._loads])
+        return sum([load.starts <= at < load.ends for load in self._loads])
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -218,7 +218,7 @@
                 service.engine,
                 concurrency.loads,
                 remaining_time(concurrency, now),
-                concurrency.ends_elsewhere(now, known),
+                concurrency.other_load_ends(now, known),
                 concurrency.allows_probe and self._asks.may_probe(now, service.name),
                 self._asks.cooling_down(now, service.name),
             )
--- a/tests/gateway/cover/test_moving.py
+++ b/tests/gateway/cover/test_moving.py
@@ -72,7 +72,7 @@
         self.spec = samples.engine(*map(samples.model, names))
         demands = {**BUSY, "clerk": AWAITED, "new": Demand(0.1, 0)}
         for ends_in_s in ([], [9.0]):
-            planner = Planner(self.spec, 1, ends_elsewhere=ends_in_s)
+            planner = Planner(self.spec, 1, other_load_ends=ends_in_s)
             plan = planner.plan(NOW, [self.first(), self.second()], demands)
             self.assertEqual(plan["clerk"].instance, "b1")
             self.assertFalse(plan["clerk"].from_store)
--- a/tests/gateway/cover/test_store_speed.py
+++ b/tests/gateway/cover/test_store_speed.py
@@ -211,19 +211,19 @@
 
     def test_the_store_serves_it_all_the_same(self):
         self.unheard("b1", 0.5 * LOAD_S, 1.2 * LOAD_S)
-        (left_s,) = self.store.concurrency.ends_elsewhere(self.store.now, known=["b0"])
+        (left_s,) = self.store.concurrency.other_load_ends(self.store.now, known=["b0"])
         self.assertAlmostEqual(left_s, self.store.ends["b1"] - self.store.now, delta=1)
 
     def test_it_is_over_with_its_time(self):
         self.unheard("b1", 0.5 * LOAD_S, 2.5 * LOAD_S)
-        self.assertEqual(self.store.concurrency.ends_elsewhere(self.store.now, ()), [])
+        self.assertEqual(self.store.concurrency.other_load_ends(self.store.now, ()), [])
 
     def test_it_is_over_where_its_engine_is_gone(self):
         self.store.run(0.5 * LOAD_S)
         self.store.names.remove("b1")
         self.store.run(STEP_S)
         self.assertEqual(
-            self.store.concurrency.ends_elsewhere(self.store.now, ["b0"]), []
+            self.store.concurrency.other_load_ends(self.store.now, ["b0"]), []
         )
 
     def test_one_that_is_late_when_it_is_first_seen_has_not_just_begun(self):
