--- a/tests/adapter/failures/test_poison_requests.py
+++ b/tests/adapter/failures/test_poison_requests.py
@@ -191,7 +191,9 @@
             await fleet.tries(3, [entry])
             self.assertEqual(fleet.poison_runs(), MOST_CRASHES)
 
-    async def test_one_that_brings_events_first_is_kept_out_after_six_crashes(self):
+    async def test_one_that_produces_events_first_is_quarantined_after_six_crashes(
+        self,
+    ):
         async with PoisonedFleet() as fleet:
             await fleet.begin()
             for replica in fleet.replicas.values():
--- a/tests/gateway/cover/test_attempts.py
+++ b/tests/gateway/cover/test_attempts.py
@@ -26,7 +26,7 @@
 
 
 class TestNotRun(unittest.TestCase):
-    def test_a_promise_not_to_have_run_lets_any_call_be_sent_again(self):
+    def test_any_call_that_certainly_did_not_run_is_sent_again(self):
         for kind in CallKind:
             decision = decide(kind, AttemptOutcome.REFUSED, sent())
             self.assertEqual(decision, SendAgain(False, True), kind)
@@ -89,12 +89,12 @@
         )
         self.assertEqual(decision, SendAgain(True, True))
 
-    def test_another_is_cut_so_that_it_does_not_look_whole(self):
+    def test_another_is_cut_so_that_it_does_not_look_complete(self):
         progress = sent(may_have_run=True, forwarded=True, last_event=4)
         decision = decide(CallKind.STREAM, AttemptOutcome.BROKEN, progress)
         self.assertEqual(decision, CutOff())
 
-    def test_without_a_numbered_event_nobody_knows_where_to_go_on(self):
+    def test_a_stream_without_a_numbered_event_cannot_be_resumed(self):
         progress = sent(may_have_run=True, forwarded=True)
         decision = decide(
             CallKind.STREAM, AttemptOutcome.BROKEN, progress, resumable=True
@@ -108,7 +108,7 @@
         self.assertEqual(decision.status, 503)
         self.assertIsNotNone(decision.come_back_s)
 
-    def test_a_call_that_may_have_run_is_not_said_to_be_unrun(self):
+    def test_a_call_that_may_have_run_does_not_get_a_retryable_status(self):
         decision = give_up(sent(may_have_run=True), timed_out=True)
         self.assertEqual(decision.status, 504)
         self.assertIsNone(decision.come_back_s)
--- a/tests/gateway/cover/test_config.py
+++ b/tests/gateway/cover/test_config.py
@@ -29,14 +29,14 @@
         self.assertIsNone(self.config.match("other.example", "/a/"))
 
 
-class TestSplit(unittest.TestCase):
-    def test_a_service_is_drawn_by_its_weight(self):
+class TestServiceWeights(unittest.TestCase):
+    def test_a_service_is_picked_by_its_weight(self):
         service_weights = (ServiceWeight("old", 90), ServiceWeight("new", 10))
         route = samples.route(service_weights=service_weights)
         drawn = [route.pick_service(n / 100) for n in range(100)]
         self.assertEqual(drawn.count("new"), 10)
 
-    def test_a_service_without_weight_is_never_drawn(self):
+    def test_a_service_without_weight_is_never_picked(self):
         service_weights = (ServiceWeight("old", 0), ServiceWeight("new", 1))
         self.assertEqual(
             samples.route(service_weights=service_weights).pick_service(0.0), "new"
@@ -49,8 +49,8 @@
         )
 
 
-class TestPatience(unittest.TestCase):
-    def test_a_stream_is_left_after_the_longest_of_three_times(self):
+class TestEventTimeout(unittest.TestCase):
+    def test_a_stream_times_out_after_the_longest_of_three_times(self):
         route = samples.route(CallKind.STREAM, target_s=2.5, max_event_gap_s=0.2)
         self.assertEqual(route.event_timeout_s, 10.0)
         route = samples.route(CallKind.STREAM, target_s=0.25, max_event_gap_s=0.2)
@@ -60,7 +60,7 @@
         self.assertIsNone(samples.route().event_timeout_s)
 
 
-class TestNewer(unittest.TestCase):
+class TestIsNewer(unittest.TestCase):
     def test_only_a_later_revision_replaces_what_is_in_force(self):
         held = samples.config(version=7, revision=20)
         self.assertTrue(is_newer(None, held))
--- a/tests/gateway/cover/test_crash_ledger.py
+++ b/tests/gateway/cover/test_crash_ledger.py
@@ -90,7 +90,7 @@
         self.assertTrue(self.ledger.is_empty)
         self.assertEqual(self.ledger.quarantined_count, 0)
 
-    def test_the_least_suspicious_request_makes_room(self):
+    def test_the_least_suspicious_request_is_evicted(self):
         for number in range(3):
             self.crash(number, "p")
         for number in range(MAX_REQUESTS + 10):
@@ -114,13 +114,13 @@
             self.crash(number, "s")
         self.assertTrue(self.ledger.is_empty)
 
-    def test_one_beside_a_quarantined_request_is_freed_of_their_crashes(self):
+    def test_a_quarantined_request_explains_the_crashes_of_others(self):
         self.crash(0, "s")
         for number in range(1, 4):
             self.crash(number, "p", "s" if number < 3 else "t")
         self.assert_quarantined("p")
 
-    def test_one_that_was_quarantined_by_mistake_is_freed(self):
+    def test_one_that_was_quarantined_by_mistake_is_released(self):
         for number in range(2):
             self.crash(number, "p", "z")
         self.crash(2, "z")
@@ -129,12 +129,12 @@
             self.crash(number, "p")
         self.assert_quarantined("p")
 
-    def test_a_stream_that_gets_on_at_each_engine_goes_on_through_five_crashes(self):
+    def test_a_stream_that_progresses_at_each_engine_may_run_after_five_crashes(self):
         for number in range(5):
             self.crash(number, "s", progressed=("s",))
         self.assert_quarantined()
 
-    def test_a_run_that_was_lost_where_the_backend_server_goes_on_does_not_count(self):
+    def test_a_run_lost_at_a_surviving_backend_server_does_not_count(self):
         for number in range(3):
             self.ledger.run_lost(lost("s", number))
         self.assertIs(self.decision("s"), AdmissionDecision.DEFERRED)
@@ -143,7 +143,7 @@
         self.assertIs(self.decision("s"), AdmissionDecision.ADMITTED)
 
 
-class TestTurns(Case):
+class TestStagger(Case):
     def test_requests_that_share_two_crashes_run_one_after_the_other(self):
         for number in range(2):
             self.crash(number, "a", "b", "c", at=0.0)
@@ -157,7 +157,7 @@
             self.crash(10 + number, "b", at=0.0)
         self.assertIs(self.decision("b", 0.0), AdmissionDecision.ADMITTED)
 
-    def test_the_third_crash_is_settled_before_a_further_run(self):
+    def test_the_third_crash_has_a_verdict_before_a_further_run(self):
         for number in range(2):
             self.crash(number, "p")
         self.ledger.run_lost(lost("p", 2, at=1.0))
@@ -166,8 +166,8 @@
         self.assertIs(self.decision("p"), AdmissionDecision.QUARANTINED)
 
 
-class TestNews(Case):
-    def test_what_a_peer_told_is_not_told_back(self):
+class TestUpdates(Case):
+    def test_what_a_peer_reported_is_not_sent_back(self):
         self.ledger.run_lost(lost("p", 1), source="e1")
         self.ledger.run_lost(lost("q", 1))
         self.assertEqual(self.names(0, False, "e1"), ["q"])
@@ -180,7 +180,7 @@
             run.fingerprint for run in self.ledger.unsent(UpdateFilter(*which)).runs
         ]
 
-    def test_two_processes_that_tell_each_other_agree(self):
+    def test_two_processes_that_exchange_updates_agree(self):
         other = CrashLedger()
         for number in range(2):
             self.crash(number, "p")
@@ -194,21 +194,21 @@
             decision = ledger.admission(9.0, "p").decision
             self.assertIs(decision, AdmissionDecision.QUARANTINED)
 
-    def test_who_is_told_of_a_sound_request_tells_others(self):
+    def test_a_sound_request_is_propagated(self):
         self.crash(1, "s")
         self.ledger.completed("s", source="e1")
         self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e2")).sound, ("s",))
         self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e1")).sound, ())
         self.assertTrue(self.ledger.is_empty)
 
-    def test_who_knows_better_answers_a_suspicion(self):
+    def test_a_suspicion_of_a_sound_request_is_answered(self):
         self.ledger.completed("s")
         self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e1")).sound, ())
         self.ledger.run_lost(lost("s", 1), source="e1")
         self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e1")).sound, ("s",))
 
 
-class TestFate(unittest.TestCase):
+class TestCrashVerdict(unittest.TestCase):
     """What became of a backend server is told by its registry entry and its agent."""
 
     def begin(self, started_ms=5):
@@ -226,7 +226,7 @@
         state = engine_state("b1", started_ms=self.started_ms, **fields)
         self.fleet.engine_told(now, state)
 
-    def test_another_start_or_none_means_that_it_ended(self):
+    def test_another_start_or_none_means_that_it_crashed(self):
         self.begin()
         self.assertIs(self.verdict(10.0), CrashVerdict.UNDECIDED)
         self.fleet.registry_changed(11.0, registration("b1", started_ms=6))
@@ -243,14 +243,14 @@
         self.agent_says(10.1 + AGENT_DETECTION_S)
         self.assertIs(self.verdict(10.1 + AGENT_DETECTION_S), CrashVerdict.SURVIVED)
 
-    def test_one_that_answers_again_in_an_unknown_start_has_ended(self):
+    def test_one_that_answers_again_in_an_unknown_start_has_crashed(self):
         self.begin(started_ms=None)
         self.agent_says(10.1, silent=True)
         self.assertIs(self.verdict(10.1), CrashVerdict.CRASHED)
         self.agent_says(13.6, silent=False)
         self.assertIs(self.verdict(13.6), CrashVerdict.CRASHED)
 
-    def test_what_the_agent_said_before_the_run_was_lost_proves_nothing(self):
+    def test_a_report_from_before_the_run_was_lost_proves_nothing(self):
         self.begin()
         self.agent_says(10.0)
         self.assertIs(self.verdict(10.1 + AGENT_DETECTION_S), CrashVerdict.UNDECIDED)
@@ -303,7 +303,7 @@
         self.crash(3, "another", BAD)
         self.assert_quarantined(BAD)
 
-    def test_of_two_that_come_together_a_request_with_one_of_them_tells(self):
+    def test_of_two_that_occur_together_a_request_with_one_of_them_distinguishes(self):
         for number in range(3):
             self.crash(number, f"r{number}", BAD, NEIGHBOUR)
         both = self.call_decision("r9", BAD, NEIGHBOUR)
@@ -314,21 +314,21 @@
         self.assert_quarantined(BAD)
         self.assertIs(self.call_decision("r9", BAD), AdmissionDecision.QUARANTINED)
 
-    def test_and_one_that_ends_another_tells_too(self):
+    def test_a_further_crash_distinguishes_them_too(self):
         for number in range(3):
             self.crash(number, f"r{number}", BAD, NEIGHBOUR)
         self.crash(3, "r9", BAD)
         self.assertIs(self.call_decision("r9", BAD), AdmissionDecision.QUARANTINED)
         self.assertIs(self.call_decision("r9", NEIGHBOUR), AdmissionDecision.ADMITTED)
 
-    def test_one_that_brings_events_first_is_kept_out_after_six_crashes(self):
+    def test_one_that_produces_events_first_is_quarantined_after_six_crashes(self):
         for number in range(5):
             self.crash(number, BAD, progressed=(BAD,))
         self.assert_quarantined()
         self.crash(5, BAD, progressed=(BAD,))
         self.assertIs(self.call_decision("r9", BAD), AdmissionDecision.QUARANTINED)
 
-    def test_several_at_once_are_told_apart(self):
+    def test_several_at_once_are_distinguished(self):
         bad = [part_name(f"bad{number}") for number in range(5)]
         for number in range(15):
             self.crash(number, f"r{number}", COMMON, bad[number % 5])
--- a/tests/gateway/cover/test_document_propagation.py
+++ b/tests/gateway/cover/test_document_propagation.py
@@ -22,21 +22,21 @@
     return Changed(Record(key, b"v", revision))
 
 
-class TestForPeer(unittest.TestCase):
+class TestPeerQueue(unittest.TestCase):
     def setUp(self):
         self.queue = PeerQueue()
 
     def due(self, now):
         return [item.record.key for item in self.queue.due(now)]
 
-    def test_nothing_goes_out_before_the_peer_has_said_what_it_has(self):
+    def test_nothing_is_sent_before_the_peer_reports_its_revisions(self):
         self.queue.add(0.0, change(), rank=0)
         self.assertEqual(self.due(9.0), [])
         self.queue.peer_has({})
         self.assertEqual(self.due(9.0), ["config/x"])
         self.assertTrue(self.queue.is_empty)
 
-    def test_a_peer_that_learns_by_itself_is_not_told(self):
+    def test_a_peer_that_reads_a_document_itself_is_not_sent_it(self):
         """Symptom: each change of the configuration crosses a thousand streams.
 
         Every process passed on every document to every peer, though all but a few had
@@ -47,7 +47,7 @@
         self.queue.peer_has({"config/": 7})
         self.assertEqual(self.due(9.0), [])
 
-    def test_a_peer_that_hangs_is_told_a_moment_later(self):
+    def test_a_peer_that_hangs_is_sent_it_a_moment_later(self):
         self.queue.peer_has({"config/": 6})
         self.queue.add(0.0, change(), rank=1)
         self.assertEqual(self.due(SELF_UPDATE_GRACE_S / 2), [])
@@ -55,12 +55,12 @@
         self.queue.peer_has({"config/": 6})
         self.assertEqual(self.due(SELF_UPDATE_GRACE_S), ["config/x"])
 
-    def test_what_a_peer_has_of_one_part_says_nothing_of_another(self):
+    def test_parts_of_the_store_are_independent(self):
         self.queue.peer_has({"registry/": 90})
         self.queue.add(0.0, change(), rank=0)
         self.assertEqual(self.due(0.0), ["config/x"])
 
-    def test_only_the_newest_of_a_document_goes_out(self):
+    def test_only_the_latest_revision_is_sent(self):
         self.queue.peer_has({})
         for revision in (7, 8):
             self.queue.add(0.0, change(revision=revision), rank=0)
@@ -68,7 +68,7 @@
         self.assertEqual(sent.record.mod_revision, 8)
 
 
-class TestWhoTells(unittest.TestCase):
+class TestRanks(unittest.TestCase):
     """Symptom: calls are held beyond their timeout beside changes of the configuration.
 
     Each process that knew a configuration sent it to each peer that hadn't said that it
@@ -79,21 +79,21 @@
     def ranks(self, entries=ENTRIES):
         return {name: entry_rank(name, "a1", entries) for name in ENTRIES}
 
-    def test_one_entry_tells_an_agent_at_once_and_the_others_one_by_one(self):
+    def test_one_entry_sends_to_an_agent_at_once_and_the_others_one_by_one(self):
         self.assertEqual(sorted(self.ranks().values()), list(range(len(ENTRIES))))
 
-    def test_an_entry_that_knows_of_no_other_tells_at_once(self):
+    def test_an_entry_that_knows_no_other_sends_at_once(self):
         self.assertEqual(entry_rank("e1", "a1", ()), 0)
 
-    def test_an_entry_that_the_others_have_not_heard_counts_itself(self):
+    def test_an_entry_that_is_not_in_the_list_counts_itself(self):
         without = tuple([name for name in ENTRIES if name != "e3"])
         self.assertIn(0, self.ranks(without).values())
 
-    def test_agents_tell_an_entry_one_by_one_too_and_not_at_once(self):
+    def test_agents_send_to_an_entry_one_by_one_and_not_at_once(self):
         ranks = [agent_rank(f"a{number}", "e1") for number in range(400)]
         self.assertEqual(set(ranks), set(range(1, AGENT_RANKS + 1)))
 
-    def test_a_peer_that_says_so_in_time_is_told_by_one(self):
+    def test_a_peer_that_reports_in_time_is_sent_it_by_one(self):
         told = 0
         for rank in range(len(ENTRIES)):
             queue = PeerQueue()
@@ -104,7 +104,7 @@
             told += len(queue.due(60.0))
         self.assertEqual(told, 1)
 
-    def test_a_peer_that_says_nothing_is_told_by_few_within_a_second(self):
+    def test_a_silent_peer_is_sent_it_by_few_within_a_second(self):
         told = 0
         for rank in range(len(ENTRIES)):
             queue = PeerQueue()
@@ -113,7 +113,7 @@
             told += len(queue.due(SELF_UPDATE_GRACE_S + 2 * STAGGER_S))
         self.assertEqual(told, 4)
 
-    def test_entries_are_not_weighed_anew_for_each_document(self):
+    def test_rankings_are_cached(self):
         """Symptom: an entry at rest spends a tenth of a core on its peers.
 
         Each document that it learnt had it weigh all entries for each of the agents.
@@ -124,12 +124,12 @@
         self.assertLessEqual(weigh.call_count, len(ENTRIES))
 
 
-class TestCovers(unittest.TestCase):
+class TestIsCovered(unittest.TestCase):
     def test_up_to_the_revision_and_not_beyond(self):
         self.assertTrue(is_covered({"config/": 7}, change(revision=7)))
         self.assertFalse(is_covered({"config/": 7}, change(revision=8)))
         self.assertFalse(is_covered({}, change()))
 
-    def test_who_has_one_key_has_not_all_that_begins_like_it(self):
+    def test_a_single_key_does_not_cover_keys_that_begin_like_it(self):
         self.assertTrue(is_covered({"config/x": 7}, change(revision=7)))
         self.assertFalse(is_covered({"config/x": 7}, change("config/xy", revision=7)))
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -15,17 +15,17 @@
     def names(self):
         return [backend.instance for backend in self.fleet.of_service("plain")]
 
-    def test_a_leaving_one_gets_no_work(self):
+    def test_a_leaving_one_gets_no_calls(self):
         leaving = samples.registration(leaving=True, revision=2)
         self.fleet.registry_changed(1.0, leaving)
         self.assertEqual(self.names(), [])
 
-    def test_an_older_entry_changes_nothing(self):
+    def test_an_older_registration_changes_nothing(self):
         self.fleet.registry_changed(1.0, samples.registration(leaving=True, revision=5))
         self.fleet.registry_changed(1.0, samples.registration(revision=4))
         self.assertEqual(self.names(), [])
 
-    def test_a_start_that_leaves_does_not_come_back(self):
+    def test_a_leaving_start_does_not_become_available_again(self):
         """Symptom: a backend server gets work again after it said that it leaves.
 
         It reports that it leaves; a heartbeat that was on its way then is written after
@@ -80,7 +80,7 @@
         self.assertEqual(self.names(), ["b1"])
 
 
-class TestLapses(unittest.TestCase):
+class TestExpiry(unittest.TestCase):
     """Symptom: all backend servers vanish when the store returns after an outage.
 
     While the store was away their leases ran out; it returns with an empty registry,
@@ -121,12 +121,12 @@
         self.fleet.registry_changed(0.0, samples.registration(service="llm"))
         self.fleet.engine_told(1.0, samples.engine_state(holdings=["tutor"]))
 
-    def test_what_a_silent_agent_said_of_holdings_still_holds(self):
+    def test_the_holdings_of_a_silent_agent_stay_valid(self):
         backend = self.fleet.get("b1")
         self.assertFalse(backend.accepts_orders(60.0))
         self.assertIn("tutor", backend.holdings)
 
-    def test_its_load_figures_do_not(self):
+    def test_the_load_figures_of_a_silent_agent_do_not(self):
         state = samples.engine_state(holdings=["tutor"], running=9)
         self.fleet.engine_told(1.0, state)
         backend = self.fleet.get("b1")
@@ -157,7 +157,7 @@
         backend = samples.backend("b1", 0.0, samples.engine_state("b1", ("tutor",)))
         self.assertFalse(backend.lost(60.0))
 
-    def test_an_unlisted_instance_is_not_made_up(self):
+    def test_a_report_of_an_unlisted_instance_is_ignored(self):
         state = samples.engine_state("b9", ["tutor"])
         self.assertFalse(self.fleet.engine_told(1.0, state))
         self.assertIsNone(self.fleet.get("b9"))
@@ -174,8 +174,8 @@
         self.assertEqual(backend.in_flight, 0)
 
 
-class TestStandstill(unittest.TestCase):
-    def test_agents_are_not_silent_because_this_process_stood_still(self):
+class TestStall(unittest.TestCase):
+    def test_agents_are_not_silent_because_this_process_stalled(self):
         """Symptom: after a standstill of an entry all calls that came meanwhile are
         refused for want of an engine that takes orders.
 
@@ -202,7 +202,7 @@
 
 
 class TestDenials(unittest.TestCase):
-    def test_what_was_denied_is_not_asked_for_again_at_once(self):
+    def test_no_call_is_sent_for_what_was_just_denied(self):
         """Symptom: after all processes lost power, calls are sent only to be refused.
 
         The engines came back empty; the registry still lists what they held, and no
@@ -227,7 +227,7 @@
         self.assertFalse(backend.serves(5.5, "tutor", "a1"))
         self.assertTrue(backend.serves(5.5, "tutor", "a2"))
 
-    def test_the_agents_word_is_newer(self):
+    def test_a_report_of_the_agent_is_newer(self):
         fleet = Fleet()
         fleet.registry_changed(0.0, samples.registration(service="llm"))
         backend = fleet.get("b1")
--- a/tests/gateway/cover/test_health.py
+++ b/tests/gateway/cover/test_health.py
@@ -18,13 +18,13 @@
         self.assertGreater(self.health.cost(0.0, "a"), 1.0)
         self.assertEqual(self.health.cost(0.0, "b"), 0.0)
 
-    def test_a_service_that_fails_by_design_blames_nobody(self):
+    def test_a_service_that_fails_by_design_costs_nothing(self):
         for name in ("a", "b", "c"):
             for _ in range(5):
                 self.health.failed(0.0, name)
         self.assertEqual(self.health.cost(0.0, "a"), 0.0)
 
-    def test_the_judgement_fades(self):
+    def test_the_score_decays(self):
         for _ in range(5):
             self.health.failed(0.0, "a")
         self.assertLess(self.health.cost(20.0, "a"), self.health.cost(0.0, "a"))
--- a/tests/gateway/cover/test_retry_prediction.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -18,7 +18,7 @@
     return samples.call(route, now=now, deadline=given_s)
 
 
-class TestReturning(unittest.TestCase):
+class TestRetryPredictor(unittest.TestCase):
     def setUp(self):
         self.retry_predictor = RetryPredictor()
         self.retry_predictor.asked(call(30.0))
--- a/tests/gateway/cover/test_selection.py
+++ b/tests/gateway/cover/test_selection.py
@@ -17,7 +17,7 @@
     return samples.backend(instance, NOW, state, service="llm", slots=64)
 
 
-class TestUnreadPrompts(unittest.TestCase):
+class TestPendingPrefills(unittest.TestCase):
     """Symptom: calls of the busiest model get their first event seconds after they were
     sent, while another engine that holds it reads nothing.
 
@@ -43,12 +43,12 @@
     def test_calls_gather_at_the_first_holder(self):
         self.assertIs(self.choose(), self.first)
 
-    def test_one_more_goes_elsewhere_while_prompts_are_still_unread_there(self):
+    def test_one_more_goes_elsewhere_while_prefills_are_pending_there(self):
         for _ in range(4):
             self.first.prefill_queued()
         self.assertIs(self.choose(), self.next)
 
-    def test_it_comes_back_once_they_are_read(self):
+    def test_it_returns_once_they_are_prefilled(self):
         for _ in range(4):
             self.first.prefill_queued()
         for _ in range(4):
--- a/tests/gateway/cover/test_service_levels.py
+++ b/tests/gateway/cover/test_service_levels.py
@@ -37,25 +37,25 @@
         found = weights({FREQUENT: 40.0, RARE: 10.0})
         self.assertAlmostEqual(found[RARE] / found[FREQUENT], 2.0, delta=0.1)
 
-    def test_a_lonely_caller_does_not_rule_the_loads(self):
+    def test_a_single_caller_of_a_level_does_not_determine_the_loads(self):
         found = weights({FREQUENT: 300.0, RARE: 0.05})
         self.assertEqual(found[RARE], MAX_WEIGHT)
         self.assertGreaterEqual(found[FREQUENT], MIN_WEIGHT)
 
-    def test_routes_of_one_rank_and_target_belong_together(self):
+    def test_routes_of_one_priority_and_target_form_a_level(self):
         first = samples.route(CallKind.STREAM, "/a/", priority=2, target_s=2.0)
         second = samples.route(CallKind.STREAM, "/b/", priority=2, target_s=2.0)
         calls = samples.call(first), samples.call(second)
         self.assertEqual([level_of(call) for call in calls], [RARE, RARE])
 
-    def test_a_customers_rank_goes_before_its_routes(self):
+    def test_a_customers_priority_goes_before_its_routes(self):
         first = samples.route(CallKind.STREAM, "/a/", priority=7, target_s=2.0)
         call = samples.call(first, customer=Customer("c1", priority=2))
         self.assertEqual(level_of(call), RARE)
 
 
 class TestWeightedDemand(unittest.TestCase):
-    def test_a_rare_kind_of_call_is_not_kept_behind_a_frequent_one(self):
+    def test_a_rare_level_does_not_starve_behind_a_frequent_one(self):
         """Symptom: one kind of call is served far less often than all others.
 
         Its models are asked for a tenth as often as those of the frequent kinds, and
@@ -72,7 +72,7 @@
         demand_tracker.end_waiting(1.0, "critic", 6.0)
         self.assertFalse(demand_tracker.has_waiting_calls)
 
-    def test_a_waiting_call_counts_however_little_it_weighs(self):
+    def test_a_waiting_call_counts_whatever_its_weight(self):
         demand_tracker = DemandTracker()
         demand_tracker.asked(0.0, "tutor", 0.4)
         demand_tracker.begin_waiting(0.0, "tutor", 0.4)
--- a/tests/gateway/cover/test_timeline.py
+++ b/tests/gateway/cover/test_timeline.py
@@ -37,11 +37,11 @@
         self.assertEqual([item["event"] for item in read_lines(text)], ["started"])
 
 
-class TestStory(unittest.TestCase):
+class TestTimeline(unittest.TestCase):
     def events(self, timeline):
         return [step.line["event"] for step in timeline.steps]
 
-    def test_a_request_that_nobody_names_has_no_story(self):
+    def test_a_request_that_no_line_names_has_no_timeline(self):
         self.assertIsNone(build_timeline([line("e", 1.0, "started")], "r-9"))
 
     def test_orders_for_its_model_belong_to_it_and_others_do_not(self):
@@ -54,7 +54,7 @@
         timeline = build_timeline(lines, "r-1")
         self.assertEqual(self.events(timeline), ["order", "order", "refused"])
 
-    def test_lines_are_in_order_though_clocks_disagree(self):
+    def test_lines_are_in_order_although_clocks_differ(self):
         """Symptom: the order that loads a model seems to come after the refusal.
 
         The agent's clock is four seconds ahead. By the times on the lines, the cause
@@ -71,7 +71,7 @@
         self.assertEqual(self.events(timeline), ["config_in_force", "order", "refused"])
         self.assertEqual(timeline.unaligned, ())
 
-    def test_a_clock_that_jumps_does_not_tear_a_process_apart(self):
+    def test_a_clock_that_jumps_does_not_split_a_process(self):
         lines = [
             config("entry", 2.0, 7),
             refused(5.0),
@@ -87,7 +87,7 @@
         timeline = build_timeline([refused(5.0), order(4.0)], "r-1")
         self.assertEqual(timeline.unaligned, ("agent",))
 
-    def test_each_start_of_a_process_is_placed_by_itself(self):
+    def test_each_run_of_a_process_is_aligned_separately(self):
         """Symptom: what an agent did before its restart seems to happen after it."""
         lines = [
             config("entry", 20.0, 7),
@@ -117,7 +117,7 @@
         timeline = build_timeline(lines, "r-1")
         self.assertEqual([step.own for step in timeline.steps], [True, False])
 
-    def test_tries_of_the_same_request_are_shown_however_long_before(self):
+    def test_attempts_of_the_same_request_are_shown_however_long_before(self):
         same = {"fingerprint": "f1"}
         lines = [
             line("other", 5.0, "answer_lost", request="r-9", backend="b9", **same),
