--- a/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_availability.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_availability.py
@@ -1,13 +1,14 @@
-"""What a long load costs the callers of adapters, while a plan is made.
+"""Estimates what a long load costs the callers of adapters, while a plan is made.
 
-An engine that loads a model takes no order for an adapter meanwhile. If it is the last
-one that could take some for a model, calls for adapters that it doesn't have wait until
-the load ends, and most of them are refused. So a long load goes where this costs least,
-and nowhere while it costs more calls than the load would serve.
+An engine that loads a model accepts no order for an adapter meanwhile. If it is the
+last engine that could load adapters of a model, calls for adapters that it doesn't have
+wait until the load ends, and most of them are refused. So a long load goes where this
+costs least, and nowhere while it costs more calls than the load would serve.
 
-The calls that miss an adapter now tell little of those that will during the load: none
-has missed one yet of a model that has just come. Where the load goes is therefore
-decided by all calls for the model, in proportion to its adapters that aren't there.
+The calls that miss an adapter now say little about those that will miss one during the
+load: a model that has just been loaded has had no such call yet. The place of the load
+is therefore decided by all calls for the model, in proportion to its adapters that
+aren't loaded.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 
 class AdapterAvailability:
     """For each model with adapters, the engines that hold it and that no long load
-    keeps from other orders.
+    blocks.
 
-    They are counted once for a plan, not for each model and engine.
+    They are counted once per plan, not for each model and engine.
 
     Example::
 
-        homes = AdapterAvailability(engine, places, wants)
-        calls = homes.blocked_calls(place, seconds=6.0)
-        calls = homes.calls_at_risk(place, seconds=6.0)
-        homes.occupy(place, until_s=6.0)
+        availability = AdapterAvailability(engine, load_targets, demands)
+        calls = availability.blocked_calls(load_target, seconds=6.0)
+        calls = availability.calls_at_risk(load_target, seconds=6.0)
+        availability.reserve(load_target, until_s=6.0)
     """
 
     def __init__(
@@ -56,7 +57,7 @@
 
     def blocked_calls(self, load_target: LoadTarget, seconds: float) -> float:
         """How many calls would wait for an adapter in vain during a load of so many
-        seconds here, by those that miss one now."""
+        seconds here, judging by the calls that miss one now."""
         rates = [
             self._demand(name).adapter_rate
             for name in self._without_alternative(load_target, seconds)
@@ -64,9 +65,10 @@
         return seconds * sum(rates)
 
     def calls_at_risk(self, load_target: LoadTarget, seconds: float) -> float:
-        """How many calls would at most, if each named one of its model's adapters."""
+        """How many calls would at most, if each call named one of its model's
+        adapters."""
         rates = [
-            self._missing_share(load_target, name)
+            self._missing_fraction(load_target, name)
             * max(MIN_KEEP_VALUE, self._demand(name).rate)
             for name in self._without_alternative(load_target, seconds)
         ]
@@ -75,15 +77,15 @@
     def _without_alternative(
         self, load_target: LoadTarget, seconds: float
     ) -> list[str]:
-        """The models with adapters for which no other engine could take an order during
-        a load of so many seconds here."""
+        """The models with adapters for which no other engine could accept an order
+        during a load of so many seconds here."""
         if seconds <= LONG_LOAD_S:
             return []
         itself = 1 if _is_free(load_target) else 0
         held = self._held[load_target.instance]
         return [name for name in held if self._free[name] == itself]
 
-    def _missing_share(self, load_target: LoadTarget, name: str) -> float:
+    def _missing_fraction(self, load_target: LoadTarget, name: str) -> float:
         count = self._adapters[name]
         return max(0.0, 1.0 - len(load_target.held[name]) / count) if count else 0.0
 
@@ -91,7 +93,8 @@
         return self._demands.get(name, NO_DEMAND)
 
     def reserve(self, load_target: LoadTarget, until_s: float) -> None:
-        """The engine's next order can begin only then, in seconds from now."""
+        """Record that the engine can start its next order only after so many
+        seconds."""
         was_free = _is_free(load_target)
         load_target.free_after_s = until_s
         if was_free and not _is_free(load_target):
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_prefetch.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_prefetch.py
@@ -1,15 +1,15 @@
-"""Adapters that refused callers will need when they come back.
+"""Prefetches the adapters that refused callers will need when they come back.
 
-A caller that names an adapter is refused while its model isn't there. When the model
-has come, its engine may begin a long load at once, and takes no order for an adapter
+A caller that names an adapter is refused while its model isn't loaded. Once the model
+is loaded, its engine may start a long load at once, and accepts no order for an adapter
 until that ends; the caller would come back to its model and be refused again. So the
-adapter is loaded as soon as the model is there.
+adapter is loaded as soon as the model is.
 
 Example::
 
-    due = AdapterPrefetch()
-    due.refused(now, ask, come_back_s=6.0)
-    for wish in due.wishes(now, backend, fleet.of_service("tutor")): ...
+    prefetch = AdapterPrefetch()
+    prefetch.refused(now, ask, come_back_s=6.0)
+    for request in prefetch.load_requests(now, backend, fleet.of_service("tutor")): ...
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.order_messages import LoadRequest
 
-#: Callers come no later than this, whatever they were told: they honour a third of the
-#: time that they have left. Seconds.
+#: Seconds after which callers no longer come back, whatever retry time they were given:
+#: they wait for at most a third of the time that they have left.
 MAX_RETURN_S = 10.0
 
 
@@ -31,11 +31,12 @@
     service."""
 
     def __init__(self) -> None:
-        #: When the last caller is due back, by model and adapter.
+        #: When the last caller is expected back, by model and adapter.
         self._due: dict[str, dict[str, float]] = {}
 
     def refused(self, now: float, ask: ModelRequest, come_back_s: float) -> None:
-        """A caller was refused because its model isn't there in time."""
+        """Record that a caller was refused because its model couldn't be loaded in
+        time."""
         if not ask.adapter:
             return
         for model in list(self._due):
@@ -46,8 +47,8 @@
     def load_requests(
         self, now: float, backend: Backend, backends: Collection[Backend]
     ) -> list[LoadRequest]:
-        """Which adapters to load at the engine that has just spoken; ``backends`` are
-        all engines of the service."""
+        """Which adapters to load at the engine whose agent has just reported;
+        ``backends`` are all engines of the service."""
         if not self._due:
             return []
         able = backend.accepts_orders(now) and backend.engine.loading is None
@@ -61,7 +62,8 @@
         return found
 
     def _still_due(self, now: float, model: str) -> dict[str, float]:
-        """Forget callers who were due back before now; returns those who are still."""
+        """Drop callers who were expected back before now; returns the remaining
+        ones."""
         due = {name: at for name, at in self._due.pop(model).items() if at >= now}
         if due:
             self._due[model] = due
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
@@ -1,4 +1,4 @@
-"""Which engines have copies of weights, and what keeps a copy from being used.
+"""Reports which engines have copies of weights, and what keeps a copy from being used.
 
 Example::
 
@@ -16,7 +16,7 @@
 from bambootiller_core.gateway.log_lines import CopiesChanged, ModelCopy
 from bambootiller_core.gateway.order_messages import EngineReport
 
-#: How many engines with a copy a line names.
+#: The most engines with a copy that one log line lists.
 MAX_LISTED = 4
 
 
@@ -27,7 +27,8 @@
     spec: ModelSpec,
     memory_mb: float,
 ) -> tuple[ModelCopy, ...]:
-    """The engines of the service that have a copy of the model, leaving ones too."""
+    """The engines of the service that have a copy of the model, including those that
+    are leaving."""
     found = [
         ModelCopy(backend.instance, _state(now, backend, spec, memory_mb))
         for backend in backends
@@ -60,7 +61,7 @@
 def copies_changed(
     before: EngineReport | None, report: EngineReport
 ) -> CopiesChanged | None:
-    """How the engine's copies differ from those of the report before; None if they
+    """How the engine's copies differ from those of the previous report; None if they
     don't."""
     had = before.in_memory | before.on_disk if before is not None else frozenset()
     has = report.in_memory | report.on_disk
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_priority.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_priority.py
@@ -1,4 +1,4 @@
-"""In which order the models of a service are given their loads by a plan."""
+"""Ranks the models of a service by the priority of their loads in a plan."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 
-#: A model that so many calls wait for goes first, and needn't wait for a place at the
-#: store: demand has moved to it, and every second costs as many calls.
+#: A model that so many calls wait for goes first, and need not queue for the store:
+#: demand has moved to it, and each further second delays as many calls.
 MANY_WAITING = 4
-#: A model that takes at least this part of all demand gets a second engine, so that the
-#: loss of one doesn't stop it.
+#: A model with at least this fraction of all demand gets a second engine, so that the
+#: loss of one engine doesn't make it unavailable.
 ADDITIONAL_ENGINE_FRACTION = 0.08
-#: A model gets one more engine if all that hold it have so many calls, in units of what
-#: they serve at once: a step further and calls would be refused there.
+#: A model gets one more engine if all that hold it run at least this fraction of the
+#: calls that they can serve at once; slightly more, and calls would be refused there.
 SATURATION_FRACTION = 0.8
-#: How many weights of models are kept; a service has some hundred models.
+#: Cached rendezvous weights of models; a service has some hundred models.
 WEIGHT_CACHE_SIZE = 4096
 
 
 class LoadRank(enum.IntEnum):
-    """Which loads go before which.
+    """The priority of a load, highest first.
 
-    A model that is ``SINGLE_HOLDER`` is much asked for, and a single engine holds it: its
-    calls queue there, and nobody is served if that engine is lost.
+    A ``SINGLE_HOLDER`` model has much demand and is held by a single engine: its calls
+    queue there, and none is served if that engine is lost.
     """
 
     MANY_CALLS_WAITING = 0
@@ -41,29 +41,29 @@
 
 
 class LoadInProgress(Protocol):
-    """A load under way."""
+    """A load in progress."""
 
     @property
     def from_store(self) -> bool:
-        """Whether it draws on the weight store."""
+        """Whether the load uses the weight store."""
 
 
 def prioritize_loads(
     engine: EngineSpec,
     now: float,
-    known: Iterable[Backend],
+    live_backends: Iterable[Backend],
     copied: Mapping[str, int],
     demands: Mapping[str, Demand],
-    under_way: Mapping[str, LoadInProgress],
+    loads_in_progress: Mapping[str, LoadInProgress],
 ) -> list[tuple[ModelSpec, LoadRank]]:
-    """The models to load, the first to be served first.
+    """The models to load, highest priority first.
 
-    ``copied`` are those of which engines have copies, held ones included. A model that
-    is under way appears only if it may be worth a second load from a copy, and one that
-    is ``SINGLE_HOLDER`` appears once more as a ``ADDITIONAL_ENGINE``.
+    ``copied`` are the models of which engines have copies, held ones included. A model
+    whose load is in progress appears only if it may be worth a second load from a copy,
+    and a ``SINGLE_HOLDER`` model appears once more as ``ADDITIONAL_ENGINE``.
     """
     holders: dict[str, list[Backend]] = {}
-    for backend in known:
+    for backend in live_backends:
         for name in backend.holdings:
             holders.setdefault(name, []).append(backend)
     total = sum([demand.rate for demand in demands.values()])
@@ -72,10 +72,10 @@
         demand = demands.get(name)
         if demand is None:
             if total or name in copied:
-                # Nobody asks for it: most models are like that at any time.
+                # It has no demand, like most models at any time.
                 continue
             demand = NO_DEMAND
-        in_progress = under_way.get(name)
+        in_progress = loads_in_progress.get(name)
         if in_progress is not None:
             ranks = _ranks_while_loading(demand, in_progress)
         else:
@@ -91,21 +91,22 @@
 def _sort_key(
     rank: LoadRank, spec: ModelSpec, demand: Demand, copied: bool
 ) -> tuple[float, ...]:
-    """What puts the models of one rank in order.
+    """The sort key of models within one rank.
 
-    Those first whose calls a load from a copy can still serve in time, the soonest due
-    before others: behind calls that are late in any case they would be late as well.
+    Models go first whose calls a load from a copy can still serve in time, the earliest
+    deadline before others: behind calls that are late in any case, these calls would
+    become late as well.
 
-    The others with a copy first come, first served: ordered by demand alone, later
-    calls would overtake those that were told to wait, until these have waited for
-    nothing.
+    The other models with a copy are served in order of arrival: ordered by demand
+    alone, later calls would overtake those that were told to wait, until these had
+    waited for nothing.
 
-    Where nobody has a copy most callers are refused at once, and the load is over long
-    after it was chosen. So it goes to those whom it will serve, by the time of the
-    store that it takes.
+    Models without any copy: most of their callers are refused at once, and the load
+    ends long after it was chosen. So the order depends on the callers that the load
+    will serve, per second of the store's time that it takes.
 
-    Of what is wanted equally, as what nobody has asked for yet, the quickest to load
-    goes first: the store's next turn comes sooner.
+    Among models with equal demand, such as those without calls so far, the shortest
+    load goes first, as the store is free again sooner.
     """
     if not copied:
         worth = demand.store_load_value / spec.load_s
@@ -124,15 +125,16 @@
 
 @lru_cache(WEIGHT_CACHE_SIZE)
 def _tie_breaker(name: str) -> int:
-    """Entries agree on the order of equals, and so seldom ask for the same."""
+    """Entries use the same order for equal models, and so seldom request the same load
+    twice."""
     return rendezvous.weight("fetch", name)
 
 
 def _ranks_while_loading(
     demand: Demand, in_progress: LoadInProgress
 ) -> tuple[LoadRank, ...]:
-    """A model on its way from the store is loaded from a copy as well if many calls
-    wait: the only engine with a copy may have come back since."""
+    """A model that is being loaded from the store is loaded from a copy as well if many
+    calls wait: the only engine with a copy may have become available again."""
     if in_progress.from_store and demand.waiting >= MANY_WAITING:
         return (LoadRank.MANY_CALLS_WAITING,)
     return ()
@@ -145,7 +147,7 @@
     copied: bool,
     total_rate: float,
 ) -> tuple[LoadRank, ...]:
-    """How soon a model is to be loaded; empty if it isn't to be."""
+    """The ranks of a model; empty if it needs no load."""
     if not holders and not copied:
         return _ranks_from_store(demand, total_rate)
     if not holders and demand.awaited:
@@ -159,20 +161,20 @@
 
 
 def _ranks_from_store(demand: Demand, total_rate: float) -> tuple[LoadRank, ...]:
-    """The same of a model that only the weight store can bring."""
+    """The ranks of a model that only the weight store can provide."""
     if demand.expected_callers:
         many = demand.aged_callers >= MANY_WAITING
         return (LoadRank.MANY_CALLS_WAITING if many else LoadRank.CALLS_WAITING,)
     if demand.rate > 0 or demand.awaited:
         return (LoadRank.IN_DEMAND,)
-    # While calls come, an engine that fetches a model nobody asks for is kept from
-    # those that they ask for.
+    # While there are calls, an engine that prefetches a model is unavailable for the
+    # models that are called.
     return (LoadRank.PREFETCH,) if total_rate == 0 else ()
 
 
 def _saturated(holders: Iterable[Backend], now: float) -> bool:
-    """Whether every engine that holds a model is close to its most calls, or to the
-    limit that it names."""
+    """Whether every engine that holds a model is close to its maximum of calls, or to a
+    limit that it reports."""
     return bool(holders) and all(
         now < backend.throttled_until
         or backend.occupied(now)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
@@ -1,4 +1,5 @@
-"""Engines as places for models: how soon a load could be there, and what makes way."""
+"""Engines as targets of loads: how soon a load could be finished there, and which
+models it evicts."""
 
 from __future__ import annotations
 
@@ -15,40 +16,41 @@
     Demand,
 )
 
-#: An order takes this long besides the load itself. Seconds.
+#: Seconds that an order takes in addition to the load itself.
 ORDER_OVERHEAD_S = 0.05
-#: Loads longer than this stand in the way of others at the same engine. Seconds.
+#: Seconds above which a load counts as long: it blocks other orders at the same engine.
 LONG_LOAD_S = 1.5
-#: A model that must wait for another's call to end there waits about so long, and
-#: longer the more calls there are, as the last of them counts. Seconds, and the part of
-#: it for each factor of e.
+#: Seconds until another model's call ends, for which a load that evicts that model
+#: waits. The wait is longer with more calls, because the last of them counts: it grows
+#: by this fraction of the duration for each factor of e.
 CALL_DURATION_S = 1.5
 CALL_DURATION_GROWTH = 0.5
-#: Demand that is this many times another's isn't made way for it.
+#: A model isn't evicted for one with less than a third of its demand.
 KEEP_FACTOR = 3.0
-#: Callers who were refused are due back for a model that has come meanwhile. For one
-#: that is wanted as much it doesn't go: they would be refused again, and so would those
-#: of the other after them. As many times less wanted as otherwise more.
+#: Refused callers are about to come back for a model that has been loaded meanwhile. It
+#: isn't evicted for a model with equal demand: they would be refused again, and the
+#: callers of the other model after them. The other model needs as many times more
+#: demand here as it could otherwise have less.
 RETURNING_CALLERS_FACTOR = KEEP_FACTOR**2
-#: What the demand for a model that nobody has asked for yet is taken for, in calls a
-#: second: about that of a rarely used model.
+#: The demand assumed for a model without calls so far, in calls per second: about that
+#: of a rarely used model.
 MIN_DEMAND_VALUE = 0.1
-#: What is fetched before anybody asks may take the place of a model that one engine
-#: holds only if its load is this short: until it ends, that model can't be had there.
-#: Seconds.
+#: A prefetched model may replace a model that only one engine holds only if its load
+#: takes at most this many seconds, because the replaced model isn't available there
+#: until the load ends.
 SHORT_PREFETCH_S = 8.0
-#: What keeping a model is worth at most, without demand, if three engines hold it.
+#: The greatest value of keeping a model without demand if three engines hold it.
 MAX_SPARE_KEEP_VALUE = MIN_KEEP_VALUE / 3**2
-#: What it is worth at least, without demand, if one engine holds it.
+#: The least value of keeping a model without demand if one engine holds it.
 SINGLE_HOLDER_KEEP_VALUE = COPIED_KEEP_FACTOR * MIN_KEEP_VALUE
-#: A model with calls under way makes way only if it is wanted no more than this: the
-#: calls a second of a rarely used model, or of one that other engines hold as well.
+#: A model with calls in progress is evicted only if its keep value is at most this: the
+#: calls per second of a rarely used model, or of one that other engines hold as well.
 MAX_BUSY_KEEP_VALUE = 1.0
 
 
 class LoadTarget:
-    """An engine while a plan is made; ``free_after_s`` is when its next order can
-    begin."""
+    """An engine while a plan is made; ``free_after_s`` is when it can start its next
+    order, in seconds from now."""
 
     __slots__ = (
         "backend",
@@ -64,10 +66,10 @@
     def __init__(self, backend: Backend, free_after_s: float) -> None:
         self.backend = backend
         self.instance = backend.instance
-        #: The models that it holds.
+        #: The models that the engine holds.
         self.held = backend.holdings
         self.free_after_s = free_after_s
-        #: How many loads the plan has given it.
+        #: How many loads the plan has assigned to it.
         self.planned_loads = 0
         self._in_memory = backend.engine.in_memory
         self._on_disk = backend.engine.on_disk
@@ -75,7 +77,7 @@
 
     @property
     def is_free(self) -> bool:
-        """Whether an order can begin now."""
+        """Whether the engine can start an order now."""
         return self.free_after_s <= 0 and self.planned_loads == 0
 
     def copies(self) -> set[str]:
@@ -83,7 +85,7 @@
         return self._in_memory | self._on_disk
 
     def load_time(self, spec: ModelSpec) -> tuple[float, bool]:
-        """How long a load takes here, and whether it draws on the weight store."""
+        """How many seconds a load takes here, and whether it uses the weight store."""
         if spec.name in self._in_memory:
             return spec.memory_s, False
         if spec.name in self._on_disk:
@@ -93,13 +95,13 @@
     def victims(
         self, engine: EngineSpec, spec: ModelSpec, incoming: Demand, load_s: float
     ) -> Victims | None:
-        """Which held models make way for the model; None if that isn't worth it."""
+        """Which held models are evicted for the model; None if that isn't worth it."""
         state = self.backend.engine
         need_mb = spec.size_mb - (engine.memory_mb - state.memory_mb_used)
         if need_mb <= 0:
             return NO_VICTIMS
         if self._eviction_order is None:
-            # Put in order once for a plan, not for each model that could come.
+            # Sorted once per plan, not for each model that could be loaded.
             self._eviction_order = EvictionOrder(
                 engine, state.holdings, state.in_use, state.keep_values
             )
@@ -128,20 +130,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Victims:
-    """Models that make way, one after the other; ``wait_s`` is how long their calls
-    take to end."""
+    """Models to evict, one after the other; ``wait_s`` is how long their calls take to
+    end."""
 
     models: tuple[str, ...]
     wait_s: float = 0.0
 
     @property
     def busy(self) -> bool:
-        """Whether some have calls that must end first."""
+        """Whether some of them have calls that must end first."""
         return self.wait_s > 0
 
 
 def _calls_end_s(calls: int) -> float:
-    """How long so many calls take to end."""
+    """How many seconds so many calls take to end."""
     return (
         CALL_DURATION_S * (1.0 + CALL_DURATION_GROWTH * math.log(calls))
         if calls
@@ -149,14 +151,14 @@
     )
 
 
-#: Nothing has to go.
+#: No model has to be evicted.
 NO_VICTIMS = Victims(())
 
 
 @dataclass(frozen=True, slots=True)
 class _EvictionCandidate:
-    """A held model, how much it matters that it stays, what it leaves free in
-    megabytes, and how long its calls take to end in seconds."""
+    """A held model, the value of keeping it, the megabytes that its eviction frees, and
+    how long its calls take to end, in seconds."""
 
     name: str
     keep_value: float
@@ -165,11 +167,12 @@
 
 
 class EvictionOrder:
-    """The models of one engine in the order in which they make way.
+    """The models of one engine in the order in which they are evicted.
 
     Example::
 
-        victims = EvictionOrder(engine, holdings, in_use, keep_values).choose(40.0, want)
+        eviction_order = EvictionOrder(engine, holdings, in_use, keep_values)
+        victims = eviction_order.choose(40.0, demand)
     """
 
     def __init__(
@@ -198,19 +201,19 @@
     def choose(
         self, need_mb: float, incoming: Demand, load_s: float = 0.0
     ) -> Victims | None:
-        """Which of them make way for ``need_mb`` more than there is room for.
+        """Choose models to evict for ``need_mb`` beyond the free memory.
 
-        Among the models without calls the least wanted goes first, and none that is
-        wanted far more than the one that comes. Only calls that wait make a model with
-        calls go: it takes no new ones from then on, so rarely used models share an
-        engine by turns.
+        Among the models without calls the one with the least demand goes first, and
+        none with far more demand than the incoming one. A model with calls is evicted
+        only for calls that wait: it accepts no new ones from then on, so rarely used
+        models take turns on an engine.
         """
-        least, most = _evictable_keep_values(incoming, load_s)
+        min_value, max_value = _evictable_keep_values(incoming, load_s)
         chosen: list[_EvictionCandidate] = []
         for candidate in self._idle:
-            if candidate.keep_value < least:
+            if candidate.keep_value < min_value:
                 continue
-            if candidate.keep_value > most:
+            if candidate.keep_value > max_value:
                 break
             chosen.append(candidate)
             need_mb -= candidate.freed_mb
@@ -227,12 +230,12 @@
 
 
 def _evictable_keep_values(incoming: Demand, load_s: float) -> tuple[float, float]:
-    """The least and the most that an idle model may be worth to make way.
+    """The least and the greatest keep value of idle models that may be evicted.
 
-    Before anybody calls, the models that several engines hold are those that the
-    platform expects to be called most. Unloaded for one that nobody asks for, they are
-    missed by the first callers; one that a single engine holds is called rarely, and
-    its copy stays.
+    Before the first calls, the models that several engines hold are those that the
+    platform expects to be called most. Evicted for a model without calls, they would be
+    missed by the first callers. A model that a single engine holds is called rarely,
+    and its copy remains.
     """
     if incoming.value:
         return 0.0, KEEP_FACTOR * max(incoming.value, MIN_DEMAND_VALUE)
@@ -255,12 +258,12 @@
     incoming: Demand,
     load_s: float = 0.0,
 ) -> Victims | None:
-    """Which held models make way for ``need_mb`` more; None if that isn't worth it.
-    ``load_s`` is how long the one that comes takes."""
+    """Which held models to evict for ``need_mb`` beyond the free memory; None if that
+    isn't worth it. ``load_s`` is how long the incoming load takes, in seconds."""
     if need_mb <= 0:
         return NO_VICTIMS
-    evicted = EvictionOrder(engine, holdings, in_use, keep_values)
-    return evicted.choose(need_mb, incoming, load_s)
+    eviction_order = EvictionOrder(engine, holdings, in_use, keep_values)
+    return eviction_order.choose(need_mb, incoming, load_s)
 
 
 def keep_values(
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/model_moves.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/model_moves.py
@@ -1,10 +1,11 @@
-"""Room for an awaited model, made by moving another to where that has a copy.
+"""Makes room for an awaited model by moving another model to an engine that has a copy
+of it.
 
 A model that becomes busy often has its only copy at an engine that is full of other
-busy models. Elsewhere it would come from the weight store, which takes many seconds; at
-its copy it would take half of one. So one of the models there is loaded a second time,
-from a copy that another engine with room has of it. Then it can go where it stands in
-the way, and none of its calls waits.
+busy models. At other engines it would be loaded from the weight store, which takes many
+seconds; from its copy the load takes half a second. So one of the models there is
+loaded a second time, from its copy at another engine with room. Then it can be evicted
+at the first engine, and none of its calls waits.
 """
 
 from __future__ import annotations
@@ -21,19 +22,21 @@
 )
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 
-#: What a model is wanted of which nothing is known, but that an engine holds it.
+#: The demand assumed for a model of which only is known that an engine holds it.
 _SINGLE_HOLDER = Demand(holders=1)
 
-#: A move is worth its load if the model would else come this much later. Seconds.
+#: Seconds that a move must save to be worth its load.
 MIN_MOVE_GAIN_S = 2.0
-#: And if so many calls wait for it: one alone is served sooner by what else is planned.
+#: Calls that must wait for the model for a move to be worth it: a single one is served
+#: sooner by the rest of the plan.
 MIN_WAITING_CALLS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """``moved`` is loaded vacated ``target``, None if it is on its way there already; then the
-    awaited model takes its place at ``vacated``, and can be used in ``ready_in_s``."""
+    """``moved`` is loaded at ``target``, which is None if that load is already in
+    progress; then the awaited model replaces it at ``vacated``, and can be used after
+    ``ready_in_s`` seconds."""
 
     moved: ModelSpec
     target: LoadTarget | None
@@ -51,8 +54,8 @@
 ) -> Move | None:
     """The quickest move that makes room for ``spec`` at an engine that has a copy of
     it; None if there is none. ``copies`` are the engines that have a copy of a model
-    and don't hold it, ``in_progress`` models on their way from a copy, and the seconds that
-    they still need."""
+    and don't hold it; ``in_progress`` are the models being loaded from a copy, and the
+    seconds until these loads end."""
     moves = []
     for vacated in copies.get(spec.name, ()):
         if not vacated.is_free:
@@ -76,8 +79,8 @@
     vacated: LoadTarget,
     demands: Mapping[str, Demand],
 ) -> list[ModelSpec]:
-    """The models there of which one alone would make room, and that may go once they
-    are held elsewhere as well, the least wanted first."""
+    """The models at this engine of which one alone would free enough memory, and that
+    may be evicted once another engine holds them as well; the least demand first."""
     state = vacated.backend.engine
     need_mb = spec.size_mb - (engine.memory_mb - state.memory_mb_used)
     found = []
@@ -100,7 +103,8 @@
     demands: Mapping[str, Demand],
 ) -> tuple[LoadTarget | None, float]:
     found: tuple[LoadTarget | None, float] = (None, float("inf"))
-    # No call waits for it: it is held, and stays so until it is held there as well.
+    # No call waits for it, because it stays resident until the other engine holds it as
+    # well.
     demand = Demand(demands.get(moved.name, NO_DEMAND).rate)
     for load_target in copies.get(moved.name, ()):
         if load_target is vacated or not load_target.is_free:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -1,14 +1,15 @@
-"""Which engine loads which model next, and when a waiting call can be served.
+"""Plans which engine loads which model next, and when a waiting call can be served.
 
-Most models are idle, and only a part of them fits on the engines at a time. A load from
-the weight store takes long and the store serves few at once; a load from a copy on an
+Most models are idle, and only some of them fit on the engines at a time. A load from
+the weight store takes long, and the store serves few at once; a load from a copy on an
 engine's own disk or in its memory is many times faster. So each model is fetched from
-the store once, as early as possible, and comes back from its copy from then on.
+the store once, as early as possible, and is loaded from its copy from then on.
 
-All entries work out the same plan from nearly the same figures, so no entry leads. Each
-asks agents for the loads that it has calls for; an agent carries out one load at a time
-and tells all entries at once, so that two of them seldom ask for the same model at two
-engines. Where that happens it costs a load, and breaks no promise.
+All entries compute the same plan from nearly the same figures, so there is no leader.
+Each entry requests from agents the loads that it has calls for. An agent carries out
+one load at a time and reports it to all entries at once, so entries seldom request the
+same model at two engines. Where that happens it costs a load, and violates no
+guarantee.
 """
 
 from __future__ import annotations
@@ -51,41 +52,42 @@
     StoreQueue,
 )
 
-#: What it counts, in seconds, that a long load puts one model out of reach: asked for
-#: meanwhile, it would be late by half of the load, and most aren't asked for.
+#: The cost of making one model unavailable by a long load, in seconds: a call for it
+#: meanwhile would be late by half of the load, but most such models aren't called.
 BLOCKED_MODEL_COST_S = 0.3
-#: What it counts that a long load keeps one call from its adapter: it is refused, and
-#: comes back as late as that. Seconds.
+#: The cost of keeping one call from its adapter by a long load, in seconds: the call is
+#: refused, and its caller comes back after that time.
 BLOCKED_CALL_COST_S = 1.0
-#: What it counts at most that calls may miss an adapter during a long load: it waits
-#: for no other engine longer than that. Seconds.
+#: The maximum cost of calls that may miss an adapter during a long load, in seconds:
+#: the load waits no longer than that for another engine.
 MAX_CALLS_AT_RISK_COST_S = 1.0
-#: Loads that are over within so long of each other are equally good; then rendezvous
-#: hashing decides. Decimals of a second.
+#: Loads whose ends are equal when rounded to this many decimals of a second are equally
+#: good; rendezvous hashing then decides.
 EQUAL_DECIMALS = 1
-#: While calls come, one in so many engines may be in a load from the weight store.
+#: While there are calls, one in this many engines may be loading from the weight store.
 ENGINES_PER_LONG_LOAD = 2
-#: A load beyond what the store is known to serve is tried for so many callers who are
-#: there: with fewer, another model may be asked for more by the time of its turn.
+#: One load more than the store is known to serve is tried for at least this many
+#: waiting or returning callers: with fewer, another model may have more demand by the
+#: time the store is free.
 MIN_CALLERS_TO_PROBE = 2 * MANY_WAITING
-#: Or for one that nobody could be served of for so many times its load: the queue for
-#: the store is long, whoever is first in it.
+#: Such a load is also tried for a model that nobody has been served of for this many
+#: times its load time: the queue for the store is long, whichever model is first.
 PROBE_AFTER_LOADS = 4
-#: What is later than the best by more than this can't be equally good. Seconds; half
-#: of the last decimal and a little for rounding.
+#: A load that ends later than the best one by more than this can't be equally good.
+#: Seconds: half of the last decimal and a little for rounding.
 TIE_MARGIN_S = 0.06
-#: How many weights of engines for models are kept: those of 136 models and 29 engines,
+#: Cached rendezvous weights of engines for models: those of 136 models and 29 engines,
 #: and as many again.
 WEIGHT_CACHE_SIZE = 8192
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedLoad:
-    """A load that is under way or planned, and when the model can be used.
+    """A load that is in progress or planned, and when the model can be used.
 
     ``instance`` is empty while the load waits for the weight store: which engine is
-    best then isn't known yet. ``start_reason`` tells why a load from the store begins when it
-    does.
+    best then isn't known yet. ``start_reason`` tells why a load from the store starts
+    when it does.
     """
 
     model: str
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Option:
-    """A load at an engine; ``ready_in_s`` leaves out its wait for the weight store."""
+    """A load at an engine; ``ready_in_s`` excludes the wait for the weight store."""
 
     load_target: LoadTarget
     ready_in_s: float
@@ -108,12 +110,13 @@
 class Planner:
     """Plans the loads of one service of engines.
 
-    ``store_loads`` is how many loads the weight store serves at full speed; those that
-    begin beyond it take longer. ``left_s`` is when the load under way at an engine
-    ends, ``other_load_ends`` when those end, in seconds, that draw on the weight store
-    at engines which can't be planned with. ``allows_probe``: whether the store may be
-    asked for one more than it is known to serve. ``cooling_down`` are models and engines that
-    no load from the store is planned for.
+    ``store_loads`` is how many loads the weight store serves at full speed; loads
+    started beyond that take longer. ``left_s`` returns how many seconds the load in
+    progress at an engine still takes. ``other_load_ends`` are the seconds until loads
+    from the weight store end that run on engines outside of the plan. ``allows_probe``
+    tells whether the store may be given one load more than it is known to serve.
+    ``cooling_down`` are pairs of models and engines for which no load from the store is
+    planned.
     """
 
     def __init__(
@@ -126,13 +129,13 @@
         cooling_down: Collection[tuple[str, str]] = (),
     ) -> None:
         self._engine = engine
-        #: How many loads the weight store is taken to serve at full speed.
+        #: How many loads the weight store is assumed to serve at full speed.
         self.store_loads = store_loads
         self._left_s = left_s or _reported_left_s
         self._other_load_ends = other_load_ends
         self._allows_probe = allows_probe
         self._cooling_down = cooling_down
-        #: How many loads draw on the weight store at the time of the last plan.
+        #: How many loads used the weight store at the time of the last plan.
         self.store_loads_under_way = 0
         self._live_backends: list[Backend] = []
         self._copy_counts: Counter[str] = Counter()
@@ -148,26 +151,27 @@
         backends: Iterable[Backend],
         demands: Mapping[str, Demand],
     ) -> dict[str, PlannedLoad]:
-        """The loads to come, by model, the most wanted first.
+        """The loads to come, by model, highest priority first.
 
         ``demands`` is the demand of all entries together.
 
-        A model that is held somewhere doesn't appear unless a second engine shall hold
-        it as well. Models that no engine has a copy of are fetched even if nobody asks
-        for them yet, behind all others.
+        A model that an engine holds doesn't appear unless a second engine shall hold it
+        as well. Models that no engine has a copy of are prefetched, after all others.
         """
-        known = [
+        live_backends = [
             backend
             for backend in backends
             if backend.engine is not None and not backend.lost(now)
         ]
-        self._live_backends = known
-        self._copy_counts = copies = self._survey_fleet(now, known, demands)
-        plan = self._loads_in_progress(known)
+        self._live_backends = live_backends
+        self._copy_counts = copies = self._survey_fleet(now, live_backends, demands)
+        plan = self._loads_in_progress(live_backends)
         store_ends = [load.ready_in_s for load in plan.values() if load.from_store]
         store_ends += self._other_load_ends
         self.store_loads_under_way = len(store_ends)
-        order = prioritize_loads(self._engine, now, known, copies, demands, plan)
+        order = prioritize_loads(
+            self._engine, now, live_backends, copies, demands, plan
+        )
         order = [item for item in order if item[0].size_mb <= self._engine.memory_mb]
         queue = self._store_queue(demands, store_ends)
         admission = StoreAdmission(queue, bool(store_ends), order, copies, demands)
@@ -176,12 +180,12 @@
             in_progress = plan.get(spec.name)
             if in_progress is None or rank is LoadRank.MANY_CALLS_WAITING:
                 self._plan_one(spec, rank, in_progress, demands, admission, plan)
-            # Otherwise it is being moved, to make room for one before it in the order.
+            # Otherwise it is being moved to make room for a model with higher priority.
         return plan
 
     def awaited_from_store(self, demands: Mapping[str, Demand]) -> list[str]:
-        """The models that calls wait for and no engine had a copy of at the last plan,
-        the most wanted first."""
+        """The models that calls wait for and that no engine had a copy of at the last
+        plan, the most valuable load first."""
         awaited = [
             name
             for name, demand in demands.items()
@@ -214,8 +218,8 @@
         admission: StoreAdmission,
         plan: dict[str, PlannedLoad],
     ) -> None:
-        """Plan the load of one model, if there is one worth it; ``in_progress`` is one that
-        is under way."""
+        """Plan the load of one model, if a load is worth it; ``in_progress`` is its
+        load in progress, if any."""
         demand = demands.get(spec.name, NO_DEMAND)
         oversubscription = _oversubscription(spec, demand)
         if self._must_wait_for_store(spec, oversubscription, admission.queue):
@@ -233,9 +237,9 @@
             if not admission.admit(rank, in_progress is not None):
                 return
             if spec.name in self._copies and admission.defers_to_uncopied(spec):
-                _, ends = start_reason = admission.queue.preview(spec.load_s)
+                _, ends = interval = admission.queue.preview(spec.load_s)
                 if not self._plan_move(spec, ends, demands, plan):
-                    plan[spec.name] = _waiting_load(spec, start_reason)
+                    plan[spec.name] = _waiting_load(spec, interval)
                 return
             admission.record_load(rank)
             start_reason = admission.queue.start_reason(spec.load_s, oversubscription)
@@ -260,47 +264,51 @@
     def _store_queue(
         self, demands: Mapping[str, Demand], store_ends: Collection[float]
     ) -> StoreQueue:
-        """The loads that draw on the weight store.
+        """The loads from the weight store.
 
-        While calls come, half of the engines are kept for loads from copies: these
-        serve a call in time, and one in a long load offers none of its copies until it
-        ends.
+        While there are calls, half of the engines are reserved for loads from copies:
+        these serve a call in time, and an engine in a long load can use none of its
+        copies until it ends.
         """
         if not any([demand.rate for demand in demands.values()]):
             return StoreQueue(self.store_loads, store_ends)
-        most = max(1, len(self._load_targets) // ENGINES_PER_LONG_LOAD)
-        allow_probe = self._allows_probe and self.store_loads < most
-        return StoreQueue(min(self.store_loads, most), store_ends, allow_probe)
+        max_loads = max(1, len(self._load_targets) // ENGINES_PER_LONG_LOAD)
+        allow_probe = self._allows_probe and self.store_loads < max_loads
+        return StoreQueue(min(self.store_loads, max_loads), store_ends, allow_probe)
 
     def _survey_fleet(
-        self, now: float, known: list[Backend], demands: Mapping[str, Demand]
+        self, now: float, live_backends: list[Backend], demands: Mapping[str, Demand]
     ) -> Counter[str]:
-        """Note what holds for all models of a plan; returns how many engines have
-        copies of each."""
+        """Compute what all models of a plan share; returns how many engines have copies
+        of each model."""
         copies: Counter[str] = Counter()
         copied_at = {}
-        for backend in known:
+        for backend in live_backends:
             copied_at[backend.instance] = names = copies_at(backend)
             copies.update(names)
         self._load_targets = [
             self._load_target(backend)
-            for backend in known
+            for backend in live_backends
             if backend.accepts_orders(now)
         ]
         self._adapters = AdapterAvailability(self._engine, self._load_targets, demands)
         self._copies = copies_of(self._load_targets)
-        once = {name for name, count in copies.items() if count == 1}
+        single_copies = {name for name, count in copies.items() if count == 1}
         for load_target in self._load_targets:
             instance, held = load_target.instance, load_target.held
-            only_copies = self._only_copies_at[instance] = once & copied_at[instance]
+            only_copies = self._only_copies_at[instance] = (
+                single_copies & copied_at[instance]
+            )
             self._unavailable_counts[instance] = sum(
                 [name not in held for name in only_copies]
             )
         return copies
 
-    def _loads_in_progress(self, known: list[Backend]) -> dict[str, PlannedLoad]:
+    def _loads_in_progress(
+        self, live_backends: list[Backend]
+    ) -> dict[str, PlannedLoad]:
         found: dict[str, PlannedLoad] = {}
-        for backend in known:
+        for backend in live_backends:
             loading = backend.engine.loading
             if loading is not None:
                 found[loading.model] = PlannedLoad(
@@ -319,8 +327,8 @@
         demands: Mapping[str, Demand],
         plan: dict[str, PlannedLoad],
     ) -> bool:
-        """Plan to make room for an awaited model at its copy by moving another, if
-        that is much sooner than ``ready_in_s``."""
+        """Plan to make room for an awaited model at its copy by moving another model,
+        if that is much sooner than ``ready_in_s``."""
         if demands.get(spec.name, NO_DEMAND).waiting < MIN_WAITING_CALLS:
             return False
         in_progress = {
@@ -361,8 +369,8 @@
         self, spec: ModelSpec, oversubscription: Oversubscription, queue: StoreQueue
     ) -> bool:
         """Whether no engine has a copy to load the model from, and the weight store
-        can't serve it now. Most models of a long plan are like that; for these it would
-        be in vain to compare all engines."""
+        can't serve it now. That holds for most models of a long plan; comparing all
+        engines for these would be wasted time."""
         if spec.name in self._copies:
             return False
         return not queue.can_start(spec.load_s, oversubscription)
@@ -380,11 +388,12 @@
     def _best(
         self, spec: ModelSpec, demand: Demand, store_wait_s: float
     ) -> _Option | None:
-        """Where a load of the model is over first, as far as that tells; one from the
-        weight store has to wait for its turn."""
+        """The engine where a load of the model is expected to end first; a load from
+        the weight store starts after ``store_wait_s``."""
         best: _Option | None = None
         best_s = float("inf")
-        # Copies come first: a load from one rules most other engines out.
+        # Engines with a copy come first: a load from a copy rules most other engines
+        # out.
         for load_target in (*self._copies.get(spec.name, ()), *self._load_targets):
             if load_target.planned_loads > 2 or spec.name in load_target.held:
                 continue
@@ -394,7 +403,8 @@
             ready = load_target.free_after_s + seconds + ORDER_OVERHEAD_S
             wait_s = max(0.0, store_wait_s) if from_store else 0.0
             if ready + wait_s > best_s + TIE_MARGIN_S:
-                # Before the costlier questions: half of all engines end here.
+                # Checked before the more expensive conditions: half of all engines are
+                # excluded here.
                 continue
             blocked_calls = self._adapters.blocked_calls(load_target, seconds)
             if blocked_calls > demand.value:
@@ -424,25 +434,26 @@
         return best
 
     def _blocked_by_load(self, load_target: LoadTarget, victims: Victims) -> int:
-        """How many models can't be had while a long load keeps this engine from all
-        other orders: those of which it has the only copy and that it won't hold."""
+        """How many models are unavailable while a long load blocks this engine: those
+        whose only copy it has and that it won't hold."""
         instance = load_target.instance
         only_copies = self._only_copies_at[instance]
-        going = sum([name in only_copies for name in victims.models])
-        return self._unavailable_counts[instance] + going
+        evicted = sum([name in only_copies for name in victims.models])
+        return self._unavailable_counts[instance] + evicted
 
     def _reserve(self, option: _Option) -> None:
-        """Keep an engine for a load that can begin there next.
+        """Reserve an engine for a load that can start there next.
 
-        A load that waits for the store takes no engine yet: with a dozen models in that
-        queue every engine was taken, and none loaded a copy that calls waited for.
+        A load that waits for the store reserves no engine yet: otherwise, with a dozen
+        models in that queue, every engine was reserved, and none loaded a copy that
+        calls waited for.
         """
         self._adapters.reserve(option.load_target, option.ready_in_s)
         option.load_target.planned_loads += 1
 
 
 def _is_worthwhile(option: _Option, in_progress: PlannedLoad | None) -> bool:
-    """Whether a load from a copy is worth it beside one that is under way."""
+    """Whether a load from a copy is worth it in addition to the one in progress."""
     return (
         in_progress is None
         or option.ready_in_s + MIN_MOVE_GAIN_S <= in_progress.ready_in_s
@@ -459,9 +470,9 @@
     return Oversubscription.MUST_QUEUE
 
 
-def _waiting_load(spec: ModelSpec, start_reason: tuple[float, float]) -> PlannedLoad:
-    """A load that waits for its turn at the weight store."""
-    _, ends = start_reason
+def _waiting_load(spec: ModelSpec, interval: tuple[float, float]) -> PlannedLoad:
+    """A load that is queued for the weight store."""
+    _, ends = interval
     return PlannedLoad(
         spec.name, "", ends + ORDER_OVERHEAD_S, request_now=False, from_store=True
     )
@@ -473,7 +484,7 @@
 
 
 def _incremental_demand(rank: LoadRank, demand: Demand) -> Demand:
-    """The demand that one more engine would serve: of a model that is held already,
+    """The demand that one more engine would serve: for a model that is already held,
     what that engine would add."""
     if rank is not LoadRank.ADDITIONAL_ENGINE or demand.holders <= 1:
         return demand
