--- a/packages/bambootiller-core/src/bambootiller_core/gateway/customers.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/customers.py
@@ -88,7 +88,7 @@
         by_digest: dict[bytes, Customer] = {}
         for customer, keys in keyed:
             if by_name.setdefault(customer.name, customer) is not customer:
-                raise CustomerConflict(f"two customers are called {customer.name!r}")
+                raise CustomerConflict(f"two customers are named {customer.name!r}")
             for key in keys:
                 holder = by_digest.setdefault(digest(key.encode()), customer)
                 if holder is not customer:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
@@ -53,7 +53,7 @@
             for name, (incarnation, ceilings) in document.items()
         }
     except (ValueError, TypeError, AttributeError) as exc:
-        raise UnreadableRecord(f"members of quotas: {type(exc).__name__}") from exc
+        raise UnreadableRecord(f"invalid quota members: {type(exc).__name__}") from exc
 
 
 def _parts(ceilings: Mapping[str, float]) -> dict[str, float]:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -84,8 +84,9 @@
 
     @property
     def slowest_position(self) -> int:
-        """The number of loads under way when the slowest load of the group started,
-        itself included: the lowest number that agrees with the loads that have ended.
+        """How many loads were under way when the slowest load of the group started,
+        itself included. This is the lowest number that agrees with the loads that have
+        ended at full speed.
         """
         if self.at_full_speed:
             return self.running_before + self.at_full_speed + 1
