--- a/packages/bambootiller-core/src/bambootiller_core/gateway/document_propagation.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/document_propagation.py
@@ -65,8 +65,8 @@
 
 
 def is_covered(revisions: Revisions, change: Changed) -> bool:
-    """Whether a process that has all documents up to the revisions ``revisions`` has
-    this one.
+    """Whether a process that has all documents up to these ``revisions``, by part of
+    the store, has this one.
 
     >>> from bambootiller_core.ports import Record
     >>> is_covered({"a/": 5}, Changed(Record("a/b", b"", 5)))
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_state_changes.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/log_lines/_state_changes.py
@@ -1,4 +1,4 @@
-"""Log lines about changes of what a process knows of the system."""
+"""Log lines about changes in a process's view of the system."""
 
 from __future__ import annotations
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/retry_prediction.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/retry_prediction.py
@@ -37,7 +37,7 @@
         self, call: Call, now: float, retry_after_s: float
     ) -> float | None:
         """In how many seconds the refused caller is expected to retry, None if it isn't
-        expected to. ``retry_after_s`` is the time that it is told."""
+        expected to. ``retry_after_s`` is the retry-after time in its refusal."""
         max_allowed_s = self._max_allowed_s.get(call.route.name, 0.0)
         if call.route.timeout_s is not None:
             # The operator may have shortened the timeout since.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/update_filter.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/update_filter.py
@@ -5,8 +5,8 @@
 
 Example::
 
-    untold = UpdateFilter(since=7, own=True, excluded_source="a1")
-    untold.covers(version=9, source="")    # True
+    update_filter = UpdateFilter(since=7, own_only=True, excluded_source="a1")
+    update_filter.includes(version=9, source="")    # True
 """
 
 from __future__ import annotations
