--- a/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_availability.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_availability.py
@@ -47,7 +47,7 @@
         self._adapters = {
             name: spec.adapters
             for name, spec in engine.models.items()
-            if spec.adapters or self._demand(name).adapter_rate
+            if spec.adapters or self._demand(name).adapter_miss_rate
         }
         for load_target in load_targets:
             held = [name for name in load_target.held if name in self._adapters]
@@ -59,7 +59,7 @@
         """How many calls would wait for an adapter in vain during a load of so many
         seconds here, judging by the calls that miss one now."""
         rates = [
-            self._demand(name).adapter_rate
+            self._demand(name).adapter_miss_rate
             for name in self._without_alternative(load_target, seconds)
         ]
         return seconds * sum(rates)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
@@ -12,7 +12,7 @@
 from bambootiller_core.gateway.config import ModelSpec
 from bambootiller_core.gateway.engine_state import EngineState
 from bambootiller_core.gateway.fleet import Backend
-from bambootiller_core.gateway.load_targets import copies_at
+from bambootiller_core.gateway.load_targets import models_with_copy
 from bambootiller_core.gateway.log_lines import CopiesChanged, ModelCopy
 from bambootiller_core.gateway.order_messages import EngineReport
 
@@ -34,7 +34,7 @@
         for backend in backends
         if backend.registration.service == service
         and backend.engine is not None
-        and spec.name in copies_at(backend)
+        and spec.name in models_with_copy(backend)
     ]
     return tuple(found[:MAX_LISTED])
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/demand_collection.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/demand_collection.py
@@ -116,7 +116,10 @@
     ):
         return True
     left = decayed(1.0, elapsed_s)
-    rates = (reported.rate, demand.rate), (reported.adapter_rate, demand.adapter_rate)
+    rates = (reported.rate, demand.rate), (
+        reported.adapter_miss_rate,
+        demand.adapter_miss_rate,
+    )
     return any(_rate_changed(before * left, rate) for before, rate in rates)
 
 
@@ -184,8 +187,8 @@
             demand.holders,
             max(demand.oldest_s, held.oldest_s),
             demand.copies,
-            min_nonzero(demand.in_time_s, held.in_time_s),
-            max(demand.adapter_rate, held.adapter_rate),
+            min_nonzero(demand.next_deadline_s, held.next_deadline_s),
+            max(demand.adapter_miss_rate, held.adapter_miss_rate),
             max(demand.unserved, held.unserved),
             max(demand.unserved_s, held.unserved_s),
             max_known(demand.callers, held.callers),
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
@@ -146,8 +146,8 @@
             demand = demands.get(request.model, NO_DEMAND)
             return (
                 request.urgency,
-                not demand.in_time_s,
-                demand.in_time_s,
+                not demand.next_deadline_s,
+                demand.next_deadline_s,
                 -demand.oldest_s,
             )
 
@@ -181,8 +181,8 @@
                     max(held.holders, demand.holders),
                     max(held.oldest_s, demand.oldest_s),
                     max(held.copies, demand.copies),
-                    min_nonzero(held.in_time_s, demand.in_time_s),
-                    held.adapter_rate + demand.adapter_rate * left,
+                    min_nonzero(held.next_deadline_s, demand.next_deadline_s),
+                    held.adapter_miss_rate + demand.adapter_miss_rate * left,
                     held.unserved + demand.unserved,
                     max(held.unserved_s, _unserved_age_s(demand, elapsed_s)),
                     sum_known(held.callers, demand.callers),
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_priority.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_priority.py
@@ -111,8 +111,8 @@
     if not copied:
         worth = demand.store_load_value / spec.load_s
         return rank, True, 0.0, -worth, spec.load_s, _tie_breaker(spec.name)
-    in_time = demand.in_time_s >= spec.disk_s
-    first = demand.in_time_s if in_time else -demand.oldest_s
+    in_time = demand.next_deadline_s >= spec.disk_s
+    first = demand.next_deadline_s if in_time else -demand.oldest_s
     return (
         rank,
         not in_time,
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
@@ -108,7 +108,7 @@
         return self._eviction_order.choose(need_mb, incoming, load_s)
 
 
-def copies_at(backend: Backend) -> set[str]:
+def models_with_copy(backend: Backend) -> set[str]:
     """The models that the engine holds, loads, or has copies of."""
     state = backend.engine
     names = set(backend.holdings)
@@ -119,7 +119,7 @@
     return names
 
 
-def copies_of(places: Iterable[LoadTarget]) -> dict[str, list[LoadTarget]]:
+def targets_with_copy(places: Iterable[LoadTarget]) -> dict[str, list[LoadTarget]]:
     """The engines that have a copy of each model and don't hold it."""
     found: dict[str, list[LoadTarget]] = {}
     for load_target in places:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
@@ -45,9 +45,9 @@
     #: Engines that have its weights, including those that hold the model.
     copies: int = 0
     #: Seconds until the next waiting call exceeds its deadline, 0 if none is in time.
-    in_time_s: float = 0.0
+    next_deadline_s: float = 0.0
     #: Calls per second whose adapter no engine holds.
-    adapter_rate: float = 0.0
+    adapter_miss_rate: float = 0.0
     #: Calls that ended without an answer since an engine last held the model.
     unserved: float = 0.0
     #: Seconds since the first of these calls.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -34,8 +34,8 @@
     ORDER_OVERHEAD_S,
     LoadTarget,
     Victims,
-    copies_at,
-    copies_of,
+    models_with_copy,
+    targets_with_copy,
 )
 from bambootiller_core.gateway.log_lines import Obstacles
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
@@ -229,7 +229,7 @@
                 plan[spec.name] = _waiting_load(spec, admission.queue.add(spec.load_s))
             return
         begins, _ = admission.queue.preview(spec.load_s, oversubscription)
-        option = self._best(spec, _incremental_demand(rank, demand), begins)
+        option = self._best_option(spec, _incremental_demand(rank, demand), begins)
         if option is None:
             return
         ready, waits_for_store, start_reason = option.ready_in_s, False, None
@@ -284,7 +284,7 @@
         copies: Counter[str] = Counter()
         copied_at = {}
         for backend in live_backends:
-            copied_at[backend.instance] = names = copies_at(backend)
+            copied_at[backend.instance] = names = models_with_copy(backend)
             copies.update(names)
         self._load_targets = [
             self._load_target(backend)
@@ -292,7 +292,7 @@
             if backend.accepts_orders(now)
         ]
         self._adapters = AdapterAvailability(self._engine, self._load_targets, demands)
-        self._copies = copies_of(self._load_targets)
+        self._copies = targets_with_copy(self._load_targets)
         single_copies = {name for name, count in copies.items() if count == 1}
         for load_target in self._load_targets:
             instance, held = load_target.instance, load_target.held
@@ -385,7 +385,7 @@
             for load_target in self._load_targets
         )
 
-    def _best(
+    def _best_option(
         self, spec: ModelSpec, demand: Demand, store_wait_s: float
     ) -> _Option | None:
         """The engine where a load of the model is expected to end first; a load from
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -20,7 +20,7 @@
 from bambootiller_core.gateway.demand_tracker import DemandTracker
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.initial_discovery import InitialDiscovery
-from bambootiller_core.gateway.load_targets import copies_at
+from bambootiller_core.gateway.load_targets import models_with_copy
 from bambootiller_core.gateway.log_lines import (
     LogLine,
     ModelCopy,
@@ -277,7 +277,7 @@
                 # Nobody is served there, and others mustn't make way for what it holds.
                 continue
             holders.update(backend.holdings.keys())
-            copies.update(copies_at(backend))
+            copies.update(models_with_copy(backend))
         demands = self.demand(service).demands(now, holders, copies)
         for model, count in holders.items():
             if model not in demands:
--- a/tests/gateway/common/fleets.py
+++ b/tests/gateway/common/fleets.py
@@ -99,7 +99,7 @@
     for name, demand in demands.items():
         if name in spec.models and spec.models[name].adapters and demand.rate:
             rate = demand.rate * rng.choice((0.0, 0.02, 0.3))
-            found[name] = replace(demand, adapter_rate=rate)
+            found[name] = replace(demand, adapter_miss_rate=rate)
     return found
 
 
--- a/tests/gateway/common/rare_replay.py
+++ b/tests/gateway/common/rare_replay.py
@@ -16,8 +16,8 @@
 from bambootiller_core.gateway.entry_reports import MIN_RESIDENCY_S
 from bambootiller_core.gateway.load_targets import (
     choose_victims,
-    copies_at,
     keep_values,
+    models_with_copy,
 )
 from bambootiller_core.gateway.model_demand import NO_DEMAND
 from bambootiller_core.gateway.residency import Planner
@@ -270,7 +270,7 @@
         for backend in backends:
             for name in backend.holdings:
                 holders[name] += 1
-            for name in copies_at(backend):
+            for name in models_with_copy(backend):
                 copies[name] += 1
         demands = self.demand_tracker.demands(self.now, holders, copies)
         backends = [self._backend(engine, demands) for engine in self.engines]
--- a/tests/gateway/cover/test_demand.py
+++ b/tests/gateway/cover/test_demand.py
@@ -84,11 +84,11 @@
         self.demand_tracker.begin_waiting(0.0, "tutor", due=0.5)
         self.demand_tracker.begin_waiting(0.0, "tutor", due=4.0)
         self.demand_tracker.begin_waiting(1.0, "tutor", due=9.0)
-        self.assertEqual(self.demand(1.0).in_time_s, 3.0)
+        self.assertEqual(self.demand(1.0).next_deadline_s, 3.0)
         self.demand_tracker.end_waiting(0.0, "tutor", due=4.0)
-        self.assertEqual(self.demand(1.0).in_time_s, 8.0)
+        self.assertEqual(self.demand(1.0).next_deadline_s, 8.0)
 
     def test_calls_that_are_late_already_are_in_time_no_more(self):
         self.demand_tracker.asked(0.0, "tutor")
         self.demand_tracker.begin_waiting(0.0, "tutor", due=0.5)
-        self.assertEqual(self.demand(1.0).in_time_s, 0.0)
+        self.assertEqual(self.demand(1.0).next_deadline_s, 0.0)
--- a/tests/gateway/cover/test_collecting.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -83,7 +83,7 @@
         self.assertEqual((demand.unserved, demand.unserved_s), (3.0, 4.0))
 
     def test_it_travels_both_ways(self):
-        demand = Demand(0.5, 1, adapter_rate=0.25, unserved=2.5, unserved_s=3.5)
+        demand = Demand(0.5, 1, adapter_miss_rate=0.25, unserved=2.5, unserved_s=3.5)
         self.assertEqual(
             wire.demands_of(wire.demand_messages({"poet": demand})), {"poet": demand}
         )
@@ -121,15 +121,19 @@
 
     def test_the_entry_with_the_least_time_left_counts(self):
         entry_reports = EntryReports()
-        entry_reports.reported(1.0, "e1", {"tutor": Demand(0.5, 1, in_time_s=2.0)}, {})
-        entry_reports.reported(1.0, "e2", {"tutor": Demand(0.5, 1, in_time_s=0.5)}, {})
-        self.assertEqual(entry_reports.demands()["tutor"].in_time_s, 0.5)
+        entry_reports.reported(
+            1.0, "e1", {"tutor": Demand(0.5, 1, next_deadline_s=2.0)}, {}
+        )
+        entry_reports.reported(
+            1.0, "e2", {"tutor": Demand(0.5, 1, next_deadline_s=0.5)}, {}
+        )
+        self.assertEqual(entry_reports.demands()["tutor"].next_deadline_s, 0.5)
 
     def test_one_without_such_a_call_does_not(self):
-        early, late = Demand(0.5, 1, in_time_s=2.0), Demand(0.5, 3)
+        early, late = Demand(0.5, 1, next_deadline_s=2.0), Demand(0.5, 3)
         for first, second in ((early, late), (late, early)):
             merged = merge_max({"tutor": first}, {"tutor": second})
-            self.assertEqual(merged["tutor"].in_time_s, 2.0)
+            self.assertEqual(merged["tutor"].next_deadline_s, 2.0)
 
 
 class TestCallers(unittest.TestCase):
@@ -175,7 +179,7 @@
 
 
 class TestLoadRequests(unittest.TestCase):
-    def test_the_demand_of_all_comes_with_the_wish(self):
+    def test_the_demand_of_all_comes_with_the_load_request(self):
         """Symptom: a model that all entries wait for doesn't make others go.
 
         Its agent heard of the calls of the one entry that asks for the load, as the
@@ -191,7 +195,7 @@
         entry_reports.load_requested(1.0, load_request)
         self.assertEqual(entry_reports.demands()["poet"], Demand(9.0, 30, 0, 1.5))
 
-    def test_a_wish_without_demand_stays_without(self):
+    def test_a_load_request_without_demand_stays_without(self):
         update = pb.ResidencyUpdate()
         wire.add_load_request(update, LoadRequest("poet", "a1"))
         self.assertEqual(
--- a/tests/gateway/cover/test_residency.py
+++ b/tests/gateway/cover/test_residency.py
@@ -114,7 +114,10 @@
     def test_a_long_load_goes_nowhere_where_it_costs_more_calls_than_it_serves(self):
         """The engine is the last one that can take an order for the adapters."""
         backends = [engine_backend("b1", ["tutor"])]
-        demands = {"tutor": Demand(3.0, 0, adapter_rate=1.0), "poet": Demand(0.1, 1)}
+        demands = {
+            "tutor": Demand(3.0, 0, adapter_miss_rate=1.0),
+            "poet": Demand(0.1, 1),
+        }
         self.assertNotIn("poet", self.plan(backends, **demands))
         another = engine_backend("b2", ["tutor"])
         self.assertIn("poet", self.plan([*backends, another], **demands))
@@ -122,7 +125,7 @@
     def test_a_long_load_goes_where_it_keeps_fewer_calls_from_their_adapters(self):
         backends = [engine_backend("b1", ["tutor"]), engine_backend("b2", ["coder"])]
         for rates in ((0.1, 0.0), (0.0, 0.1)):
-            tutor, coder = [Demand(3.0, 0, adapter_rate=rate) for rate in rates]
+            tutor, coder = [Demand(3.0, 0, adapter_miss_rate=rate) for rate in rates]
             plan = self.plan(backends, tutor=tutor, coder=coder, poet=Demand(0.1, 1))
             expected = "b1" if rates[0] < rates[1] else "b2"
             self.assertEqual(plan["poet"].instance, expected)
@@ -166,26 +169,26 @@
         return list(Planner(self.spec, STORE_LOADS).plan(NOW, self.backends, demands))
 
     def test_they_go_before_calls_that_are_late_already(self):
-        early = Demand(0.1, 1, 0, 0.2, 1, in_time_s=2.0)
+        early = Demand(0.1, 1, 0, 0.2, 1, next_deadline_s=2.0)
         self.assertEqual(self.plan(late=self.late, early=early), ["early", "late"])
 
     def test_the_one_that_would_be_late_first_is_first(self):
-        early = Demand(0.1, 1, 0, 0.9, 1, in_time_s=3.0)
-        soon = Demand(0.1, 1, 0, 0.1, 1, in_time_s=1.0)
+        early = Demand(0.1, 1, 0, 0.9, 1, next_deadline_s=3.0)
+        soon = Demand(0.1, 1, 0, 0.1, 1, next_deadline_s=1.0)
         self.assertEqual(self.plan(early=early, soon=soon), ["soon", "early"])
 
     def test_one_that_no_load_can_serve_in_time_keeps_its_turn(self):
-        early = Demand(0.1, 1, 0, 0.2, 1, in_time_s=0.5)
+        early = Demand(0.1, 1, 0, 0.2, 1, next_deadline_s=0.5)
         self.assertEqual(self.plan(late=self.late, early=early), ["late", "early"])
 
     def test_nor_does_one_overtake_that_only_the_store_can_serve(self):
         self.backends = [engine_backend("b1", on_disk=frozenset({"late"}))]
-        early = Demand(0.1, 1, 0, 0.2, 0, in_time_s=3.0)
+        early = Demand(0.1, 1, 0, 0.2, 0, next_deadline_s=3.0)
         self.assertEqual(self.plan(late=self.late, early=early), ["late", "early"])
 
-    def test_an_agent_takes_the_wishes_of_entries_in_the_same_order(self):
+    def test_an_agent_takes_the_load_requests_of_entries_in_the_same_order(self):
         entry_reports = EntryReports()
-        early = Demand(0.1, 1, 0, 0.2, 1, in_time_s=2.0)
+        early = Demand(0.1, 1, 0, 0.2, 1, next_deadline_s=2.0)
         entry_reports.load_requested(
             NOW, LoadRequest("late", "", CALLS_WAITING, self.late)
         )
--- a/tests/gateway/cover/test_turn_holder.py
+++ b/tests/gateway/cover/test_turn_holder.py
@@ -179,7 +179,9 @@
             agent.turn.seek(agent.app.at)
         return None
 
-    async def test_a_load_begins_without_one_though_the_wish_is_not_repeated(self):
+    async def test_a_load_begins_without_one_though_the_load_request_is_not_repeated(
+        self,
+    ):
         """The entry is told of the load as one to come, and wishes no more; the store
         was idle until the service was back."""
         self.kv.down = True
--- a/tests/gateway/failures/test_orders.py
+++ b/tests/gateway/failures/test_orders.py
@@ -300,7 +300,7 @@
 
 
 class TestStaleLoadRequests(Case):
-    def test_a_wish_is_forgotten_unless_it_is_renewed(self):
+    def test_a_load_request_expires_unless_it_is_renewed(self):
         """Symptom: an engine loads a model that another has loaded meanwhile.
 
         The plan moved on to another engine while this one was busy; carried out after
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -424,7 +424,9 @@
         self.load("clerk")
         self.assertTrue(self.stream.sent)
 
-    def test_an_entry_that_wished_is_told_at_once_and_brought_up_to_date(self):
+    def test_an_entry_that_requested_a_load_is_told_at_once_and_brought_up_to_date(
+        self,
+    ):
         self.begin()
         other = self.many()[0]
         self.load()
