--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -102,12 +102,12 @@
         self.arrivals = []
 
 
-class Bench:
+class EntryHarness:
     """One entry with some replicas.
 
     Example::
 
-        bench = Bench()
+        bench = EntryHarness()
         await bench.add(StandinReplica("i-1", "plain"))
         answer = await bench.call(path=b"/plain/x")
     """
@@ -194,8 +194,10 @@
         for replica in self.replicas:
             await replica.server.stop()
 
-    async def call(self, path=b"/plain/x", method="POST", leave_after=None, **headers):
-        """Send a request as a client; it disconnects after ``leave_after`` seconds."""
+    async def call(
+        self, path=b"/plain/x", method="POST", disconnect_after_s=None, **headers
+    ):
+        """Send a request as a client; it disconnects after ``disconnect_after_s`` seconds."""
         fields = [(b"host", HOST), (b"x-request-attempt", b"r-1")]
         fields += [
             (name.replace("_", "-").encode(), str(value).encode())
@@ -216,9 +218,9 @@
             if not sent:
                 sent.append(True)
                 return {"type": "http.request", "body": b"body", "more_body": False}
-            if leave_after is None:
+            if disconnect_after_s is None:
                 await asyncio.Event().wait()
-            await asyncio.sleep(leave_after)
+            await asyncio.sleep(disconnect_after_s)
             return {"type": "http.disconnect"}
 
         async def send(message):
--- a/tests/adapter/common/fleet.py
+++ b/tests/adapter/common/fleet.py
@@ -35,7 +35,7 @@
     """An entry didn't get ready; the text has the state and output of all programs."""
 
 
-async def until(condition, what, pause_s=0.05, seconds=WAIT_TIMEOUT_S):
+async def wait_until(condition, what, pause_s=0.05, seconds=WAIT_TIMEOUT_S):
     """Wait until ``await condition()`` is true, or fail after ``seconds``."""
     end = asyncio.get_running_loop().time() + seconds
     while not await condition():
@@ -48,11 +48,11 @@
 class Program:
     """A running program.
 
-    ``form`` is its settings document, ``metrics`` the HOST:PORT of its metrics page.
+    ``document`` is its settings document, ``metrics`` the HOST:PORT of its metrics page.
     """
 
     process: asyncio.subprocess.Process
-    form: dict
+    document: dict
     log: Path
     metrics: str
 
@@ -73,7 +73,7 @@
         code = self.process.returncode
         state = "running" if code is None else f"exit code {code}"
         output = self.log.read_text(errors="replace").splitlines()[-LOG_TAIL_LINES:]
-        return "\n".join((f"{self.form['node-name']}: {state}", *output))
+        return "\n".join((f"{self.document['node-name']}: {state}", *output))
 
     async def stop(self, signum=signal.SIGTERM):
         """Send it a signal and wait for its exit code."""
@@ -122,14 +122,14 @@
 
     def configure(self, version=1, **fields):
         """Write a configuration to the store, as the operator does."""
-        form = {
+        document = {
             **CONFIG,
             "version": version,
             "routes": [ROUTE],
             "services": [SERVICE],
             **fields,
         }
-        self.store.put("op/config", json.dumps(form).encode())
+        self.store.put("op/config", json.dumps(document).encode())
 
     async def replica(self, host, instance, service, models=()):
         """Start a replica and add it to the registry."""
@@ -140,7 +140,7 @@
         return replica
 
     async def entry(self, name, seeds=(), stdout=None, front_port=None):
-        """Start an entry; its ``form`` contains its addresses."""
+        """Start an entry; its ``document`` contains its addresses."""
         host = "127.0.0.1"
         ports = {
             "front": front_port or quiet_port(),
@@ -148,18 +148,22 @@
             "control": quiet_port(),
         }
         listen = {part: f"{host}:{port}" for part, port in ports.items()}
-        form = self._form(name, host, {"listen": listen, "seeds": list(seeds)})
-        return await self.start("entry", form, stdout=stdout)
+        document = self._settings_document(
+            name, host, {"listen": listen, "seeds": list(seeds)}
+        )
+        return await self.start("entry", document, stdout=stdout)
 
     async def agent(self, name, replica):
         """Start the agent beside a replica."""
         host = replica.server.address.rpartition(":")[0]
         engine_fields = {"app": replica.server.address, "service": replica.service}
-        return await self.start("agent", self._form(name, host, engine_fields))
+        return await self.start(
+            "agent", self._settings_document(name, host, engine_fields)
+        )
 
     async def is_ready(self, entry):
         """Whether the entry reports that it is ready."""
-        url = f"http://{entry.form['listen']['ready']}/bambootiller/ready"
+        url = f"http://{entry.document['listen']['ready']}/bambootiller/ready"
         try:
             async with self.session.get(url, timeout=READINESS_TIMEOUT) as response:
                 return response.status == 200
@@ -172,7 +176,7 @@
         The error contains the logs of all programs, as the files are removed with the
         fleet.
         """
-        what = f"{entry.form['node-name']} ready"
+        what = f"{entry.document['node-name']} ready"
 
         async def is_ready():
             if entry.process.returncode is not None:
@@ -180,7 +184,7 @@
             return await self.is_ready(entry)
 
         try:
-            await until(is_ready, what, seconds=seconds)
+            await wait_until(is_ready, what, seconds=seconds)
         except AssertionError as exc:
             accounts = [program.status_summary() for program in self._programs]
             raise NotReady("\n--- ".join((str(exc), *accounts))) from exc
@@ -197,7 +201,7 @@
         }
         if model:
             headers["X-Model"] = model
-        url = f"http://{entry.form['listen']['front']}{path}"
+        url = f"http://{entry.document['listen']['front']}{path}"
         async with self.session.post(url, headers=headers, data=body) as response:
             return response.status, await response.read()
 
@@ -208,7 +212,7 @@
         lines = [line for line in text.splitlines() if not line.startswith("#")]
         return {line.rpartition(" ")[0]: float(line.split()[-1]) for line in lines}
 
-    def _form(self, name, host, fields):
+    def _settings_document(self, name, host, fields):
         return {
             "node-name": name,
             "ip": host,
@@ -221,18 +225,18 @@
             **fields,
         }
 
-    async def start(self, role, form, metrics=None, stdout=None):
+    async def start(self, role, document, metrics=None, stdout=None):
         """Start a program.
 
         ``metrics`` is the HOST:PORT at which it serves its metrics, ``stdout`` a file
         descriptor to write output to instead of the log file.
         """
         folder = Path(self._folder.name)
-        file = folder / f"{form['node-name']}-{len(self._programs)}.json"
-        file.write_text(json.dumps(form))
+        file = folder / f"{document['node-name']}-{len(self._programs)}.json"
+        file.write_text(json.dumps(document))
         log = file.with_suffix(".log")
         if metrics is None:
-            host = form.get("ip", "127.0.0.1")
+            host = document.get("ip", "127.0.0.1")
             metrics = f"{host}:{quiet_port(host)}"
         with log.open("wb") as out:
             process = await asyncio.create_subprocess_exec(
@@ -247,6 +251,6 @@
                     "BAMBOOTILLER_METRICS_LISTEN": metrics,
                 },
             )
-        program = Program(process, form, log, metrics)
+        program = Program(process, document, log, metrics)
         self._programs.append(program)
         return program
--- a/tests/adapter/common/rare_models.py
+++ b/tests/adapter/common/rare_models.py
@@ -57,12 +57,12 @@
         return self.status == 200
 
 
-class RareModels(Fleet):
+class RareModelFleet(Fleet):
     """A fleet with callers; records every attempt and its outcome.
 
     Example::
 
-        async with RareModels(seed=1) as fleet:
+        async with RareModelFleet(seed=1) as fleet:
             await fleet.begin()
             await fleet.play(seconds=40.0)
             self.assertEqual(fleet.starved(), [])
@@ -71,7 +71,7 @@
     def __init__(self, seed, adapter_fraction=1.0):
         super().__init__()
         self._rng = random.Random(seed)
-        self.weights = StandinWeightStore(full=1, load_s=LOAD_S)
+        self.weights = StandinWeightStore(full_speed_loads=1, load_s=LOAD_S)
         self.models = [f"m{number}" for number in range(MODELS)]
         self._with_adapters = set(
             self._rng.sample(self.models, round(adapter_fraction * MODELS))
@@ -98,7 +98,7 @@
         for entry in self.entries:
             await self.wait_ready(entry)
 
-    async def play(self, seconds, faults=()):
+    async def run_load(self, seconds, faults=()):
         """Run callers for ``seconds``.
 
         ``faults`` are pairs of a time in seconds and a coroutine function, which is
@@ -113,10 +113,10 @@
                 await asyncio.sleep(self._rng.expovariate(CALLS_PER_S))
                 group.create_task(self._run_caller())
 
-    def starved(self, asked_by=float("inf")):
+    def starved(self, requested_by_s=float("inf")):
         """Return the models and adapters with sustained demand that were never served.
 
-        Only those count that were first requested within ``asked_by`` seconds.
+        Only those count that were first requested within ``requested_by_s`` seconds.
         """
         requested = defaultdict(list)
         for attempt in self.attempts:
@@ -124,11 +124,11 @@
         return [
             (name, sorted(round(attempt.began - self.began, 1) for attempt in attempts))
             for name, attempts in sorted(requested.items())
-            if self._is_sustained(attempts, asked_by)
+            if self._is_sustained(attempts, requested_by_s)
             and not any(attempt.served for attempt in attempts)
         ]
 
-    def story(self, models):
+    def log_excerpt(self, models):
         """Return the log lines on these models, without those of answered calls.
 
         It goes into the failure's text, as the logs are removed with the fleet.
@@ -156,7 +156,7 @@
             kind: round(served[kind] / attempts[kind], 3) for kind in sorted(attempts)
         }
 
-    def idle_store(self, end_s):
+    def idle_store_spans(self, end_s):
         """Return the spans of time in which the weight store was idle despite demand.
 
         It served no load while callers were refused for a model that no engine had a
@@ -177,13 +177,13 @@
                 for attempt in refused
             )
 
-        spans = self.weights.idle(self.began, end, awaited, step_s=0.1)
+        spans = self.weights.idle_spans(self.began, end, awaited, step_s=0.1)
         return [
             (round(begin - self.began, 1), round(end - self.began, 1))
             for begin, end in spans
         ]
 
-    async def lose_memory(self, number):
+    async def restart_empty(self, number):
         """Crash an engine, which restarts with nothing loaded and an empty disk."""
         replica = self.replicas[f"i-{number}"]
         self._record_lost_copies(replica)
@@ -194,7 +194,7 @@
         )
         await replica.crash()
 
-    async def lose(self, number):
+    async def remove_engine(self, number):
         """Remove an engine and its agent for good."""
         replica = self.replicas.pop(f"i-{number}")
         self._record_lost_copies(replica)
@@ -265,7 +265,7 @@
             "X-Deadline-Ms": str(round(left_s * 1000)),
             "X-Model": reference,
         }
-        url = f"http://{entry.form['listen']['front']}/{kind}/x"
+        url = f"http://{entry.document['listen']['front']}/{kind}/x"
         loop = asyncio.get_running_loop()
         began, status, come_back_s = loop.time(), None, None
         timeout = aiohttp.ClientTimeout(total=left_s)
@@ -287,13 +287,13 @@
         weights = [1.0 / (rank + 1) ** 0.5 for rank in range(MODELS)]
         return self._rng.choices(self.models, weights)[0]
 
-    def _is_sustained(self, attempts, asked_by=float("inf")):
+    def _is_sustained(self, attempts, requested_by_s=float("inf")):
         first = min(attempt.began for attempt in attempts)
         last = max(attempt.began for attempt in attempts)
         return (
             len(attempts) >= MIN_ATTEMPTS
             and last - first >= MIN_ATTEMPT_SPAN_S
-            and first - self.began <= asked_by
+            and first - self.began <= requested_by_s
         )
 
     def _service_document(self):
--- a/tests/adapter/cover/test_documents.py
+++ b/tests/adapter/cover/test_documents.py
@@ -63,8 +63,8 @@
 }
 
 
-def record(form, key="op/config", revision=9):
-    value = form if isinstance(form, bytes) else json.dumps(form).encode()
+def record(document, key="op/config", revision=9):
+    value = document if isinstance(document, bytes) else json.dumps(document).encode()
     return Record(key, value, revision)
 
 
@@ -100,9 +100,9 @@
         self.assertEqual(config.version, 7)
 
     def test_invalid_documents_are_reported(self):
-        for form in (b"", b"[]", {**CONFIG, "version": "x"}):
-            found = self.directory.config(record(form))
-            self.assertIsInstance(found, Unreadable, form)
+        for document in (b"", b"[]", {**CONFIG, "version": "x"}):
+            found = self.directory.config(record(document))
+            self.assertIsInstance(found, Unreadable, document)
         route = {**ROUTE, "kind": "new-kind"}
         found = self.directory.config(record({**CONFIG, "routes": [route]}))
         self.assertIsInstance(found, Unreadable)
@@ -122,24 +122,24 @@
         self.assertFalse(found.leaving)
 
     def test_the_start_time_is_an_integer_of_milliseconds(self):
-        form = {**SERVER, "born": 1700000000123}
-        found = self.directory.registration(record(form, "servers/i-1"))
+        document = {**SERVER, "born": 1700000000123}
+        found = self.directory.registration(record(document, "servers/i-1"))
         self.assertEqual(found.incarnation, Incarnation("i-1", 1700000000123))
         found = self.directory.registration(record(SERVER, "servers/i-1"))
         self.assertIsNone(found.incarnation.started_ms)
         for wrong in ("1700000000123", 17.5, True, []):
-            form = {**SERVER, "born": wrong}
-            found = self.directory.registration(record(form, "servers/i-1"))
+            document = {**SERVER, "born": wrong}
+            found = self.directory.registration(record(document, "servers/i-1"))
             self.assertIsInstance(found, Unreadable, wrong)
 
     def test_draining_means_leaving_and_unknown_states_are_rejected(self):
-        form = {**SERVER, "state": "draining"}
+        document = {**SERVER, "state": "draining"}
         self.assertTrue(
-            self.directory.registration(record(form, "servers/i-1")).leaving
+            self.directory.registration(record(document, "servers/i-1")).leaving
         )
         for state in ("something-new", "", "READY"):
-            form = {**SERVER, "state": state}
-            found = self.directory.registration(record(form, "servers/i-1"))
+            document = {**SERVER, "state": state}
+            found = self.directory.registration(record(document, "servers/i-1"))
             self.assertIsInstance(found, Unreadable, state)
 
     def test_an_invalid_registration_is_reported(self):
--- a/tests/adapter/cover/test_key_changes.py
+++ b/tests/adapter/cover/test_key_changes.py
@@ -5,7 +5,7 @@
 
 from bambootiller_core.gateway.attempts import RefusalReason
 from bambootiller_core.gateway.customers import Customer, Customers, digest
-from tests.adapter.common.entry import Bench
+from tests.adapter.common.entry import EntryHarness
 from tests.gateway.common import samples
 
 KEY = "k-1"
@@ -14,14 +14,14 @@
 
 class TestQueuedCalls(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.bench = Bench()
+        self.harness = EntryHarness()
         self.call = samples.call(keyed=True, key=digest(KEY.encode()), customer=FIRST)
 
     def refusal(self, *keyed, call=None):
         config = samples.config()
         found = Customers.build(keyed)
-        self.bench.knowledge.config = replace(config, customers=found)
-        refusal = self.bench.context.key_refusal(call or self.call)
+        self.harness.knowledge.config = replace(config, customers=found)
+        refusal = self.harness.context.key_refusal(call or self.call)
         return refusal and refusal.reason
 
     async def test_a_kept_key_changes_nothing(self):
--- a/tests/adapter/failures/test_bad_input.py
+++ b/tests/adapter/failures/test_bad_input.py
@@ -31,7 +31,7 @@
         await self.fleet.__aexit__()
 
     async def open(self):
-        host, _, port = self.entry.form["listen"]["front"].rpartition(":")
+        host, _, port = self.entry.document["listen"]["front"].rpartition(":")
         return await asyncio.open_connection(host, int(port))
 
     async def answer(self, *pieces, gap_s=0.0):
--- a/tests/adapter/failures/test_calls.py
+++ b/tests/adapter/failures/test_calls.py
@@ -6,29 +6,29 @@
 from bambootiller_platform_standins.httpd import Reply
 from bambootiller_platform_standins.replica import StandinReplica
 
-from tests.adapter.common.entry import MODEL_NAME, Bench
+from tests.adapter.common.entry import MODEL_NAME, EntryHarness
 from tests.gateway.common import samples
 
 
 class Case(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.bench = Bench()
-        self.bench.configure(**{"max-attempts": 2})
+        self.harness = EntryHarness()
+        self.harness.configure(**{"max-attempts": 2})
 
     async def asyncTearDown(self):
-        await self.bench.close()
+        await self.harness.close()
 
     async def plain(self, instance="i-1"):
-        return await self.bench.add(StandinReplica(instance, "plain"))
+        return await self.harness.add(StandinReplica(instance, "plain"))
 
     async def llm(self, instance="i-1"):
-        return await self.bench.add(StandinReplica(instance, "llm", (MODEL_NAME,)))
+        return await self.harness.add(StandinReplica(instance, "llm", (MODEL_NAME,)))
 
 
 class TestAnswers(Case):
     async def test_an_answer_is_passed_on_as_it_came(self):
         replica = await self.plain()
-        answer = await self.bench.call(x_deadline_ms=500)
+        answer = await self.harness.call(x_deadline_ms=500)
         self.assertEqual((answer.status, answer.body), (200, b"done"))
         self.assertEqual(answer.headers[b"x-response-seal"], b"i-1")
         (run,) = replica.runs
@@ -40,28 +40,28 @@
     async def test_a_replicas_own_failure_is_its_answer(self):
         replica = await self.plain()
         replica.next_replies = [lambda req: replica.answer(req, status=500)]
-        self.assertEqual((await self.bench.call()).status, 500)
+        self.assertEqual((await self.harness.call()).status, 500)
         self.assertEqual(len(replica.runs), 1)
 
     async def test_a_connection_is_used_for_many_calls(self):
         replica = await self.plain()
         for _ in range(5):
-            await self.bench.call()
+            await self.harness.call()
         self.assertEqual(replica.server.connections, 1)
 
 
 class TestNoPlace(Case):
     async def test_an_unknown_path_is_answered_404(self):
-        self.assertEqual((await self.bench.call(path=b"/other/")).status, 404)
+        self.assertEqual((await self.harness.call(path=b"/other/")).status, 404)
 
     async def test_without_a_configuration_nothing_is_said_to_be_missing(self):
-        bench = Bench()
-        answer = await bench.call()
+        harness = EntryHarness()
+        answer = await harness.call()
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
 
     async def test_without_a_backend_server_the_caller_may_come_back(self):
-        answer = await self.bench.call()
+        answer = await self.harness.call()
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
 
@@ -69,7 +69,7 @@
         await self.llm()
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        answer = await self.bench.call(path=b"/a/x", x_model="poet")
+        answer = await self.harness.call(path=b"/a/x", x_model="poet")
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
         self.assertLess(loop.time() - started_at, 1.0)
@@ -80,11 +80,11 @@
         The entry has its configuration, but no agent has said yet what it holds.
         """
         replica = await self.llm()
-        self.bench.context.started_at = asyncio.get_running_loop().time()
-        calling = asyncio.ensure_future(self.bench.call(path=b"/a/x", x_model="poet"))
+        self.harness.context.started_at = asyncio.get_running_loop().time()
+        calling = asyncio.ensure_future(self.harness.call(path=b"/a/x", x_model="poet"))
         await asyncio.sleep(0.2)
         replica.held["poet"] = set()
-        self.bench.add_document("servers/i-1", replica.entry())
+        self.harness.add_document("servers/i-1", replica.entry())
         self.assertEqual((await calling).status, 200)
 
 
@@ -104,17 +104,17 @@
             return reply
 
         replica.next_replies = [cut]
-        answers = [await self.bench.call() for _ in range(4)]
+        answers = [await self.harness.call() for _ in range(4)]
         self.assertEqual({answer.body for answer in answers}, {b"done"})
 
     async def test_a_non_idempotent_call_is_not_sent_again(self):
-        self.bench.configure(kind="unsafe", **{"max-attempts": 2})
+        self.harness.configure(kind="unsafe", **{"max-attempts": 2})
         replica = await self.plain()
         other = await self.plain("i-2")
         bad = Reply(200, {}, (b"not signed",))
         replica.next_replies = [lambda req: bad]
         other.next_replies = [lambda req: bad]
-        answer = await self.bench.call()
+        answer = await self.harness.call()
         self.assertEqual(answer.status, 502)
         self.assertEqual(len(replica.runs) + len(other.runs), 1)
         self.assertNotIn(b"retry-after", answer.headers)
@@ -122,7 +122,7 @@
     async def test_a_success_without_signature_is_not_passed_on(self):
         replica = await self.plain()
         replica.next_replies = [lambda req: Reply(200, {}, (b"forged",))]
-        answer = await self.bench.call()
+        answer = await self.harness.call()
         self.assertNotIn(b"forged", answer.body)
 
     async def test_an_answer_to_another_call_is_skipped(self):
@@ -137,16 +137,16 @@
             b"content-length: 5\r\n\r\nother"
         )
         replica.next_replies = [lambda req: replica.answer(req, bytes_before=stray)]
-        answer = await self.bench.call()
+        answer = await self.harness.call()
         self.assertEqual(answer.body, b"done")
 
     async def test_bytes_behind_an_answer_spoil_the_connection(self):
         replica = await self.plain()
         extra = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra"
         replica.next_replies = [lambda req: replica.answer(req, bytes_after=extra)]
-        self.assertEqual((await self.bench.call()).body, b"done")
+        self.assertEqual((await self.harness.call()).body, b"done")
         await asyncio.sleep(0.05)
-        self.assertEqual((await self.bench.call()).body, b"done")
+        self.assertEqual((await self.harness.call()).body, b"done")
         self.assertEqual(replica.server.connections, 2)
 
     async def test_an_answer_without_a_length_ends_with_its_connection(self):
@@ -154,38 +154,38 @@
         replica.next_replies = [
             lambda req: replica.answer(req, length=False, close=True)
         ]
-        self.assertEqual((await self.bench.call()).body, b"done")
+        self.assertEqual((await self.harness.call()).body, b"done")
 
     async def test_bytes_that_are_no_answer_end_a_call_truthfully(self):
-        self.bench.configure(kind="unsafe", **{"max-attempts": 1})
+        self.harness.configure(kind="unsafe", **{"max-attempts": 1})
         replica = await self.plain()
         replica.next_replies = [
             lambda req: replica.answer(req, bytes_before=b"garbage\r\n")
         ]
-        self.assertEqual((await self.bench.call()).status, 502)
+        self.assertEqual((await self.harness.call()).status, 502)
 
 
 class TestRefusals(Case):
     async def test_a_refused_call_goes_to_another_replica(self):
-        self.bench.configure(kind="unsafe", **{"max-attempts": 2})
+        self.harness.configure(kind="unsafe", **{"max-attempts": 2})
         replica = await self.plain()
         await self.plain("i-2")
         replica.next_replies = [replica.not_executed_reply] * 3
-        answers = [await self.bench.call() for _ in range(3)]
+        answers = [await self.harness.call() for _ in range(3)]
         self.assertEqual({answer.status for answer in answers}, {200})
 
     async def test_with_one_attempt_the_caller_is_told_that_it_has_not_run(self):
-        self.bench.configure(kind="unsafe", **{"max-attempts": 1})
+        self.harness.configure(kind="unsafe", **{"max-attempts": 1})
         replica = await self.plain()
         replica.next_replies = [replica.not_executed_reply]
-        answer = await self.bench.call()
+        answer = await self.harness.call()
         self.assertEqual(answer.status, 503)
         self.assertEqual(replica.runs, [])
 
     async def test_another_replica_at_the_address_runs_nothing(self):
         replica = await self.plain()
         replica.instance = "i-9"
-        answer = await self.bench.call()
+        answer = await self.harness.call()
         self.assertEqual(answer.status, 503)
         self.assertEqual(replica.runs, [])
 
@@ -193,18 +193,18 @@
         replica = await self.plain()
         await self.plain("i-2")
         await replica.server.stop()
-        answers = [await self.bench.call() for _ in range(4)]
+        answers = [await self.harness.call() for _ in range(4)]
         self.assertEqual({answer.status for answer in answers}, {200})
 
 
 class TestTime(Case):
     async def test_the_wait_ends_at_the_operators_timeout(self):
-        self.bench.configure(kind="unsafe", **{"timeout-ms": 200})
+        self.harness.configure(kind="unsafe", **{"timeout-ms": 200})
         replica = await self.plain()
         replica.next_replies = [lambda req: Reply(silent=True)]
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        answer = await self.bench.call(x_deadline_ms=5000)
+        answer = await self.harness.call(x_deadline_ms=5000)
         self.assertEqual(answer.status, 504)
         self.assertLess(loop.time() - started_at, 0.6)
 
@@ -218,14 +218,16 @@
         replica.events, replica.gap_s = 1000, 0.001
         for number in range(60):
             leave = 0.02 + number * 0.0003
-            await self.bench.call(path=b"/a/x", x_model=MODEL_NAME, leave_after=leave)
+            await self.harness.call(
+                path=b"/a/x", x_model=MODEL_NAME, disconnect_after_s=leave
+            )
         await asyncio.sleep(0.1)
         self.assertEqual(len(replica.server._tasks), 0)
 
     async def test_a_leaving_entry_asks_for_the_connection_to_be_closed(self):
         await self.plain()
-        self.bench.leaving = True
-        answer = await self.bench.call()
+        self.harness.leaving = True
+        answer = await self.harness.call()
         self.assertEqual(answer.headers[b"connection"], b"close")
 
     async def test_late_in_a_planned_stop_a_new_call_is_refused_not_cut(self):
@@ -235,10 +237,10 @@
         stream isn't over when the process must end.
         """
         replica = await self.plain()
-        self.bench.leaving = True
+        self.harness.leaving = True
         loop = asyncio.get_running_loop()
-        self.bench.context.stop_deadline = loop.time() + 1.0
-        answer = await self.bench.call()
+        self.harness.context.stop_deadline = loop.time() + 1.0
+        answer = await self.harness.call()
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
         self.assertEqual(replica.runs, [])
@@ -252,7 +254,7 @@
         )
 
     async def call(self, **fields):
-        return await self.bench.call(path=b"/a/x", x_model=MODEL_NAME, **fields)
+        return await self.harness.call(path=b"/a/x", x_model=MODEL_NAME, **fields)
 
     async def test_events_are_passed_on_as_they_come(self):
         replica = await self.llm()
@@ -347,7 +349,7 @@
         self.assertEqual(resumed[0].headers["last-event-id"], "2")
 
     async def test_a_stream_that_may_not_be_resumed_is_cut_where_it_broke(self):
-        self.bench.add_document("op/config", self.not_resumable())
+        self.harness.add_document("op/config", self.not_resumable())
         replicas = [await self.llm("i-1"), await self.llm("i-2")]
         for replica in replicas:
             self.break_off(replica)
@@ -397,9 +399,9 @@
         replica.next_replies = [crash]
         loop = asyncio.get_running_loop()
         started_at = loop.time()
-        answer = await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
+        answer = await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
         self.assertFalse(answer.status == 200 and answer.whole)
-        tries = len(self.bench.events.of_kind("cannot_connect"))
+        tries = len(self.harness.events.of_kind("cannot_connect"))
         self.assertLessEqual(tries, 2)
         self.assertLess(loop.time() - started_at, 1.0)
 
@@ -411,11 +413,11 @@
         replica = await self.llm()
         replica.gap_s = 0.0
         await asyncio.gather(
-            *(self.bench.call(path=b"/a/x", x_model=MODEL_NAME) for _ in range(3))
+            *(self.harness.call(path=b"/a/x", x_model=MODEL_NAME) for _ in range(3))
         )
         made = replica.server.connections
         replica.next_replies = [lambda req: replica.stream(req, cut=True)]
-        answer = await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
+        answer = await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
         self.assertTrue(answer.whole)
         self.assertEqual(replica.server.connections, made + 1)
 
@@ -430,7 +432,7 @@
         """
         replica = await self.llm()
         replica.events, replica.gap_s = 2, 0.9
-        answer = await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
+        answer = await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
         self.assertEqual(answer.status, 200)
         self.assertTrue(answer.whole)
 
@@ -444,9 +446,9 @@
         replica.next_replies = [lambda req: Reply(silent=True)]
         loop = asyncio.get_running_loop()
         state = samples.engine_state("i-1", (MODEL_NAME,))
-        self.bench.knowledge.fleet.engine_told(loop.time() - 2.0, state)
+        self.harness.knowledge.fleet.engine_told(loop.time() - 2.0, state)
         started_at = loop.time()
-        answer = await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
+        answer = await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
         self.assertEqual(answer.status, 502)
         self.assertLess(loop.time() - started_at, 1.5)
 
@@ -465,7 +467,7 @@
 
         for replica in replicas:
             replica.next_replies = [reply_of(replica)]
-        answer = await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
+        answer = await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
         self.assertEqual((answer.status, answer.whole), (200, True))
         self.assertEqual(len(silent), 1)
 
@@ -477,19 +479,19 @@
     CALLS = 20
 
     async def test_it_may_use_the_places_that_engines_have(self):
-        bench = Bench()
-        bench.configure()
-        bench.engines.plans.entries = tuple(f"e{number}" for number in range(60))
-        self.addAsyncCleanup(bench.close)
+        harness = EntryHarness()
+        harness.configure()
+        harness.engines.plans.entries = tuple(f"e{number}" for number in range(60))
+        self.addAsyncCleanup(harness.close)
         for number in range(2):
             replica = StandinReplica(f"i-{number}", "llm", (MODEL_NAME,))
             replica.gap_s = 0.1
-            await bench.add(replica)
+            await harness.add(replica)
         calls = []
         for _ in range(self.CALLS):
-            call = bench.call(path=b"/a/x", x_model=MODEL_NAME)
+            call = harness.call(path=b"/a/x", x_model=MODEL_NAME)
             calls.append(asyncio.create_task(call))
             await asyncio.sleep(0.01)
         answers = await asyncio.gather(*calls)
         self.assertEqual([answer.status for answer in answers], [200] * self.CALLS)
-        self.assertEqual(bench.events.of_kind("cannot_connect"), [])
+        self.assertEqual(harness.events.of_kind("cannot_connect"), [])
--- a/tests/adapter/failures/test_customers.py
+++ b/tests/adapter/failures/test_customers.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.fleet import Fleet, wait_until
 
 MODEL = "tutor"
 KEY, OTHER_KEY = "key-of-first-4f1c", "key-of-second-9ab2"
@@ -39,7 +39,7 @@
         """How calls one after the other end."""
         found = []
         for number in range(count):
-            attempt = f"{entry.form['node-name']}-{len(self.engine.runs)}-{number}"
+            attempt = f"{entry.document['node-name']}-{len(self.engine.runs)}-{number}"
             status, _ = await self.call(entry, MODEL, attempt=attempt, headers=headers)
             found.append(status)
             await asyncio.sleep(pause_s)
@@ -113,7 +113,7 @@
             async def refused():
                 return await fleet.statuses(entry, 1, bearer(KEY)) == [401]
 
-            await until(refused, "the key is refused", seconds=3.0)
+            await wait_until(refused, "the key is refused", seconds=3.0)
             changed = entry.events("customer_keys_changed")
             self.assertEqual(
                 [(x["customer"], x["removed"]) for x in changed], [("first", 1)]
@@ -135,7 +135,7 @@
             async def told():
                 return len(entry.events("document_unreadable")) == 4
 
-            await until(told, "the documents are refused")
+            await wait_until(told, "the documents are refused")
             self.assertEqual(await fleet.statuses(entry, 1, bearer(KEY)), [200])
             self.assertEqual(fleet.engine.runs[-1].headers["x-tenant"], "first")
             self.assertNotIn(KEY, entry.log.read_text())
@@ -163,7 +163,7 @@
             async def allocated():
                 return bool(fleet.agent_program.events("quota_allocator"))
 
-            await until(allocated, "an agent allocates quotas")
+            await wait_until(allocated, "an agent allocates quotas")
             # The burst fills.
             await asyncio.sleep(3.5)
             found = await fleet.statuses(entries[0], 12, bearer(KEY))
@@ -189,7 +189,7 @@
                 share = metrics.get('bambootiller_quota_share{customer="first"}', 0)
                 return status == [200] * 5 and share > 0.1
 
-            await until(has_share, "the entry holds a share")
+            await wait_until(has_share, "the entry holds a share")
             await fleet.agent_program.stop(9)
             found = await fleet.statuses(entry, 20, bearer(KEY), 0.1)
             self.assertEqual(found, [200] * 20)
@@ -208,7 +208,7 @@
         (entry,) = await fleet.begin([customer("first", KEY, **limit)])
         self.other = await fleet.replica("127.0.0.3", "i-2", "llm", (MODEL,))
         agents = [fleet.agent_program, await fleet.agent("a2", self.other)]
-        await until(lambda: self.served(fleet, entry), "a call is served")
+        await wait_until(lambda: self.served(fleet, entry), "a call is served")
         (at,) = [
             number
             for number, agent in enumerate(agents)
@@ -229,8 +229,8 @@
             async def follows():
                 return bool(other.events("quota_allocator"))
 
-            await until(follows, "the other agent allocates", seconds=12.0)
-            await until(
+            await wait_until(follows, "the other agent allocates", seconds=12.0)
+            await wait_until(
                 lambda: self.served(fleet, entry), "a call is served", seconds=3.0
             )
 
@@ -239,10 +239,10 @@
             entry, allocator, _, engine = await self.begin(fleet)
             for program in (entry, allocator):
                 await program.stop(signal.SIGKILL)
-            await fleet.agent(allocator.form["node-name"], engine)
+            await fleet.agent(allocator.document["node-name"], engine)
             entry = await fleet.entry("e0")
             await fleet.wait_ready(entry)
-            await until(
+            await wait_until(
                 lambda: self.served(fleet, entry),
                 "a call is served again",
                 seconds=self.SERVED_S,
@@ -263,7 +263,7 @@
         count = 0
         while True:
             count += 1
-            attempt = f"{entry.form['node-name']}-{number}-{count}"
+            attempt = f"{entry.document['node-name']}-{number}-{count}"
             with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                 await fleet.call(entry, MODEL, attempt=attempt, headers=headers)
             await asyncio.sleep(self.PAUSE_S)
--- a/tests/adapter/failures/test_endless_answers.py
+++ b/tests/adapter/failures/test_endless_answers.py
@@ -11,7 +11,7 @@
 from bambootiller_core.ports import Unavailable
 from bambootiller_platform.engine import PlatformEngine
 from bambootiller_platform.store import PlatformKeyValue
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.fleet import Fleet, wait_until
 
 BLOCK = b"a" * 65_536
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -140,7 +140,7 @@
             async def listed():
                 return len(entry.events("backend_listed")) == 2
 
-            await until(listed, "the other backend server is listed")
+            await wait_until(listed, "the other backend server is listed")
             for replica in (self.replica, other):
                 replica.next_replies = [drip]
             status, _ = await fleet.call(entry, None, "/p/x", "r-1")
--- a/tests/adapter/failures/test_explained.py
+++ b/tests/adapter/failures/test_explained.py
@@ -9,7 +9,7 @@
 
 from bambootiller_platform_standins.httpd import Reply
 
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.fleet import Fleet, wait_until
 from tests.adapter.cover.test_documents import MODEL, ROUTE, SERVICE
 
 MODEL_NAME = MODEL["name"]
@@ -34,7 +34,7 @@
             for line in program.lines()
         )
 
-    await until(named, f"a line names {request}")
+    await wait_until(named, f"a line names {request}")
     logs = [str(program.log) for program in programs]
     command = [sys.executable, "-m", "bambootiller.cli.main", "explain", "logs"]
     process = await asyncio.create_subprocess_exec(
@@ -63,7 +63,7 @@
                 status, _ = await fleet.call(entry, MODEL_NAME, attempt="r-cold")
                 return status == 503 and replica.orders
 
-            await until(refused, "a call is refused while its model loads")
+            await wait_until(refused, "a call is refused while its model loads")
             lines = await story_of("r-cold", entry, agent)
             told = [line for line in lines if "  refused  " in line][-1]
             self.assertIn("reason=model_not_loaded_in_time", told)
--- a/tests/adapter/failures/test_foreign_entries.py
+++ b/tests/adapter/failures/test_foreign_entries.py
@@ -18,7 +18,7 @@
 from bambootiller_core.ports import Changed, Found, Record
 from bambootiller_platform.documents import PlatformDirectory
 from tests.adapter.common.entry import RecordingEventLog
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.fleet import Fleet, wait_until
 from tests.adapter.cover.test_documents import CONFIG, ROUTE, SERVER, SERVICE
 from tests.adapter.failures.test_explained import PLAIN_ROUTE
 
@@ -272,7 +272,7 @@
                 status, _ = await fleet.call(entry, None, "/p/x", attempt)
                 return status == 200
 
-            await until(lambda: is_answered("r-1"), "an answer")
+            await wait_until(lambda: is_answered("r-1"), "an answer")
             # A line for each foreign entry: the log has room for 50 of a kind a second,
             # and is to have some again for the one that is looked for below.
             await asyncio.sleep(2.0)
@@ -281,9 +281,9 @@
             async def is_refused():
                 return not await is_answered("r-2")
 
-            await until(is_refused, "the unreadable entry isn't used")
+            await wait_until(is_refused, "the unreadable entry isn't used")
             fleet.store.put("servers/i-1", replica.entry())
-            await until(lambda: is_answered("r-3"), "an answer again")
+            await wait_until(lambda: is_answered("r-3"), "an answer again")
             self.assertIsNone(entry.process.returncode)
             said = entry.events("backend_unreadable")
             self.assertIn("servers/i-1", [line["key"] for line in said])
--- a/tests/adapter/failures/test_named_limits.py
+++ b/tests/adapter/failures/test_named_limits.py
@@ -8,8 +8,8 @@
 import aiohttp
 from bambootiller_platform_standins.replica import StandinReplica
 
-from tests.adapter.common.entry import Bench
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.entry import EntryHarness
+from tests.adapter.common.fleet import Fleet, wait_until
 from tests.adapter.cover.test_documents import MODEL, ROUTE, SERVICE
 
 MODEL_NAME = MODEL["name"]
@@ -49,7 +49,7 @@
             self.entries.append(await self.entry(f"e{number}"))
         for entry in self.entries:
             await self.wait_ready(entry)
-            await until(lambda e=entry: self.is_served(e), "a call is served")
+            await wait_until(lambda e=entry: self.is_served(e), "a call is served")
         self.limited = self.replicas["i-0"]
 
     async def is_served(self, entry):
@@ -176,7 +176,9 @@
             fleet.limited = await fleet.replica("127.0.0.9", "p-1", "plain")
             await fleet.replica("127.0.0.10", "p-2", "plain")
             for entry in fleet.entries:
-                await until(lambda e=entry: self.plain_call(fleet, e), "it is served")
+                await wait_until(
+                    lambda e=entry: self.plain_call(fleet, e), "it is served"
+                )
             fleet.name()
             end = fleet.named_at + CONTACT_S + WINDOW_S
             statuses = []
@@ -196,24 +198,24 @@
     """Nobody shares the limit out, so nothing may be sent there."""
 
     async def asyncSetUp(self):
-        self.bench = Bench()
-        self.bench.configure()
-        self.limited = await self.bench.add(StandinReplica("i-1", "plain"))
+        self.harness = EntryHarness()
+        self.harness.configure()
+        self.limited = await self.harness.add(StandinReplica("i-1", "plain"))
         self.limited.limit = LIMIT
-        self.assertEqual((await self.bench.call()).status, 200)
+        self.assertEqual((await self.harness.call()).status, 200)
 
     async def asyncTearDown(self):
-        await self.bench.close()
+        await self.harness.close()
 
     async def test_the_call_is_refused_at_once_and_never_runs(self):
         began = asyncio.get_running_loop().time()
-        answer = await self.bench.call()
+        answer = await self.harness.call()
         self.assertEqual((answer.status, answer.body), (503, b"backend_limited"))
         self.assertLess(asyncio.get_running_loop().time() - began, 1.0)
         self.assertEqual(len(self.limited.arrivals), 1)
 
     async def test_another_backend_server_takes_it(self):
-        other = await self.bench.add(StandinReplica("i-2", "plain"))
-        statuses = [(await self.bench.call()).status for _ in range(20)]
+        other = await self.harness.add(StandinReplica("i-2", "plain"))
+        statuses = [(await self.harness.call()).status for _ in range(20)]
         self.assertEqual(statuses, [200] * 20)
         self.assertEqual(len(other.arrivals), 20)
--- a/tests/adapter/failures/test_planned_stops.py
+++ b/tests/adapter/failures/test_planned_stops.py
@@ -4,7 +4,7 @@
 import contextlib
 import unittest
 
-from tests.adapter.common.fleet import HOST, Fleet, until
+from tests.adapter.common.fleet import HOST, Fleet, wait_until
 from tests.adapter.cover.test_documents import MODEL
 
 MODEL_NAME = MODEL["name"]
@@ -14,7 +14,7 @@
 
 async def connect(entry):
     """A connection to the entry's port for callers."""
-    host, _, port = entry.form["listen"]["front"].rpartition(":")
+    host, _, port = entry.document["listen"]["front"].rpartition(":")
     return await asyncio.open_connection(host, int(port))
 
 
@@ -46,7 +46,7 @@
     async def reached():
         return len(replica.runs) >= count
 
-    await until(reached, f"{count} streams run")
+    await wait_until(reached, f"{count} streams run")
 
 
 class TestPlannedStops(unittest.IsolatedAsyncioTestCase):
@@ -82,8 +82,8 @@
                     writer.close()
                     return False
 
-                await until(refuses, "the entry takes no more connections")
-                url = f"http://{entry.form['listen']['ready']}/bambootiller/ready"
+                await wait_until(refuses, "the entry takes no more connections")
+                url = f"http://{entry.document['listen']['ready']}/bambootiller/ready"
                 async with fleet.session.get(url) as response:
                     self.assertEqual(response.status, 503)
             for status, body in await asyncio.gather(*calls):
--- a/tests/adapter/failures/test_poison_requests.py
+++ b/tests/adapter/failures/test_poison_requests.py
@@ -8,8 +8,8 @@
 from bambootiller_platform_standins.httpd import Reply
 from bambootiller_platform_standins.replica import StandinReplica
 
-from tests.adapter.common.entry import Bench
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.entry import EntryHarness
+from tests.adapter.common.fleet import Fleet, wait_until
 from tests.adapter.cover.test_documents import MODEL, ROUTE
 from tests.gateway.common.samples import engine_state
 
@@ -45,7 +45,7 @@
             replica.poison = POISON
             replica.on_start = self.lists_again(replica)
             if renamed:
-                replica.tells_start = False
+                replica.reports_start = False
                 self.store.put(f"servers/{replica.instance}", replica.entry())
                 replica.on_start = self._lists_under_new_name(replica)
             await self.agent(f"a{number}", replica)
@@ -65,7 +65,7 @@
             found = await self.metrics(entry)
             return found["bambootiller_entries_known"] >= len(self.entries)
 
-        await until(knows, f"{entry.form['node-name']} knows the entries")
+        await wait_until(knows, f"{entry.document['node-name']} knows the entries")
 
     async def wait_served(self, entry):
         """Wait until the entry has calls of the model answered."""
@@ -74,7 +74,7 @@
             status, _ = await self.call(entry, MODEL_NAME, body=b"first")
             return status == 200
 
-        await until(served, f"{entry.form['node-name']} serves")
+        await wait_until(served, f"{entry.document['node-name']} serves")
 
     async def tries(self, count, entries, body=POISON):
         """Call ``count`` times, at one entry after the other; returns the statuses."""
@@ -256,7 +256,7 @@
                 seen["at"], self.seen = grown[0], runs
             return bool(grown)
 
-        await until(begun, f"run {number} of the stream begins", pause_s=0.02)
+        await wait_until(begun, f"run {number} of the stream begins", pause_s=0.02)
         return fleet.replicas[seen["at"]]
 
     def setUp(self):
@@ -268,32 +268,32 @@
     leaving alone; the request that did it would go on to the next one."""
 
     async def asyncSetUp(self):
-        self.bench = Bench()
-        self.bench.configure()
+        self.harness = EntryHarness()
+        self.harness.configure()
         for number in range(4):
             replica = StandinReplica(f"i-{number}", "llm", (MODEL_NAME,))
             replica.next_replies = [lambda request: Reply(silent=True)] * 9
-            await self.bench.add(replica)
+            await self.harness.add(replica)
 
     async def asyncTearDown(self):
-        await self.bench.close()
+        await self.harness.close()
 
     def engines_are_silent(self):
         """The agent beside each engine that has run something says so."""
         now = asyncio.get_running_loop().time()
-        for replica in self.bench.replicas:
+        for replica in self.harness.replicas:
             if replica.runs:
                 told = engine_state(
                     replica.instance,
                     (MODEL_NAME,),
                     silent=True,
-                    started_ms=replica.born,
+                    started_ms=replica.started_ms,
                 )
-                self.bench.knowledge.fleet.engine_told(now, told)
+                self.harness.knowledge.fleet.engine_told(now, told)
 
     async def call_and_leave(self, lapses_first=False):
         calling = asyncio.create_task(
-            self.bench.call(path=b"/a/x", leave_after=0.2, x_model=MODEL_NAME)
+            self.harness.call(path=b"/a/x", disconnect_after_s=0.2, x_model=MODEL_NAME)
         )
         await asyncio.sleep(0.1)
         self.engines_are_silent()
@@ -306,9 +306,9 @@
     def registrations_lapse(self):
         """Engines that have run something are listed no more."""
         now = asyncio.get_running_loop().time()
-        for replica in self.bench.replicas:
+        for replica in self.harness.replicas:
             if replica.runs:
-                self.bench.knowledge.fleet.registry_removed(now, replica.instance)
+                self.harness.knowledge.fleet.registry_removed(now, replica.instance)
 
     async def test_runs_that_are_left_there_count(self):
         await self.assert_kept_out(lapses_first=False)
@@ -322,5 +322,5 @@
         answer = await self.call_and_leave()
         self.assertEqual(answer.status, 503)
         self.assertEqual(answer.body, b"quarantined")
-        runs = sum(len(replica.runs) for replica in self.bench.replicas)
+        runs = sum(len(replica.runs) for replica in self.harness.replicas)
         self.assertEqual(runs, MOST_CRASHES)
--- a/tests/adapter/failures/test_processes.py
+++ b/tests/adapter/failures/test_processes.py
@@ -8,7 +8,7 @@
 
 from bambootiller_platform_standins.store import FailureMode
 
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.fleet import Fleet, wait_until
 from tests.adapter.cover.test_documents import MODEL
 
 MODEL_NAME = MODEL["name"]
@@ -28,7 +28,7 @@
                 status, body = await fleet.call(entry, MODEL_NAME)
                 return status == 200 and body.endswith(b"data: 5\n\n")
 
-            await until(served, "the cold model is served")
+            await wait_until(served, "the cold model is served")
             loads = [order["model"] for order in replica.orders]
             self.assertEqual(loads, [MODEL_NAME])
             self.assertGreater(replica.orders[0]["fencing-token"], 0)
@@ -45,7 +45,7 @@
                 status, _ = await fleet.call(entry, f"{MODEL_NAME}/a3")
                 return status == 200
 
-            await until(served, "the adapter is served")
+            await wait_until(served, "the adapter is served")
             self.assertEqual(replica.held[MODEL_NAME], {"a3"})
 
 
@@ -61,7 +61,7 @@
             async def noticed():
                 return bool(entry.events("dependency_lost"))
 
-            await until(noticed, "the entry notices that the store is silent")
+            await wait_until(noticed, "the entry notices that the store is silent")
             status, _ = await fleet.call(entry, MODEL_NAME)
             self.assertEqual(status, 200)
             self.assertTrue(await fleet.is_ready(entry))
@@ -78,7 +78,7 @@
             first = await fleet.entry("e1")
             await fleet.wait_ready(first)
             fleet.store.failure_mode = FailureMode.BUSY
-            seed = first.form["listen"]["control"]
+            seed = first.document["listen"]["control"]
             second = await fleet.entry("e2", seeds=[seed])
             await fleet.wait_ready(second)
             status, _ = await fleet.call(second, MODEL_NAME)
@@ -100,7 +100,7 @@
                 taken = entry.events("config_in_force")
                 return taken[-1]["config_version"] == 4
 
-            await until(in_force, "version 4 is in force")
+            await wait_until(in_force, "version 4 is in force")
             versions = [
                 line["config_version"] for line in entry.events("config_in_force")
             ]
@@ -121,7 +121,7 @@
                 status, _ = await fleet.call(entry, MODEL_NAME)
                 return status == 200
 
-            await until(served, "the cold model is served")
+            await wait_until(served, "the cold model is served")
             found = await fleet.metrics(entry)
             answered = [
                 value
@@ -143,7 +143,7 @@
             fleet.configure()
             replica = await fleet.replica("127.0.0.2", "i-1", "llm")
             agent = await fleet.agent("a1", replica)
-            program = await fleet.start("agent", agent.form, metrics="9464")
+            program = await fleet.start("agent", agent.document, metrics="9464")
             self.assertEqual(await program.process.wait(), 78)
             self.assertIn("HOST:PORT", program.log.read_text())
 
@@ -163,7 +163,7 @@
                 async def reloaded(program=program):
                     return bool(program.events("reloaded"))
 
-                await until(reloaded, "the settings are read again")
+                await wait_until(reloaded, "the settings are read again")
             status, _ = await fleet.call(entry, MODEL_NAME)
             self.assertEqual(status, 200)
 
@@ -182,14 +182,14 @@
             async def loading():
                 return "pydantic" in maps.read_text()
 
-            await until(loading, "the libraries are being loaded", pause_s=0.001)
+            await wait_until(loading, "the libraries are being loaded", pause_s=0.001)
             self.assertEqual(entry.events("started"), [])
             entry.process.send_signal(signal.SIGHUP)
 
             async def reloaded():
                 return bool(entry.events("reloaded"))
 
-            await until(reloaded, "the settings are read again")
+            await wait_until(reloaded, "the settings are read again")
             await fleet.wait_ready(entry)
             self.assertIsNone(entry.process.returncode)
 
@@ -208,7 +208,7 @@
             async def running():
                 return len(replica.runs) == 5
 
-            await until(running, "five streams run")
+            await wait_until(running, "five streams run")
             code = await entry.stop()
             self.assertEqual(code, 0)
             for status, body in await asyncio.gather(*calls):
--- a/tests/adapter/failures/test_restarts.py
+++ b/tests/adapter/failures/test_restarts.py
@@ -6,8 +6,8 @@
 from bambootiller_platform_standins.replica import StandinReplica
 
 from bambootiller_platform.engine import PlatformEngine
-from tests.adapter.common.entry import MODEL_NAME, Bench
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.entry import MODEL_NAME, EntryHarness
+from tests.adapter.common.fleet import Fleet, wait_until
 
 
 class TestReport(unittest.IsolatedAsyncioTestCase):
@@ -16,8 +16,8 @@
         await replica.server.start()
         engine = PlatformEngine(replica.server.address, "a1")
         report = await engine.report()
-        self.assertEqual(report.started_ms, replica.born)
-        replica.born = None
+        self.assertEqual(report.started_ms, replica.started_ms)
+        replica.started_ms = None
         self.assertIsNone((await engine.report()).started_ms)
         await engine.close()
         await replica.server.stop()
@@ -31,33 +31,33 @@
     """
 
     async def asyncSetUp(self):
-        self.bench = Bench()
-        self.bench.configure(**{"max-attempts": 2})
-        self.replica = await self.bench.add(StandinReplica("i-1", "plain"))
+        self.harness = EntryHarness()
+        self.harness.configure(**{"max-attempts": 2})
+        self.replica = await self.harness.add(StandinReplica("i-1", "plain"))
 
     async def asyncTearDown(self):
-        await self.bench.close()
+        await self.harness.close()
 
     def restart(self):
         self.replica.restart()
-        self.bench.add_document("servers/i-1", self.replica.entry())
+        self.harness.add_document("servers/i-1", self.replica.entry())
 
     def backend(self):
-        return self.bench.knowledge.fleet.get("i-1")
+        return self.harness.knowledge.fleet.get("i-1")
 
     async def test_no_call_goes_out_on_a_connection_to_the_start_before(self):
-        self.assertEqual((await self.bench.call()).status, 200)
-        before = self.bench.context.pool(self.backend())
-        self.bench.add_document("servers/i-1", self.replica.entry())
-        self.assertIs(self.bench.context.pool(self.backend()), before)
+        self.assertEqual((await self.harness.call()).status, 200)
+        before = self.harness.context.pool(self.backend())
+        self.harness.add_document("servers/i-1", self.replica.entry())
+        self.assertIs(self.harness.context.pool(self.backend()), before)
         self.restart()
-        self.assertIsNot(self.bench.context.pool(self.backend()), before)
-        self.bench.context.sweep(asyncio.get_running_loop().time())
+        self.assertIsNot(self.harness.context.pool(self.backend()), before)
+        self.harness.context.sweep(asyncio.get_running_loop().time())
         self.assertEqual(before.open, 0)
 
     async def test_failures_of_the_start_before_do_not_count(self):
         loop = asyncio.get_running_loop()
-        health = self.bench.context.service("plain").health
+        health = self.harness.context.service("plain").health
         health.unreachable(loop.time(), self.backend().incarnation)
         self.restart()
         self.assertFalse(health.is_avoided(loop.time(), self.backend().incarnation))
@@ -68,16 +68,16 @@
             return self.replica.answer(request, cut=True)
 
         self.replica.next_replies = [crash]
-        answer = await self.bench.call()
+        answer = await self.harness.call()
         self.assertEqual((answer.status, answer.body), (200, b"done"))
 
     async def test_the_restart_is_logged(self):
-        before_ms = self.replica.born
+        before_ms = self.replica.started_ms
         self.restart()
-        (line,) = self.bench.events.of_kind("backend_restarted")
+        (line,) = self.harness.events.of_kind("backend_restarted")
         self.assertEqual(
             (line.backend, line.before_ms, line.started_ms, line.source),
-            ("i-1", before_ms, self.replica.born, "test"),
+            ("i-1", before_ms, self.replica.started_ms, "test"),
         )
 
 
@@ -112,9 +112,13 @@
                 answered = entry.events("answered")
                 return bool(answered) and "agent_age_ms" in answered[-1]["chosen_on"]
 
-            await until(served_on_a_report, "the model is served")
+            await wait_until(served_on_a_report, "the model is served")
             replica.restart()
-            await until(lambda: noticed_by(agent), "the agent knows of the restart")
-            await until(lambda: noticed_by(entry), "the entry knows of the restart")
-            await until(served, "the model is served again")
+            await wait_until(
+                lambda: noticed_by(agent), "the agent knows of the restart"
+            )
+            await wait_until(
+                lambda: noticed_by(entry), "the entry knows of the restart"
+            )
+            await wait_until(served, "the model is served again")
             self.assertEqual([order["expected"] for order in replica.orders], [0])
--- a/tests/adapter/failures/test_silent_streams.py
+++ b/tests/adapter/failures/test_silent_streams.py
@@ -53,9 +53,9 @@
 
     def assert_nothing_held(self):
         """No call and no connection counts as under way."""
-        fleet = self.bench.knowledge.fleet
+        fleet = self.harness.knowledge.fleet
         for backend in map(fleet.get, [replica.instance for replica in self.replicas]):
-            pool = self.bench.context.pool(backend)
+            pool = self.harness.context.pool(backend)
             self.assertEqual((backend.in_flight, backend.pending_prefills), (0, 0))
             self.assertEqual(pool.open, len(pool._idle))
 
@@ -66,10 +66,10 @@
         self.assert_nothing_held()
 
     def lost(self):
-        return [line.backend for line in self.bench.events.of_kind("answer_lost")]
+        return [line.backend for line in self.harness.events.of_kind("answer_lost")]
 
     def borne(self, why):
-        lines = self.bench.events.of_kind("silence_borne")
+        lines = self.harness.events.of_kind("silence_borne")
         return [line for line in lines if line.why == why]
 
 
@@ -112,7 +112,7 @@
         self.assert_whole(await self.calling)
         self.assertEqual(len(self.running.runs), 1)
         self.assertEqual(len(self.asked), 1)
-        self.assertEqual(self.bench.events.of_kind("attempt_failed"), [])
+        self.assertEqual(self.harness.events.of_kind("attempt_failed"), [])
 
     async def test_it_is_kept_if_the_other_refuses_it(self):
         await self.assert_kept(refuses)
@@ -124,7 +124,7 @@
     async def test_it_is_kept_if_the_other_does_not_hold_the_model(self):
         await self.assert_kept(misdirected)
         self.assertEqual(self.lost(), [])
-        backend = self.bench.knowledge.fleet.get(self.others[0].instance)
+        backend = self.harness.knowledge.fleet.get(self.others[0].instance)
         self.assertIn(MODEL_NAME, backend.denials)
 
     async def test_it_is_kept_if_the_other_resets_the_connection(self):
@@ -148,9 +148,9 @@
         (resumed,) = self.others[0].runs
         self.assertEqual(resumed.headers["last-event-id"], "1")
         self.assertEqual(len(self.running.runs), 1)
-        (failed,) = self.bench.events.of_kind("attempt_failed")
+        (failed,) = self.harness.events.of_kind("attempt_failed")
         self.assertEqual((failed.attempts, failed.next), (1, "SendAgain"))
-        (answered,) = self.bench.events.of_kind("answered")
+        (answered,) = self.harness.events.of_kind("answered")
         self.assertEqual(answered.attempts, 2)
 
     async def test_it_is_kept_if_it_speaks_before_the_other_does(self):
@@ -197,11 +197,11 @@
         await self.until(lambda: self.asked)
         self.background_loop.stop_replica(self.running)
         await self.until(self.lost)
-        (line,) = self.bench.events.of_kind("answer_lost")
+        (line,) = self.harness.events.of_kind("answer_lost")
         self.assertEqual(line.backend, self.running.instance)
         self.assertNotIn("silent", line.detail)
         await asyncio.sleep(0.1)
-        backend = self.bench.knowledge.fleet.get(self.others[0].instance)
+        backend = self.harness.knowledge.fleet.get(self.others[0].instance)
         self.assertEqual((backend.in_flight, len(self.asked)), (1, 1))
         self.calling.cancel()
         await asyncio.wait((self.calling,))
@@ -232,8 +232,8 @@
 
     def suspect(self):
         """A run of whatever request comes next was lost at another backend server."""
-        quarantine, clock = self.bench.context.quarantine, self.bench.context.clock
-        backend = self.bench.knowledge.fleet.get(self.others[0].instance)
+        quarantine, clock = self.harness.context.quarantine, self.harness.context.clock
+        backend = self.harness.knowledge.fleet.get(self.others[0].instance)
         admission = quarantine.admission
 
         def recalling(call):
@@ -251,7 +251,7 @@
 
     async def test_the_second_is_asked_at_once_if_the_first_refuses(self):
         route = {**ROUTE, "max-attempts": 3}
-        self.bench.add_document("op/config", {**CONFIG, "routes": [route]})
+        self.harness.add_document("op/config", {**CONFIG, "routes": [route]})
         await self.begin()
         self.others_do(refuses, takes)
         self.assert_whole(await self.calling)
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_standstills.py
@@ -25,31 +25,31 @@
 from bambootiller_platform import store as store_module
 from bambootiller_platform.documents import PlatformDirectory
 from tests.adapter.common.background_loop import BackgroundLoop
-from tests.adapter.common.entry import MODEL_NAME, Bench, RecordingEventLog
+from tests.adapter.common.entry import MODEL_NAME, EntryHarness, RecordingEventLog
 from tests.adapter.cover.test_documents import SERVER
 from tests.gateway.common import samples
 
 
 class Case(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.bench = Bench()
-        self.bench.configure(**{"max-attempts": 2})
+        self.harness = EntryHarness()
+        self.harness.configure(**{"max-attempts": 2})
         self.background_loop = BackgroundLoop()
         self.addCleanup(self.background_loop.close)
 
     def add(self, instance, service, models=()):
         replica = self.background_loop.start_replica(instance, service, models)
-        self.bench.add_document(f"servers/{instance}", replica.entry())
+        self.harness.add_document(f"servers/{instance}", replica.entry())
         return replica
 
     def holders(self):
         return [self.add(name, "llm", (MODEL_NAME,)) for name in ("i-1", "i-2")]
 
     def spend_budget(self):
-        self.bench.context.service("llm").budget = RetryBudget(0.0, 0.0, 10.0)
+        self.harness.context.service("llm").budget = RetryBudget(0.0, 0.0, 10.0)
 
     async def call(self):
-        return await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
+        return await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
 
 
 class TestOwnStandstill(Case):
@@ -68,7 +68,7 @@
         answer = await calling
         self.assertTrue(answer.whole)
         self.assertEqual(sum(len(replica.runs) for replica in replicas), 1)
-        self.assertEqual(self.bench.events.of_kind("answer_lost"), [])
+        self.assertEqual(self.harness.events.of_kind("answer_lost"), [])
 
     async def test_a_stream_is_whole_though_no_second_attempt_is_left(self):
         """As above, but the budget of second attempts was used up, as it is after a
@@ -91,14 +91,14 @@
         several turns. The 0.8 s for it ran out although the backend server had
         accepted at once; the call was refused, and the backend server was avoided.
         """
-        self.bench.configure(**{"timeout-ms": 20_000})
+        self.harness.configure(**{"timeout-ms": 20_000})
         replica = self.add("i-1", "plain")
         starving = asyncio.ensure_future(starve(seconds=10.0, turn_s=0.5))
-        answer = await self.bench.call(path=b"/plain/x")
+        answer = await self.harness.call(path=b"/plain/x")
         starving.cancel()
         self.assertEqual(answer.status, 200)
         self.assertEqual(len(replica.runs), 1)
-        self.assertEqual(self.bench.events.of_kind("cannot_connect"), [])
+        self.assertEqual(self.harness.events.of_kind("cannot_connect"), [])
 
 
 class TestNowhereToGo(Case):
@@ -121,7 +121,7 @@
         nothing was found instead, and the caller's answer was cut.
         """
         calling, running, other = await self.paused_stream()
-        self.bench.knowledge.fleet.get(other.instance).in_flight = 1_000
+        self.harness.knowledge.fleet.get(other.instance).in_flight = 1_000
         answer = await calling
         self.assertTrue(answer.whole)
         self.assertEqual(len(running.runs), 1)
@@ -160,7 +160,7 @@
         loop = asyncio.get_running_loop()
         for name in ("i-1", "i-2"):
             state = samples.engine_state(name, (MODEL_NAME,), silent=silent)
-            self.bench.knowledge.fleet.engine_told(loop.time(), state)
+            self.harness.knowledge.fleet.engine_told(loop.time(), state)
 
     async def answer(self, speaks):
         for replica in self.holders():
@@ -186,13 +186,13 @@
         """The first backend server hung and the second took no connection; the third
         was well. After the second the entry waited a whole silence again, half of the
         call's time, and then there was none left."""
-        self.bench.configure(**{"max-attempts": 3})
+        self.harness.configure(**{"max-attempts": 3})
         first, second, _ = (self.add(f"i-{n}", "plain") for n in (1, 2, 3))
-        self.bench.knowledge.fleet.get("i-2").in_flight = 1
-        self.bench.knowledge.fleet.get("i-3").in_flight = 2
+        self.harness.knowledge.fleet.get("i-2").in_flight = 1
+        self.harness.knowledge.fleet.get("i-3").in_flight = 2
         first.next_replies.append(lambda request: Reply(silent=True))
         self.background_loop.stop_replica(second)
-        answer = await self.bench.call(path=b"/plain/x")
+        answer = await self.harness.call(path=b"/plain/x")
         self.assertEqual(len(first.runs), 1)
         self.assertEqual(answer.status, 200)
 
@@ -206,9 +206,9 @@
         calling = asyncio.ensure_future(self.call())
         await asyncio.sleep(0.3)
         (other,) = [replica for replica in replicas if not replica.runs]
-        backend = self.bench.knowledge.fleet.get(other.instance)
+        backend = self.harness.knowledge.fleet.get(other.instance)
         with swallowing_port() as port:
-            self.bench.context.pool(backend)._port = port
+            self.harness.context.pool(backend)._port = port
             answer = await calling
         self.assertLess(answer.arrivals[1] - answer.arrivals[0], 1.1)
 
--- a/tests/adapter/failures/test_starved_models.py
+++ b/tests/adapter/failures/test_starved_models.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.adapter.common.rare_models import RareModels
+from tests.adapter.common.rare_models import RareModelFleet
 
 SECONDS = 60.0
 #: What is asked for from the start on can be served until the end: the weight store
@@ -18,15 +18,15 @@
     models asked for from the first second on were passed over."""
 
     async def test_who_asks_again_and_again_is_served(self):
-        async with RareModels(seed=1) as fleet:
+        async with RareModelFleet(seed=1) as fleet:
             await fleet.begin()
             losses = [
-                (10.0, lambda fleet: fleet.lose_memory(0)),
-                (12.0, lambda fleet: fleet.lose(1)),
+                (10.0, lambda fleet: fleet.restart_empty(0)),
+                (12.0, lambda fleet: fleet.remove_engine(1)),
             ]
-            await fleet.play(SECONDS, losses)
-            idle = [end - begin for begin, end in fleet.idle_store(SECONDS)]
+            await fleet.run_load(SECONDS, losses)
+            idle = [end - begin for begin, end in fleet.idle_store_spans(SECONDS)]
             self.assertLessEqual(max(idle, default=0.0), MOST_IDLE_S)
-            starved = fleet.starved(asked_by=ASKED_BY_S)
-            story = fleet.story({model for (model, _), _ in starved})
-            self.assertEqual(starved, [], story)
+            starved = fleet.starved(requested_by_s=ASKED_BY_S)
+            log_excerpt = fleet.log_excerpt({model for (model, _), _ in starved})
+            self.assertEqual(starved, [], log_excerpt)
--- a/tests/adapter/failures/test_store_turns.py
+++ b/tests/adapter/failures/test_store_turns.py
@@ -5,7 +5,7 @@
 
 from bambootiller_platform_standins.weights import StandinWeightStore
 
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.fleet import Fleet, wait_until
 from tests.adapter.cover.test_documents import MODEL, SERVICE
 
 ENGINES = 5
@@ -23,7 +23,7 @@
 
     def __init__(self):
         super().__init__()
-        self.weights = StandinWeightStore(full=1, load_s=LOAD_S)
+        self.weights = StandinWeightStore(full_speed_loads=1, load_s=LOAD_S)
 
     async def begin(self):
         models = [
@@ -86,7 +86,7 @@
             async def two_under_way():
                 return len(fleet.under_way()) == 2
 
-            await until(two_under_way, "a load is tried beside the first")
+            await wait_until(two_under_way, "a load is tried beside the first")
             first, tried = fleet.under_way()
             dropped = fleet.loading(tried)
             fleet.store.remove(f"servers/{dropped.instance}")
@@ -94,7 +94,7 @@
             async def over():
                 return tried.ended is not None
 
-            await until(over, "the load at the dropped engine is over")
+            await wait_until(over, "the load at the dropped engine is over")
             asking.cancel()
             beside = fleet.begun_beside_others()
             self.assertLessEqual(len(beside), MOST_TRIED, beside)
@@ -118,7 +118,7 @@
             async def one_under_way():
                 return len(fleet.under_way()) == 1
 
-            await until(one_under_way, "a load is under way")
+            await wait_until(one_under_way, "a load is under way")
             (load,) = fleet.under_way()
             replica = fleet.loading(load)
             replica.down_s = self.AWAY_S
@@ -127,7 +127,7 @@
             async def another():
                 return any(other is not load for other in fleet.under_way())
 
-            await until(another, "another load is under way", pause_s=0.02)
+            await wait_until(another, "another load is under way", pause_s=0.02)
             idle_s = min(other.began for other in fleet.under_way()) - load.ended
             asking.cancel()
             await crash
--- a/tests/adapter/failures/test_unframed_answers.py
+++ b/tests/adapter/failures/test_unframed_answers.py
@@ -4,7 +4,7 @@
 
 from bambootiller_platform_standins.replica import StandinReplica
 
-from tests.adapter.common.entry import MODEL_NAME, Bench
+from tests.adapter.common.entry import MODEL_NAME, EntryHarness
 
 EVENTS = [b"id: %d\ndata: %d\n\n" % (number, number) for number in range(1, 6)]
 WHOLE = b"".join(EVENTS)
@@ -14,21 +14,21 @@
     """A stream that was broken off in an event could pass for one that had ended."""
 
     async def asyncSetUp(self):
-        self.bench = Bench()
-        self.bench.configure()
+        self.harness = EntryHarness()
+        self.harness.configure()
         for number in range(2):
             replica = StandinReplica(f"i-{number}", "llm", (MODEL_NAME,))
-            await self.bench.add(replica)
+            await self.harness.add(replica)
 
     async def asyncTearDown(self):
-        await self.bench.close()
+        await self.harness.close()
 
     def first_answer(self, *pieces, reset=False):
         """The first answer of whoever gets the call first ends behind these bytes."""
 
         def reply(replica):
             def unframed(request):
-                for other in self.bench.replicas:
+                for other in self.harness.replicas:
                     other.next_replies.clear()
                 found = replica.answer(request, length=False, close=True)
                 found.pieces, found.reset = pieces, reset
@@ -36,14 +36,14 @@
 
             return unframed
 
-        for replica in self.bench.replicas:
+        for replica in self.harness.replicas:
             replica.next_replies.append(reply(replica))
 
     async def call(self):
-        return await self.bench.call(path=b"/a/x", x_model=MODEL_NAME)
+        return await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
 
     def runs(self):
-        return sum(len(replica.runs) for replica in self.bench.replicas)
+        return sum(len(replica.runs) for replica in self.harness.replicas)
 
     async def test_one_that_ends_behind_its_last_event_is_whole(self):
         self.first_answer(*EVENTS)
@@ -73,7 +73,7 @@
         self.assertEqual(self.runs(), 2)
 
     async def test_one_that_cannot_be_gone_on_with_does_not_look_whole(self):
-        for replica in self.bench.replicas:
+        for replica in self.harness.replicas:
 
             def unframed(request, replica=replica):
                 found = replica.answer(request, length=False, close=True)
--- a/tests/adapter/failures/test_unread_logs.py
+++ b/tests/adapter/failures/test_unread_logs.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.fleet import Fleet, wait_until
 from tests.adapter.cover.test_documents import MODEL
 
 MODEL_NAME = MODEL["name"]
@@ -64,7 +64,7 @@
                 found = await fleet.metrics(entry)
                 return found.get("bambootiller_config_version") == 1
 
-            await until(reloaded, "the process goes on after a hang-up")
+            await wait_until(reloaded, "the process goes on after a hang-up")
             self.assertEqual(await entry.stop(), 0)
 
     async def _storm(self, fleet, entry):
--- a/tests/rest/run.py
+++ b/tests/rest/run.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.fleet import Fleet, wait_until
 from tests.adapter.cover.test_documents import MODEL, SERVICE
 
 #: Programs that start at a time: each takes a core for half a second.
@@ -108,7 +108,7 @@
             for number in range(len(self.programs["entry"]), entries):
                 group.create_task(self._add_entry(number))
         for entry in self.programs["entry"]:
-            await until(lambda: self._all_heard(entry, agents), "all agents heard")
+            await wait_until(lambda: self._all_heard(entry, agents), "all agents heard")
         await asyncio.sleep(SETTLE_S)
 
     async def measure(self, seconds):
@@ -136,12 +136,13 @@
             replica.on_disk |= set(MODELS)
             program = await self.agent(f"a{number}", replica)
             self.programs["agent"].append(program)
-            await until(lambda: self._answers(program), "the agent runs")
+            await wait_until(lambda: self._answers(program), "the agent runs")
 
     async def _add_entry(self, number):
         async with self._slots:
             seeds = [
-                entry.form["listen"]["control"] for entry in self.programs["entry"][:3]
+                entry.document["listen"]["control"]
+                for entry in self.programs["entry"][:3]
             ]
             program = await self.entry(f"e{number}", seeds)
             self.programs["entry"].append(program)
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -214,4 +214,4 @@
     for program in world._programs:
         taken = [line["config_version"] for line in program.events("config_in_force")]
         if taken != sorted(taken):
-            yield f"{program.form['node-name']}: versions in force went {taken}"
+            yield f"{program.document['node-name']}: versions in force went {taken}"
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -8,7 +8,7 @@
 from bambootiller_platform_standins.replica import StandinReplica
 
 from bambootiller_standins.harness import quiet_port
-from tests.adapter.common.fleet import Fleet, until
+from tests.adapter.common.fleet import Fleet, wait_until
 from tests.adapter.cover.test_documents import MODEL, ROUTE, SERVICE
 from tests.soak.proxy import Proxy
 
@@ -187,9 +187,9 @@
         self.proxies[f"agent {name}"] = proxy
         address = json.loads(self._entry_of(name))["address"]
         beside = {"app": address, "service": replica.service}
-        form = self._form(f"a-{name}", inner, beside)
-        form["platform"] = {"address": await self._store_path(f"a-{name}")}
-        self.agents[name] = await self.start("agent", form)
+        document = self._settings_document(f"a-{name}", inner, beside)
+        document["platform"] = {"address": await self._store_path(f"a-{name}")}
+        self.agents[name] = await self.start("agent", document)
 
     async def start_plain(self, name, number):
         """Start a replica of the plain service."""
@@ -199,15 +199,15 @@
         """Start an entry, or start it again with the same addresses."""
         known = self.entries.get(name)
         if known is not None:
-            self.entries[name] = await self.start("entry", known.form)
+            self.entries[name] = await self.start("entry", known.document)
             return
         parts = ("front", "ready", "control")
         listen = {part: f"127.0.0.1:{quiet_port()}" for part in parts}
-        seeds = [entry.form["listen"]["control"] for entry in self.entries.values()]
+        seeds = [entry.document["listen"]["control"] for entry in self.entries.values()]
         fields = {"listen": listen, "seeds": seeds}
-        form = self._form(name, "127.0.0.1", fields)
-        form["platform"] = {"address": await self._store_path(name)}
-        self.entries[name] = await self.start("entry", form)
+        document = self._settings_document(name, "127.0.0.1", fields)
+        document["platform"] = {"address": await self._store_path(name)}
+        self.entries[name] = await self.start("entry", document)
 
     async def restart(self, name, signum):
         """End a program and start it again at once, as its platform would."""
@@ -218,7 +218,7 @@
         if name in self.entries:
             await self.start_entry(name)
         else:
-            self.agents[name] = await self.start("agent", program.form)
+            self.agents[name] = await self.start("agent", program.document)
         await self._launched(self.program(name))
 
     def program(self, name):
@@ -241,7 +241,7 @@
         async def loading():
             return "pydantic" in maps.read_text()
 
-        await until(loading, "the program's code runs", pause_s=0.005)
+        await wait_until(loading, "the program's code runs", pause_s=0.005)
 
     async def crash(self, name):
         """A replica ends at once; its next start at the same address is empty."""
@@ -307,9 +307,9 @@
 
     def _entry_of(self, name, state="ready"):
         proxy = self.proxies[f"replica {name}"]
-        form = json.loads(self.replicas[name].entry(state))
-        form["address"] = f"{proxy.host}:{proxy.port}"
-        return json.dumps(form).encode()
+        document = json.loads(self.replicas[name].entry(state))
+        document["address"] = f"{proxy.host}:{proxy.port}"
+        return json.dumps(document).encode()
 
     async def _store_path(self, name):
         host, _, port = self.store.server.address.rpartition(":")
@@ -366,7 +366,7 @@
             headers["X-Model"] = self._rng.choice(MODELS)
             prompt = (FIRST_PART, *parts, attempt_id.encode().hex())
             headers["X-Prompt-Prefix"] = ",".join(f"{part}:9" for part in prompt)
-        listen = self._world.entries[self._name].form["listen"]["front"]
+        listen = self._world.entries[self._name].document["listen"]["front"]
         url = f"http://{listen}/{kind}/x"
         try:
             async with self._session.post(url, headers=headers, data=body) as resp:
