--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
@@ -35,7 +35,7 @@
 from bambootiller_core.gateway.update_filter import UpdateFilter
 
 #: A request is quarantined once this many crashes count against it.
-MOST_CRASHES = 3.0
+QUARANTINE_CRASHES = 3.0
 #: From this many crashes on, its runs are isolated from those of other suspects.
 SUSPECT_CRASHES = 2.0
 #: The weight of a crash whose lost run had produced an event.
@@ -279,7 +279,7 @@
             return Admission(
                 AdmissionDecision.QUARANTINED, left_s, crashes, fingerprint
             )
-        if crashes >= MOST_CRASHES and self._weighted_count(
+        if crashes >= QUARANTINE_CRASHES and self._weighted_count(
             fingerprint, CrashVerdict.UNDECIDED
         ):
             return Admission(
@@ -431,7 +431,7 @@
         suspects = []
         for name in self._runs:
             crashes = self._weighted_count(name, CrashVerdict.CRASHED)
-            if crashes >= MOST_CRASHES:
+            if crashes >= QUARANTINE_CRASHES:
                 # Of two with as many crashes, take the one with the latest crash: the
                 # other may have been kept from running by then.
                 last_at = self._last_lost_at(name)
@@ -440,7 +440,7 @@
         while suspects:
             before, is_part, last_at, name = heapq.heappop(suspects)
             crashes = self._weighted_count(name, CrashVerdict.CRASHED)
-            if crashes < MOST_CRASHES:
+            if crashes < QUARANTINE_CRASHES:
                 continue
             if crashes < -before:
                 heapq.heappush(suspects, (-crashes, is_part, last_at, name))
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/events.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/events.py
@@ -17,7 +17,7 @@
 #: The first line with the field "id"; whitespace around the field name is ignored.
 _ID_LINE = re.compile(rb"(?:\A|[\r\n])[ \t\v\f]*id[ \t\v\f]*:([^\r\n]*)")
 #: A larger event is forwarded in parts, so that memory stays bounded.
-LARGEST_EVENT_BYTES = 1 << 20
+MAX_EVENT_BYTES = 1 << 20
 
 
 class Event(NamedTuple):
@@ -39,33 +39,33 @@
     """
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._buffer = bytearray()
         self._has_cr = False
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """The buffered part of an event that isn't complete yet."""
-        return bytes(self._held)
+        return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[Event]:
         """The events that ``data`` completes."""
         if b"\r" in data:
             self._has_cr = True
-        held = self._held
-        if not held:
+        buffer = self._buffer
+        if not buffer:
             # Most events arrive complete: don't search them twice, or copy them into
             # the buffer.
             found, end = _split(data, 0, self._has_cr)
             if end < len(data):
-                held += data[end:]
+                buffer += data[end:]
         else:
-            at = max(0, len(held) - _OVERLAP)
-            held += data
-            found, end = _split(held, at, self._has_cr)
-            del held[:end]
-        if len(held) > LARGEST_EVENT_BYTES:
-            found.append(Event(bytes(held), None))
-            held.clear()
+            at = max(0, len(buffer) - _OVERLAP)
+            buffer += data
+            found, end = _split(buffer, at, self._has_cr)
+            del buffer[:end]
+        if len(buffer) > MAX_EVENT_BYTES:
+            found.append(Event(bytes(buffer), None))
+            buffer.clear()
         return found
 
 
@@ -76,7 +76,7 @@
     begin = 0
     while (end := _event_end(data, at, has_cr)) > 0:
         event = bytes(data[begin:end])
-        found.append(Event(event, _number(event)))
+        found.append(Event(event, _event_number(event)))
         begin = at = end
     return found, begin
 
@@ -96,7 +96,7 @@
     return end
 
 
-def _number(event: bytes) -> int | None:
+def _event_number(event: bytes) -> int | None:
     if event.startswith(b"id:") and b"\r" not in event:
         # The fast path: nearly all events start like this.
         text = event[3 : event.find(b"\n")].strip()
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -233,7 +233,7 @@
     Example::
 
         fleet.registry_changed(now, record)
-        fleet.engine_told(now, state)
+        fleet.engine_reported(now, state)
         for backend in fleet.of_service("tutor"): ...
     """
 
@@ -410,7 +410,7 @@
             if backend.registration.address == address:
                 self._update_address(backend.registration)
 
-    def engine_told(self, now: float, state: EngineState) -> bool:
+    def engine_reported(self, now: float, state: EngineState) -> bool:
         """Apply an agent's report; returns False if the instance isn't listed (yet), or
         has restarted since.
 
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -291,7 +291,7 @@
             return
         is_news = backend.engine is not words.state
         wakes = wakes_waiting_calls(backend, words.state)
-        if fleet.engine_told(now, words.state) and is_news:
+        if fleet.engine_reported(now, words.state) and is_news:
             if backend.replaced:
                 self._knowledge.note_restart(backend, source)
             self.plans.changed(now)
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -28,7 +28,7 @@
 )
 from bambootiller_core.gateway.calls import Call, Progress
 from bambootiller_core.gateway.events import (
-    LARGEST_EVENT_BYTES,
+    MAX_EVENT_BYTES,
     Event,
     EventSplitter,
 )
@@ -386,7 +386,7 @@
                 attempt.prefill_done()
                 self._record_health(attempt, head)
             await self._forward_events(head, events)
-        if splitter.rest:
+        if splitter.remainder:
             raise ConnectionLost(
                 "the stream ended in the middle of an event", True, True
             )
@@ -429,7 +429,7 @@
 
 
 def _is_endless(event: Event) -> bool:
-    return len(event.data) > LARGEST_EVENT_BYTES and event.number is None
+    return len(event.data) > MAX_EVENT_BYTES and event.number is None
 
 
 async def _drain_refusal(conn: BackendConnection) -> None:
--- a/tests/adapter/failures/test_poison_loads.py
+++ b/tests/adapter/failures/test_poison_loads.py
@@ -4,7 +4,10 @@
 import unittest
 
 from tests.adapter.cover.test_documents import MODEL
-from tests.adapter.failures.test_poison_requests import MOST_CRASHES, PoisonedFleet
+from tests.adapter.failures.test_poison_requests import (
+    QUARANTINE_CRASHES,
+    PoisonedFleet,
+)
 
 MODEL_NAME = MODEL["name"]
 #: Engines are back after a second: time enough for six more loads at two engines.
@@ -30,4 +33,4 @@
             while loop.time() < end:
                 await fleet.status(entry, b"sound", "s-1")
                 await asyncio.sleep(0.2)
-            self.assertLessEqual(fleet.crashes(), MOST_CRASHES)
+            self.assertLessEqual(fleet.crashes(), QUARANTINE_CRASHES)
--- a/tests/adapter/failures/test_poison_requests.py
+++ b/tests/adapter/failures/test_poison_requests.py
@@ -17,7 +17,7 @@
 POISON = b"ends the engine"
 STREAM = b"a long stream"
 #: The crash after which a request that was at each is to reach no engine any more.
-MOST_CRASHES = 3
+QUARANTINE_CRASHES = 3
 #: The pause between two tries of a caller: entries have told each other by then. An
 #: engine is down for longer, so tries meet different engines. Seconds.
 PAUSE_S = 0.3
@@ -138,9 +138,9 @@
         async with PoisonedFleet() as fleet:
             await fleet.begin()
             statuses = await fleet.tries(12, fleet.entries)
-            self.assertLessEqual(fleet.poison_runs(), MOST_CRASHES, statuses)
+            self.assertLessEqual(fleet.poison_runs(), QUARANTINE_CRASHES, statuses)
             self.assertEqual(set(statuses[2:]), {503}, statuses)
-            self.assertEqual(fleet.crashes(), MOST_CRASHES)
+            self.assertEqual(fleet.crashes(), QUARANTINE_CRASHES)
 
     async def test_an_entry_that_starts_later_keeps_it_out_too(self):
         async with PoisonedFleet() as fleet:
@@ -150,7 +150,7 @@
             await fleet.wait_ready(late)
             await fleet.wait_served(late)
             await fleet.tries(3, [late])
-            self.assertEqual(fleet.poison_runs(), MOST_CRASHES)
+            self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
     async def test_it_is_kept_out_though_engines_come_back_under_other_names(self):
         """The agent names the engine that is back as the one before, which made the
@@ -158,7 +158,7 @@
         async with PoisonedFleet() as fleet:
             await fleet.begin(renamed=True)
             await fleet.tries(20, fleet.entries)
-            self.assertEqual(fleet.poison_runs(), MOST_CRASHES)
+            self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
     async def test_it_is_kept_out_whatever_address_it_comes_from(self):
         """A caller's tries come through different addresses, by the entry that each
@@ -168,7 +168,7 @@
             for number in range(6):
                 await fleet.come_from(f"127.0.1.{number + 1}")
                 await fleet.tries(1, fleet.entries[number % 2 :])
-            self.assertEqual(fleet.poison_runs(), MOST_CRASHES)
+            self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
     async def test_what_an_entry_saw_outlives_it(self):
         async with PoisonedFleet() as fleet:
@@ -176,7 +176,7 @@
             await fleet.tries(3, fleet.entries[:1])
             await fleet.entries[0].stop(signal.SIGKILL)
             await fleet.tries(3, fleet.entries[1:])
-            self.assertEqual(fleet.poison_runs(), MOST_CRASHES)
+            self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
     async def test_it_is_known_again_after_all_processes_have_ended(self):
         async with PoisonedFleet() as fleet:
@@ -189,7 +189,7 @@
             entry = await fleet.entry("later")
             await fleet.wait_ready(entry)
             await fleet.tries(3, [entry])
-            self.assertEqual(fleet.poison_runs(), MOST_CRASHES)
+            self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
     async def test_one_that_produces_events_first_is_quarantined_after_six_crashes(
         self,
@@ -199,7 +199,7 @@
             for replica in fleet.replicas.values():
                 replica.poison_events = True
             await fleet.tries(14, fleet.entries)
-            self.assertLessEqual(fleet.poison_runs(), 2 * MOST_CRASHES)
+            self.assertLessEqual(fleet.poison_runs(), 2 * QUARANTINE_CRASHES)
 
 
 class TestSoundRequests(unittest.IsolatedAsyncioTestCase):
@@ -289,7 +289,7 @@
                     silent=True,
                     started_ms=replica.started_ms,
                 )
-                self.harness.knowledge.fleet.engine_told(now, told)
+                self.harness.knowledge.fleet.engine_reported(now, told)
 
     async def call_and_leave(self, lapses_first=False):
         calling = asyncio.create_task(
@@ -317,10 +317,10 @@
         await self.assert_kept_out(lapses_first=True)
 
     async def assert_kept_out(self, lapses_first):
-        for _ in range(MOST_CRASHES):
+        for _ in range(QUARANTINE_CRASHES):
             await self.call_and_leave(lapses_first)
         answer = await self.call_and_leave()
         self.assertEqual(answer.status, 503)
         self.assertEqual(answer.body, b"quarantined")
         runs = sum(len(replica.runs) for replica in self.harness.replicas)
-        self.assertEqual(runs, MOST_CRASHES)
+        self.assertEqual(runs, QUARANTINE_CRASHES)
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_standstills.py
@@ -160,7 +160,7 @@
         loop = asyncio.get_running_loop()
         for name in ("i-1", "i-2"):
             state = samples.engine_state(name, (MODEL_NAME,), silent=silent)
-            self.harness.knowledge.fleet.engine_told(loop.time(), state)
+            self.harness.knowledge.fleet.engine_reported(loop.time(), state)
 
     async def answer(self, speaks):
         for replica in self.holders():
--- a/tests/gateway/cover/test_crash_ledger.py
+++ b/tests/gateway/cover/test_crash_ledger.py
@@ -224,7 +224,7 @@
 
     def agent_says(self, now, **fields):
         state = engine_state("b1", started_ms=self.started_ms, **fields)
-        self.fleet.engine_told(now, state)
+        self.fleet.engine_reported(now, state)
 
     def test_another_start_or_none_means_that_it_crashed(self):
         self.begin()
--- a/tests/gateway/cover/test_demand_collection.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -213,7 +213,7 @@
         for count in (5, 500):
             engines = Engines(App(), Known(), None, None, 7, samples.allowances())
             fleet = engines._knowledge.fleet
-            fleet.engine_told(10.0, samples.engine_state("b1", ("m0", "m1")))
+            fleet.engine_reported(10.0, samples.engine_state("b1", ("m0", "m1")))
             for number in range(count):
                 engines.plans.demand("tutor").asked(10.0, f"m{number}")
             figures = engines.figures_for(fleet.get("b1"))
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -41,7 +41,7 @@
         self.changed = Changes()
         self.fleet = Fleet()
         self.fleet.registry_changed(app.at, samples.registration("b1", SERVICE))
-        self.fleet.engine_told(app.at, samples.engine_state("b1"))
+        self.fleet.engine_reported(app.at, samples.engine_state("b1"))
 
 
 class TestLostEngines(unittest.TestCase):
@@ -50,7 +50,7 @@
     def test_what_they_hold_does_not_count_as_held(self):
         app = App("e1")
         known = Known(app)
-        known.fleet.engine_told(app.at, samples.engine_state("b1", ["m1"]))
+        known.fleet.engine_reported(app.at, samples.engine_state("b1", ["m1"]))
         plans = EnginePlans(app, known, lambda backend, load_request: True)
         plans.demand(SERVICE).asked(app.at, "m1")
         self.assertEqual(plans.own_demands(SERVICE)["m1"].holders, 1)
--- a/tests/gateway/cover/test_events.py
+++ b/tests/gateway/cover/test_events.py
@@ -4,7 +4,7 @@
 
 from hypothesis import given, strategies as st
 
-from bambootiller_core.gateway.events import LARGEST_EVENT_BYTES, EventSplitter
+from bambootiller_core.gateway.events import MAX_EVENT_BYTES, EventSplitter
 
 STREAM = b"id: 1\ndata: one\n\nid: 2\ndata: two\n\nid: 3\ndata: three\n\n"
 
@@ -16,7 +16,7 @@
 SEPARATORS = (b"\n\n", b"\r\n\r\n", b"\r\r")
 
 
-def plainly_split(stream):
+def naive_split(stream):
     """The events with their numbers, and the rest, looked for as one would by hand."""
     found = []
     while True:
@@ -28,10 +28,10 @@
         if not ends:
             return found, stream
         event, stream = stream[: min(ends)], stream[min(ends) :]
-        found.append((event, plainly_numbered(event)))
+        found.append((event, naive_number(event)))
 
 
-def plainly_numbered(event):
+def naive_number(event):
     for line in event.splitlines():
         name, colon, value = line.partition(b":")
         if colon and name.strip() == b"id":
@@ -41,7 +41,7 @@
 
 class TestEventSplitter(unittest.TestCase):
     @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-    def test_portions_make_no_difference(self, cuts):
+    def test_chunk_boundaries_make_no_difference(self, cuts):
         splitter = EventSplitter()
         edges = [0, *sorted(cuts), len(STREAM)]
         events = []
@@ -49,38 +49,38 @@
             events += splitter.feed(STREAM[begin:end])
         self.assertEqual([event.number for event in events], [1, 2, 3])
         self.assertEqual(b"".join(event.data for event in events), STREAM)
-        self.assertEqual(splitter.rest, b"")
+        self.assertEqual(splitter.remainder, b"")
 
     @given(st.lists(st.lists(st.sampled_from(PIECES), max_size=6), max_size=6))
-    def test_any_lines_in_any_portions_are_split_as_by_hand(self, portions):
+    def test_any_lines_in_any_chunks_are_split_as_by_a_naive_parser(self, chunks):
         splitter = EventSplitter()
         events = []
-        for portion in portions:
-            events += splitter.feed(b"".join(portion))
-        whole = b"".join(piece for portion in portions for piece in portion)
-        expected, rest = [], b""
-        for portion in portions:
-            more, rest = plainly_split(rest + b"".join(portion))
+        for chunk in chunks:
+            events += splitter.feed(b"".join(chunk))
+        whole = b"".join(piece for chunk in chunks for piece in chunk)
+        expected, remainder = [], b""
+        for chunk in chunks:
+            more, remainder = naive_split(remainder + b"".join(chunk))
             expected += more
         self.assertEqual([(event.data, event.number) for event in events], expected)
-        self.assertEqual(splitter.rest, rest)
-        self.assertEqual(b"".join(event.data for event in events) + rest, whole)
+        self.assertEqual(splitter.remainder, remainder)
+        self.assertEqual(b"".join(event.data for event in events) + remainder, whole)
 
-    def test_half_an_event_is_held_back(self):
+    def test_an_incomplete_event_is_buffered(self):
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata: o"), [])
-        self.assertEqual(splitter.rest, b"id: 1\ndata: o")
+        self.assertEqual(splitter.remainder, b"id: 1\ndata: o")
 
     def test_other_line_ends_are_understood(self):
         (event,) = EventSplitter().feed(b"id: 9\r\ndata: x\r\n\r\n")
         self.assertEqual(event.number, 9)
 
-    def test_an_event_without_a_number_is_passed_on_too(self):
+    def test_an_event_without_a_number_is_forwarded_too(self):
         (event,) = EventSplitter().feed(b"data: x\n\n")
         self.assertIsNone(event.number)
 
     def test_memory_is_bounded(self):
         splitter = EventSplitter()
-        events = splitter.feed(b"x" * (LARGEST_EVENT_BYTES + 1))
+        events = splitter.feed(b"x" * (MAX_EVENT_BYTES + 1))
         self.assertEqual(len(events), 1)
-        self.assertEqual(splitter.rest, b"")
+        self.assertEqual(splitter.remainder, b"")
--- a/tests/gateway/cover/test_first_look.py
+++ b/tests/gateway/cover/test_first_look.py
@@ -116,7 +116,9 @@
         self.speak("b1")
 
     def speak(self, name, **fields):
-        self.known.fleet.engine_told(self.app.at, samples.engine_state(name, **fields))
+        self.known.fleet.engine_reported(
+            self.app.at, samples.engine_state(name, **fields)
+        )
 
     def run_for(self, seconds):
         for _ in range(round(seconds / STEP_S)):
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -119,7 +119,7 @@
     def setUp(self):
         self.fleet = Fleet()
         self.fleet.registry_changed(0.0, samples.registration(service="llm"))
-        self.fleet.engine_told(1.0, samples.engine_state(holdings=["tutor"]))
+        self.fleet.engine_reported(1.0, samples.engine_state(holdings=["tutor"]))
 
     def test_the_holdings_of_a_silent_agent_stay_valid(self):
         backend = self.fleet.get("b1")
@@ -128,7 +128,7 @@
 
     def test_the_load_figures_of_a_silent_agent_do_not(self):
         state = samples.engine_state(holdings=["tutor"], running=9)
-        self.fleet.engine_told(1.0, state)
+        self.fleet.engine_reported(1.0, state)
         backend = self.fleet.get("b1")
         self.assertEqual(backend.occupied(1.5), 9)
         self.assertEqual(backend.occupied(60.0), 0)
@@ -159,7 +159,7 @@
 
     def test_a_report_of_an_unlisted_instance_is_ignored(self):
         state = samples.engine_state("b9", ["tutor"])
-        self.assertFalse(self.fleet.engine_told(1.0, state))
+        self.assertFalse(self.fleet.engine_reported(1.0, state))
         self.assertIsNone(self.fleet.get("b9"))
 
     def test_calls_are_counted_by_model_and_adapter(self):
@@ -185,7 +185,7 @@
         running = RunningClock(0.0)
         fleet = Fleet(running.running_time)
         fleet.registry_changed(0.0, samples.registration("e1", "tutor"))
-        fleet.engine_told(0.0, samples.engine_state("e1", ("m1",)))
+        fleet.engine_reported(0.0, samples.engine_state("e1", ("m1",)))
         backend = fleet.get("e1")
         self.assertTrue(backend.accepts_orders(5.0))
         running.tick(5.0)
@@ -195,7 +195,7 @@
         running = RunningClock(0.0)
         fleet = Fleet(running.running_time)
         fleet.registry_changed(0.0, samples.registration("e1", "tutor"))
-        fleet.engine_told(0.0, samples.engine_state("e1", ("m1",)))
+        fleet.engine_reported(0.0, samples.engine_state("e1", ("m1",)))
         for step in range(1, 20):
             running.tick(step * TICK_S)
         self.assertFalse(fleet.get("e1").accepts_orders(19 * TICK_S))
@@ -232,5 +232,5 @@
         fleet.registry_changed(0.0, samples.registration(service="llm"))
         backend = fleet.get("b1")
         backend.record_denial(5.0, "tutor", "")
-        fleet.engine_told(5.1, samples.engine_state(holdings=["tutor"]))
+        fleet.engine_reported(5.1, samples.engine_state(holdings=["tutor"]))
         self.assertTrue(backend.serves(5.2, "tutor"))
--- a/tests/gateway/failures/test_messages.py
+++ b/tests/gateway/failures/test_messages.py
@@ -112,7 +112,7 @@
         self.knowledge.on_document(passed_on.append)
         self.hold({"tutor"}, revision=3)
         state = engine_state("b1", ("tutor",))
-        self.knowledge.fleet.engine_told(0.0, state)
+        self.knowledge.fleet.engine_reported(0.0, state)
         self.hold({"poet"}, revision=4)
         self.assertEqual(len(passed_on), 1)
         self.assertEqual(self.knowledge.changed.count, 1)
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -26,7 +26,7 @@
     def setUp(self):
         self.fleet = Fleet()
         self.fleet.registry_changed(0.0, registration(FIRST_MS))
-        self.fleet.engine_told(0.0, told(FIRST_MS, ["tutor"]))
+        self.fleet.engine_reported(0.0, told(FIRST_MS, ["tutor"]))
         self.first = self.fleet.get("b1")
 
     def restart(self, now=1.0, **fields):
@@ -54,7 +54,7 @@
         self.first.mark_unreachable(1.0)
         second = self.restart(holdings={"poet": frozenset()})
         self.assertTrue(second.serves(1.0, "poet"))
-        self.fleet.engine_told(1.0, told(SECOND_MS, silent=True))
+        self.fleet.engine_reported(1.0, told(SECOND_MS, silent=True))
         self.assertFalse(second.lost(1.0))
 
     def test_that_it_was_leaving_does_not_hold_for_the_second_start(self):
@@ -103,7 +103,7 @@
         super().setUp()
         leaving = registration(FIRST_MS, leaving=True, revision=2)
         self.fleet.registry_changed(0.5, leaving)
-        self.fleet.engine_told(1.0, told(SECOND_MS, ["poet"]))
+        self.fleet.engine_reported(1.0, told(SECOND_MS, ["poet"]))
         self.second = self.fleet.get("b1")
 
     def test_its_word_begins_the_second_start(self):
@@ -140,7 +140,7 @@
 
     def test_of_its_agent(self):
         second = self.restart()
-        self.assertFalse(self.fleet.engine_told(2.0, told(FIRST_MS, ["tutor"])))
+        self.assertFalse(self.fleet.engine_reported(2.0, told(FIRST_MS, ["tutor"])))
         self.assertEqual(second.holdings, {})
         self.assertFalse(second.agent_responsive(2.0))
 
@@ -163,12 +163,14 @@
         self.assertTrue(self.first.replaced)
 
     def test_its_agents_word_does_too(self):
-        self.assertFalse(self.fleet.engine_told(1.0, told(self.BACK_MS)))
-        self.assertTrue(self.fleet.engine_told(TAKEOVER_SILENCE_S, told(self.BACK_MS)))
+        self.assertFalse(self.fleet.engine_reported(1.0, told(self.BACK_MS)))
+        self.assertTrue(
+            self.fleet.engine_reported(TAKEOVER_SILENCE_S, told(self.BACK_MS))
+        )
         self.assertEqual(self.fleet.get("b1").incarnation.started_ms, self.BACK_MS)
 
     def test_word_of_the_start_that_lives_renews_its_time(self):
-        self.fleet.engine_told(TAKEOVER_SILENCE_S - 1, told(FIRST_MS, ["tutor"]))
+        self.fleet.engine_reported(TAKEOVER_SILENCE_S - 1, told(FIRST_MS, ["tutor"]))
         back = registration(self.BACK_MS, revision=5)
         self.assertFalse(self.fleet.registry_changed(TAKEOVER_SILENCE_S, back))
 
@@ -204,10 +206,10 @@
         for step in range(140):
             now = step * 0.05
             other = samples.engine_state("b2", loading=loading)
-            self.fleet.engine_told(now, other)
+            self.fleet.engine_reported(now, other)
             # Begun a second later, it ends by the crash after its stated time.
             own = loading if step >= 20 else None
-            self.fleet.engine_told(now, told(FIRST_MS, loading=own))
+            self.fleet.engine_reported(now, told(FIRST_MS, loading=own))
             speed.observe(now, list(self.fleet), spec)
         second = self.restart(now=7.0)
         speed.observe(7.0, list(self.fleet), spec)
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -208,7 +208,7 @@
             App(self.clock), self.known, Streams(), Events(), 7, samples.allowances()
         )
         self.backend = self.known.fleet.get("b1")
-        self.known.fleet.engine_told(10.0, engine_state("b1", ("poet",)))
+        self.known.fleet.engine_reported(10.0, engine_state("b1", ("poet",)))
         self.stream = Stream("a1")
         self.engines.plans._own[SERVICE] = {"poet": Demand(rate=1.0, holders=1)}
 
--- a/tests/gateway/failures/test_store_turns_taken.py
+++ b/tests/gateway/failures/test_store_turns_taken.py
@@ -36,7 +36,7 @@
             instance, address = f"b{number}", f"10.0.0.{number}:1"
             record = samples.registration(instance, SERVICE, address)
             self.fleet.registry_changed(app.at, record)
-            self.fleet.engine_told(app.at, samples.engine_state(instance))
+            self.fleet.engine_reported(app.at, samples.engine_state(instance))
 
 
 class TestOneTurn(unittest.TestCase):
@@ -57,7 +57,7 @@
         plans.make(app.at)
         app.at += MAX_STALL_S + 0.1
         for number in range(6):
-            known.fleet.engine_told(app.at, samples.engine_state(f"b{number}"))
+            known.fleet.engine_reported(app.at, samples.engine_state(f"b{number}"))
         plans.make(app.at)
         requested.clear()
         plans.totals_reported(app.at, SERVICE, "10.0.0.1", demands)
@@ -116,7 +116,7 @@
         for _ in range(round((MAX_STALL_S + 12.0) / PLAN_S)):
             app.at += PLAN_S
             for number in range(6):
-                known.fleet.engine_told(app.at, samples.engine_state(f"b{number}"))
+                known.fleet.engine_reported(app.at, samples.engine_state(f"b{number}"))
             plans.totals_reported(app.at, SERVICE, "10.0.0.1", demands)
             plans.make(app.at)
         return requested
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -17,7 +17,7 @@
 CONTACT_S = 3.0
 #: The crash after which a request is kept from all engines, and how many runs of it may
 #: begin later.
-MOST_CRASHES = 3
+QUARANTINE_CRASHES = 3
 MOST_LATE = 3
 #: The same of a part of prompts.
 MOST_PART_CRASHES = 5
@@ -50,7 +50,7 @@
     engines = world.all_replicas()
     crashes = [at for engine in engines for at in engine.crash_times]
     runs = [at for engine in engines for at in engine.poison_times]
-    late = _late(crashes, MOST_CRASHES, runs, world.poisonings, injuries)
+    late = _late(crashes, QUARANTINE_CRASHES, runs, world.poisonings, injuries)
     if late > MOST_LATE:
         yield f"poison: {late} late runs, {len(crashes)} engines ended"
 
