--- a/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_prefetch.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_prefetch.py
@@ -8,7 +8,7 @@
 Example::
 
     prefetch = AdapterPrefetch()
-    prefetch.refused(now, ask, come_back_s=6.0)
+    prefetch.refused(now, request, come_back_s=6.0)
     for request in prefetch.load_requests(now, backend, fleet.of_service("tutor")): ...
 """
 
@@ -34,15 +34,15 @@
         #: When the last caller is expected back, by model and adapter.
         self._due: dict[str, dict[str, float]] = {}
 
-    def refused(self, now: float, ask: ModelRequest, come_back_s: float) -> None:
+    def refused(self, now: float, request: ModelRequest, come_back_s: float) -> None:
         """Record that a caller was refused because its model couldn't be loaded in
         time."""
-        if not ask.adapter:
+        if not request.adapter:
             return
         for model in list(self._due):
             self._still_due(now, model)
         due_in_s = min(come_back_s, MAX_RETURN_S) + RETURN_SLACK_S
-        self._due.setdefault(ask.model, {})[ask.adapter] = now + due_in_s
+        self._due.setdefault(request.model, {})[request.adapter] = now + due_in_s
 
     def load_requests(
         self, now: float, backend: Backend, backends: Collection[Backend]
@@ -51,12 +51,12 @@
         ``backends`` are all engines of the service."""
         if not self._due:
             return []
-        able = backend.accepts_orders(now) and backend.engine.loading is None
+        can_load = backend.accepts_orders(now) and backend.engine.loading is None
         models = [model for model in self._due if backend.serves(now, model)]
         found = []
         for model in models:
             due = self._still_due(now, model)
-            for adapter in due if able else ():
+            for adapter in due if can_load else ():
                 if not any(other.serves(now, model, adapter) for other in backends):
                     found.append(LoadRequest(model, adapter))
         return found
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
@@ -63,13 +63,13 @@
 ) -> CopiesChanged | None:
     """How the engine's copies differ from those of the previous report; None if they
     don't."""
-    had = before.in_memory | before.on_disk if before is not None else frozenset()
-    has = report.in_memory | report.on_disk
-    if had == has:
+    previous = before.in_memory | before.on_disk if before is not None else frozenset()
+    current = report.in_memory | report.on_disk
+    if previous == current:
         return None
     return CopiesChanged(
-        tuple(sorted(has - had)),
-        tuple(sorted(had - has)),
+        tuple(sorted(current - previous)),
+        tuple(sorted(previous - current)),
         len(report.on_disk),
         len(report.in_memory),
     )
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/demand_tracker.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/demand_tracker.py
@@ -120,8 +120,8 @@
         due = self._refused.setdefault(model, deque())
         due.append((now + due_in_s, weight))
         if returns_in_s is not None:
-            back_by = now + returns_in_s + RETURN_SLACK_S
-            self._returning.setdefault(model, []).append((back_by, weight))
+            expected_by = now + returns_in_s + RETURN_SLACK_S
+            self._returning.setdefault(model, []).append((expected_by, weight))
 
     def waiting(self, now: float, model: str) -> int:
         """The number of calls waiting for the model, by their weights; refused calls
@@ -138,10 +138,10 @@
         found = {}
         for model in list(self._rates):
             rate = _rate(self._rates, now, model)
-            here = self._waiting.get(model, [])
+            waiting_calls = self._waiting.get(model, [])
             waiting = self.waiting(now, model)
-            waited_s = [max(now - call.since, MIN_WAIT_S) for call in here]
-            left_s = [call.due - now for call in here if call.due > now]
+            waited_s = [max(now - call.since, MIN_WAIT_S) for call in waiting_calls]
+            left_s = [call.due - now for call in waiting_calls if call.due > now]
             if rate < MIN_RATE and not waiting:
                 del self._rates[model]
                 self._refused.pop(model, None)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
@@ -119,10 +119,12 @@
     return names
 
 
-def targets_with_copy(places: Iterable[LoadTarget]) -> dict[str, list[LoadTarget]]:
+def targets_with_copy(
+    load_targets: Iterable[LoadTarget],
+) -> dict[str, list[LoadTarget]]:
     """The engines that have a copy of each model and don't hold it."""
     found: dict[str, list[LoadTarget]] = {}
-    for load_target in places:
+    for load_target in load_targets:
         for name in load_target.copies().difference(load_target.held):
             found.setdefault(name, []).append(load_target)
     return found
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
@@ -91,10 +91,10 @@
         It counts future callers only: those who have given up count for nothing,
         however many they were.
         """
-        to_come = FORECAST_S * self.rate
+        forecast_calls = FORECAST_S * self.rate
         return (
             self.aged_callers
-            + to_come * self._aging
+            + forecast_calls * self._aging
             + WAITED_SECOND_VALUE * self.oldest_s
         )
 
@@ -112,8 +112,8 @@
 
     def value_with_holders(self, holders: int) -> float:
         """The same if so many engines held the model."""
-        others = COPIED_KEEP_FACTOR if self.copies > max(1, holders) else 1.0
-        return others * (MIN_KEEP_VALUE + self.value) / max(1, holders) ** 2
+        copy_factor = COPIED_KEEP_FACTOR if self.copies > max(1, holders) else 1.0
+        return copy_factor * (MIN_KEEP_VALUE + self.value) / max(1, holders) ** 2
 
 
 #: The demand for a model without calls.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -62,7 +62,7 @@
 @dataclass(slots=True)
 class _Load:
     model: str
-    began: float
+    started_at: float
     seconds: float
     from_store: bool
 
@@ -324,12 +324,14 @@
         load, ended = self._load, None
         if load is not None:
             held = load.model in report.holdings
-            if held or (not report.busy and now - load.began > LOAD_VISIBLE_S):
+            if held or (not report.busy and now - load.started_at > LOAD_VISIBLE_S):
                 self._load = None
-                seconds = now - load.began
+                seconds = now - load.started_at
                 ended = LoadEnded(load.model, held, seconds, load.from_store)
             if held:
-                self._entry_reports.load_finished(now, load.model, now - load.began)
+                self._entry_reports.load_finished(
+                    now, load.model, now - load.started_at
+                )
         if self._unloading is not None and self._unconfirmed is None:
             if self._unloading not in report.holdings or not report.busy:
                 self._unloading = None
@@ -339,9 +341,9 @@
         load = self._load
         if load is None:
             return self._upcoming_load(now) or self._acquiring_load()
-        left = load.began + load.seconds - now
-        left = max(left, load.seconds * OVERRUN_FRACTION)
-        return Loading(load.model, left, load.from_store)
+        left_s = load.started_at + load.seconds - now
+        left_s = max(left_s, load.seconds * OVERRUN_FRACTION)
+        return Loading(load.model, left_s, load.from_store)
 
     def _upcoming_load(self, now: float) -> Loading | None:
         """The load that models are being unloaded for. It is advertised as already
@@ -352,8 +354,8 @@
         if not spec:
             return None
         seconds, from_store = self._load_time(spec)
-        left = max(0.0, preparing.since + CALL_DURATION_S - now) + seconds
-        return Loading(spec.name, left, from_store)
+        left_s = max(0.0, preparing.since + CALL_DURATION_S - now) + seconds
+        return Loading(spec.name, left_s, from_store)
 
     def _acquiring_load(self) -> Loading | None:
         """The load for which a store permit is being acquired. It is advertised as
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -391,7 +391,7 @@
         """The engine where a load of the model is expected to end first; a load from
         the weight store starts after ``store_wait_s``."""
         best: _Option | None = None
-        best_s = float("inf")
+        best_cost_s = float("inf")
         # Engines with a copy come first: a load from a copy rules most other engines
         # out.
         for load_target in (*self._copies.get(spec.name, ()), *self._load_targets):
@@ -402,7 +402,7 @@
                 continue
             ready = load_target.free_after_s + seconds + ORDER_OVERHEAD_S
             wait_s = max(0.0, store_wait_s) if from_store else 0.0
-            if ready + wait_s > best_s + TIE_MARGIN_S:
+            if ready + wait_s > best_cost_s + TIE_MARGIN_S:
                 # Checked before the more expensive conditions: half of all engines are
                 # excluded here.
                 continue
@@ -413,24 +413,24 @@
             if victims is None:
                 continue
             ready += victims.wait_s
-            rated = ready + wait_s
+            cost_s = ready + wait_s
             if seconds > LONG_LOAD_S:
-                rated += BLOCKED_MODEL_COST_S * self._blocked_by_load(
+                cost_s += BLOCKED_MODEL_COST_S * self._blocked_by_load(
                     load_target, victims
                 )
                 at_risk = self._adapters.calls_at_risk(load_target, seconds)
-                rated += max(
+                cost_s += max(
                     BLOCKED_CALL_COST_S * blocked_calls,
                     min(at_risk, MAX_CALLS_AT_RISK_COST_S),
                 )
-            rated = round(rated, EQUAL_DECIMALS)
-            if rated > best_s:
+            cost_s = round(cost_s, EQUAL_DECIMALS)
+            if cost_s > best_cost_s:
                 continue
-            if rated == best_s:
+            if cost_s == best_cost_s:
                 instance, other = load_target.instance, best.load_target.instance
                 if _weight(spec.name, instance) <= _weight(spec.name, other):
                     continue
-            best, best_s = _Option(load_target, ready, from_store), rated
+            best, best_cost_s = _Option(load_target, ready, from_store), cost_s
         return best
 
     def _blocked_by_load(self, load_target: LoadTarget, victims: Victims) -> int:
