--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -158,7 +158,7 @@
         self, attempt: Attempt, head: AnswerHead, answer_kind: AnswerKind
     ) -> None:
         """Record the limit that an answer reports. A missing limit counts only if the
-        call was served: whatever else sent the answer may not know the limit."""
+        call was served: the sender of any other answer may not know the limit."""
         backend, limits = attempt.backend, self._context.server_limits
         limit = self._context.dialect.limit(head)
         if isinstance(limit, Unreadable):
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -44,6 +44,7 @@
 #: A planned stop continues until no call has arrived for this long: a caller that just
 #: connected or got an answer sends its next call within a round trip. Seconds.
 QUIET_PERIOD_S = 0.3
+#: How often expired connections and ended backend servers are dropped. Seconds.
 SWEEP_INTERVAL_S = 0.5
 #: How often the metrics of quota shares are updated. Seconds.
 QUOTA_METRICS_INTERVAL_S = 1.0
--- a/packages/bambootiller/src/bambootiller/gateway/http_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_limits.py
@@ -23,8 +23,8 @@
 
 #: Counted per header beside its name and value: colon, space and line end. Bytes.
 HEADER_FRAMING_BYTES = 4
-#: An idle connection is kept open for this multiple of the idle timeout that callers
-#: are told.
+#: An idle connection is kept open for this multiple of the configured idle timeout,
+#: for most of which callers may reuse it.
 KEEP_ALIVE_FACTOR = 1.1
 #: How long received data is read and dropped after a refusal. Seconds.
 LINGER_S = 1.0
@@ -83,7 +83,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._set_timeout(self.get_limits().idle_timeout_s)
         if self.closes_unread():
-            # Data that still arrives is dropped unread.
+            # Makes data_received drop whatever still arrives.
             self._refused = True
             transport.abort()
 
@@ -134,7 +134,7 @@
 
     def on_response_complete(self) -> None:
         """An answer is complete. Callers may reuse a connection for most of the idle
-        timeout that they were told; closed any sooner, a call could cross the close."""
+        timeout; if it were closed any sooner, a call could cross the close."""
         kept_s = self.get_limits().idle_timeout_s * KEEP_ALIVE_FACTOR
         self.timeout_keep_alive = max(self.timeout_keep_alive, kept_s)
         super().on_response_complete()
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -158,8 +158,8 @@
             await asyncio.sleep(RECHECK_S)
 
     def _refuse_or_wait(self, candidates: list[Backend]) -> Refusal | None:
-        """A refusal because all candidates are full, or None to wait for a permit under
-        the limit that one of them reports."""
+        """A refusal because no candidate can take the call now, or None to wait for a
+        permit under the limit that one of them reports."""
         now = self._context.clock()
         free = [
             backend for backend in candidates if not selection.is_full(backend, now)
@@ -269,11 +269,11 @@
         return None
 
     def _refuse_cold(self, now: float, retry_after_s: float) -> Refusal:
-        """Refuse the call and request its adapter for when the caller retries. This has
-        to be noted now: as soon as the engine's present load ends it may begin another
-        long one."""
-        due = self._context.engines.plans.adapter_prefetch(self._call.service)
-        due.refused(now, self._call.ask, retry_after_s)
+        """Refuse the call and have its adapter prefetched for the caller's retry. This
+        is requested now because the engine may start another long load as soon as its
+        current one finishes."""
+        prefetch = self._context.engines.plans.adapter_prefetch(self._call.service)
+        prefetch.refused(now, self._call.ask, retry_after_s)
         return Refusal(RefusalReason.MODEL_NOT_LOADED, retry_after_s)
 
     def _record_adapter_miss(self, now: float) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -223,9 +223,11 @@
         try:
             # Whatever lost the previous answer from this backend server has probably
             # broken its idle connections as well.
-            again = backend.incarnation in progress.tried
+            tried_before = backend.incarnation in progress.tried
             pool = context.pool(backend)
-            return await pool.acquire(now, self._call.deadline - now, fresh=again)
+            return await pool.acquire(
+                now, self._call.deadline - now, fresh=tried_before
+            )
         except CannotConnect as exc:
             if not isinstance(exc, PoolExhausted):
                 context.mark_unreachable(self._call.service, backend)
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class ServiceState:
-    """The state that is kept for one service."""
+    """The state of one service."""
 
     health: Health = field(default_factory=Health)
     budget: RetryBudget | None = None
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -1,9 +1,9 @@
 """Keeps the calls of all entries within the rate limits that backend servers report.
 
 Each call to such a backend server needs a permit, which stands for one call of the
-limit; the allocator divides the limit between the entries (:mod:`allowances`). A call
-that gets no permit goes to another backend server, waits if a permit is expected in
-time, or is refused at once.
+limit. The allocator divides the limit between the entries; see
+:mod:`bambootiller.gateway.allowances`. A call that gets no permit goes to another
+backend server, waits if a permit is expected in time, or is refused at once.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 from bambootiller_core.gateway.quota_account import QuotaCharge
 from bambootiller_core.gateway.reported_limits import limit_name, shared_limits
 
+#: The kind under which these limits are kept beside the customers' quotas.
 LIMIT_KIND = "backend servers"
 #: The cost of a call under a limit.
 CALL_COST = 1.0
@@ -106,7 +107,8 @@
             self._allowances.record_demand(limit_name(backend.instance), CALL_COST)
 
     async def permit(self, backend: Backend) -> Permit | None:
-        """A permit for a call to the backend server now, None if there is none."""
+        """A permit for a call to the backend server now, None if there is none; then no
+        further ones are requested for a moment."""
         name = limit_name(backend.instance)
         found = await self._allowances.obtain(name, CALL_COST, ALLOCATOR_TIMEOUT_S)
         if isinstance(found, QuotaCharge):
