--- a/tests/gateway/cover/test_attempts.py
+++ b/tests/gateway/cover/test_attempts.py
@@ -102,7 +102,7 @@
         self.assertEqual(decision, CutOff())
 
 
-class TestTime(unittest.TestCase):
+class TestDeadlines(unittest.TestCase):
     def test_a_call_that_was_not_sent_may_come_back(self):
         decision = give_up(Progress(), timed_out=True)
         self.assertEqual(decision.status, 503)
--- a/tests/gateway/cover/test_config.py
+++ b/tests/gateway/cover/test_config.py
@@ -6,7 +6,7 @@
 from tests.gateway.common import samples
 
 
-class TestMatching(unittest.TestCase):
+class TestRouteMatching(unittest.TestCase):
     def setUp(self):
         routes = [
             samples.route(prefix="/a/"),
--- a/tests/gateway/cover/test_demand_collection.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -19,7 +19,7 @@
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_messages import LoadRequest
 from tests.gateway.common import samples
-from tests.gateway.failures.test_engines import App, Known
+from tests.gateway.failures.test_engines import App, FakeKnowledge
 
 HOSTS = [f"10.0.0.{number}" for number in range(30)]
 
@@ -36,7 +36,7 @@
         self.assertEqual(collectors("tutor", left)[0], second)
 
 
-class TestMoved(unittest.TestCase):
+class TestDemandsChanged(unittest.TestCase):
     def test_a_rate_that_fades_is_not_told_again_and_again(self):
         """Symptom: nobody calls, and each stream carries two messages a second.
 
@@ -94,7 +94,7 @@
         )
 
 
-class TestTotals(unittest.TestCase):
+class TestCollectedDemand(unittest.TestCase):
     def test_the_collector_that_knows_of_more_counts(self):
         totals = CollectedDemand()
         totals.reported(1.0, "tutor", "h1", {"poet": Demand(3.0, 1)})
@@ -112,7 +112,7 @@
         self.assertEqual(list(totals.demands(4.0, "tutor")), ["critic"])
 
 
-class TestTimeLeft(unittest.TestCase):
+class TestNextDeadline(unittest.TestCase):
     """How long the next waiting call is in time, as several tell it."""
 
     def test_it_travels_with_the_demand(self):
@@ -167,7 +167,7 @@
         self.assertFalse(demands_changed(reported, {"poet": Demand(callers=1.1)}))
 
 
-class TestConcerning(unittest.TestCase):
+class TestRelevantDemands(unittest.TestCase):
     def test_an_agent_hears_of_what_its_engine_holds_or_loads(self):
         loading = Loading("critic", 2.0, True)
         state = samples.engine_state("b1", ("poet",), loading=loading)
@@ -203,7 +203,7 @@
         )
 
 
-class TestSize(unittest.TestCase):
+class TestMessageSize(unittest.TestCase):
     def test_a_message_does_not_grow_with_the_number_of_models(self):
         """Symptom: with 32 entries and 30 agents the small instances read all day.
 
@@ -211,7 +211,9 @@
         """
         sizes = []
         for count in (5, 500):
-            engines = Engines(App(), Known(), None, None, 7, samples.allowances())
+            engines = Engines(
+                App(), FakeKnowledge(), None, None, 7, samples.allowances()
+            )
             fleet = engines._knowledge.fleet
             fleet.engine_reported(10.0, samples.engine_state("b1", ("m0", "m1")))
             for number in range(count):
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -29,7 +29,7 @@
         return self.at
 
 
-class Known:
+class FakeKnowledge:
     """One engine, and the configuration of its service."""
 
     gather_s = 0.6
@@ -49,7 +49,7 @@
 
     def test_what_they_hold_does_not_count_as_held(self):
         app = App("e1")
-        known = Known(app)
+        known = FakeKnowledge(app)
         known.fleet.engine_reported(app.at, samples.engine_state("b1", ["m1"]))
         plans = EnginePlans(app, known, lambda backend, load_request: True)
         plans.demand(SERVICE).asked(app.at, "m1")
@@ -60,7 +60,7 @@
         self.assertEqual((demand.holders, demand.copies), (0, 0))
 
 
-class TestWhoPlans(unittest.TestCase):
+class TestPlanners(unittest.TestCase):
     """Symptom: entries of a large fleet spend a quarter of their time on plans.
 
     Each entry with a refused caller that was due back made the plan ten times a second,
@@ -70,7 +70,7 @@
     def start(self, instance):
         self.app = App(instance)
         self.plans = EnginePlans(
-            self.app, Known(self.app), lambda backend, load_request: True
+            self.app, FakeKnowledge(self.app), lambda backend, load_request: True
         )
         self.plans.entries = ENTRIES
         self.demand = self.plans.demand(SERVICE)
--- a/tests/gateway/cover/test_first_look.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -22,7 +22,7 @@
     return samples.backend(name, 0.0, samples.engine_state(name, **fields))
 
 
-class TestFirstLook(unittest.TestCase):
+class TestInitialDiscovery(unittest.TestCase):
     def setUp(self):
         self.look = InitialDiscovery()
 
@@ -79,7 +79,7 @@
         return self.at
 
 
-class Known:
+class FakeKnowledge:
     """What the entry has heard of."""
 
     gather_s = 0.6
@@ -105,7 +105,7 @@
     """
 
     def setUp(self):
-        self.app, self.known, self.load_requests = App(), Known(), []
+        self.app, self.known, self.load_requests = App(), FakeKnowledge(), []
         self.plans = EnginePlans(
             self.app,
             self.known,
--- a/tests/gateway/cover/test_moving.py
+++ b/tests/gateway/cover/test_model_moves.py
@@ -17,7 +17,7 @@
 AWAITED = Demand(2.0, 6, 0, 1.0, 1)
 
 
-class TestMoving(unittest.TestCase):
+class TestModelMoves(unittest.TestCase):
     """The first engine is full of tutor and poet, which have calls, and has the only
     copy of clerk. The second holds scribe, idle, and has a copy of tutor."""
 
@@ -126,7 +126,7 @@
         self.assertEqual(plan["m0"].instance, "b1")
 
 
-class TestKeeping(unittest.TestCase):
+class TestKeepValues(unittest.TestCase):
     def test_of_equals_the_one_with_a_copy_elsewhere_goes_first(self):
         alone, copied = Demand(0.0, 0, 1, 0.0, 1), Demand(0.0, 0, 1, 0.0, 2)
         self.assertGreater(alone.value_per_holder, copied.value_per_holder)
--- a/tests/gateway/cover/test_quarantine_record.py
+++ b/tests/gateway/cover/test_quarantine_record.py
@@ -13,7 +13,7 @@
 )
 
 
-class TestRecord(unittest.TestCase):
+class TestQuarantineRecord(unittest.TestCase):
     def test_another_process_reads_what_was_written_with_its_age(self):
         value = quarantine_record.encode(RUNS, now=100.0, unix_s=5000.0)
         found = quarantine_record.decode(KEY, value, now=7.0, unix_s=5020.0)
--- a/tests/gateway/cover/test_quotas.py
+++ b/tests/gateway/cover/test_quotas.py
@@ -32,7 +32,7 @@
         self.assertGreaterEqual(limit.depth, 4000.0)
 
 
-class TestLongRun(unittest.TestCase):
+class TestSustainedRate(unittest.TestCase):
     """A customer whose rate had been lowered ran half of what it might: its burst
     stayed, and only the rate filled the bucket, which was empty all the time."""
 
@@ -58,7 +58,7 @@
         self.assertGreater(late, 0.9 * tolerance.allowed(quota) / 8.3)
 
 
-class TestAccount(unittest.TestCase):
+class TestQuotaAccount(unittest.TestCase):
     def setUp(self):
         self.account = QuotaAccount()
 
@@ -140,7 +140,7 @@
         self.assertAlmostEqual(self.account.available(11.0, LIMIT), 0.0)
 
 
-class TestAllocator(unittest.TestCase):
+class TestQuotaAllocator(unittest.TestCase):
     def setUp(self):
         self.allocator = self.begin(0.0)
         self.numbers, self.heard = {}, {}
--- a/tests/gateway/cover/test_named_limits.py
+++ b/tests/gateway/cover/test_reported_limits.py
@@ -10,7 +10,7 @@
 from bambootiller_core.gateway.update_filter import UpdateFilter
 
 
-class TestNamedLimits(unittest.TestCase):
+class TestReportedLimits(unittest.TestCase):
     def setUp(self):
         self.limits = ReportedLimits()
 
--- a/tests/gateway/cover/test_residency.py
+++ b/tests/gateway/cover/test_residency.py
@@ -131,7 +131,7 @@
             self.assertEqual(plan["poet"].instance, expected)
 
 
-class TestTurns(unittest.TestCase):
+class TestLoadOrder(unittest.TestCase):
     def plan(self, **demands):
         spec = samples.engine(*(samples.model(name) for name in sorted(demands)))
         return list(
@@ -152,7 +152,7 @@
         self.assertEqual(plan, ["hot", "early"])
 
 
-class TestCallsThatCanBeInTime(unittest.TestCase):
+class TestCallsThatCanMeetTheirTarget(unittest.TestCase):
     """Symptom: a call that a load from a copy would serve well within its target waits
     behind loads for calls that are late whatever is done.
 
@@ -263,7 +263,7 @@
         self.assertIsNone(self.victims({}, values, Demand(0.1, 1)))
 
 
-class TestRunsThatEndFirst(unittest.TestCase):
+class TestEvictionsThatWaitForCalls(unittest.TestCase):
     """Symptom: a model with 59 calls waiting comes 11 s after it was asked for, six of
     which its engine spent on unloading two others with many calls.
 
@@ -290,7 +290,7 @@
         self.assertGreater(plan["tutor"].ready_in_s, 6.0 + 2 * 1.5)
 
 
-class TestCrowdedModels(unittest.TestCase):
+class TestModelsWithFullHolders(unittest.TestCase):
     """Symptom: calls of the busiest model are refused as too many, while engines with a
     copy of it stand idle.
 
@@ -329,7 +329,7 @@
         )
 
 
-class TestLongLoadsThatNobodyAskedFor(unittest.TestCase):
+class TestLongPrefetches(unittest.TestCase):
     """Symptom: a busy model is refused for most of a minute from the first call on.
 
     Before the first call a model without a copy was fetched to the only engine that
@@ -360,7 +360,7 @@
         self.assertIn("poet", self.plan(6.0, holders=1))
 
 
-class TestModelsThatSeveralEnginesHold(unittest.TestCase):
+class TestPrefetchesAndReplicatedModels(unittest.TestCase):
     """Symptom: in the first seconds of traffic callers of the busiest models are
     refused, or wait for a load, though engines held these models a moment before.
 
@@ -391,7 +391,7 @@
         self.assertIn("poet", self.plan(2, poet=Demand(0.1, 1)))
 
 
-class TestBusyModelsHeldOnce(unittest.TestCase):
+class TestBusyModelsWithOneHolder(unittest.TestCase):
     """Symptom: a quarter of the calls of the busiest model get their first event late,
     and all of them fail when its engine crashes.
 
--- a/tests/gateway/cover/test_running_clock.py
+++ b/tests/gateway/cover/test_running_clock.py
@@ -9,7 +9,7 @@
 )
 
 
-class TestRunningTime(unittest.TestCase):
+class TestRunningClock(unittest.TestCase):
     def setUp(self):
         self.running = RunningClock(100.0)
         self.now = 100.0
--- a/tests/gateway/cover/test_silence.py
+++ b/tests/gateway/cover/test_silence.py
@@ -18,7 +18,7 @@
         self.told.append(seconds)
 
 
-class TestSilenceWatch(unittest.IsolatedAsyncioTestCase):
+class TestSilenceDetector(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.conn = Connection()
 
--- a/tests/gateway/cover/test_store_speed.py
+++ b/tests/gateway/cover/test_store_concurrency.py
@@ -19,7 +19,7 @@
 LOAD_S = 6.0
 
 
-class Store:
+class SharedBandwidthStore:
     """Loads that share a store which serves ``full`` of them at full speed."""
 
     def __init__(self, full):
@@ -51,7 +51,7 @@
         self.concurrency.observe(self.now, backends, self.spec)
 
 
-class OrderlyStore:
+class FixedDurationStore:
     """A store whose loads take longer by how many are under way as they begin."""
 
     def __init__(self, full, loads, load_s=LOAD_S):
@@ -86,14 +86,14 @@
         return found
 
 
-class TestLoadsThatTakeLongerByTheirOrder(unittest.TestCase):
+class TestLoadsSlowedByEarlierLoads(unittest.TestCase):
     def test_the_first_of_four_says_nothing_of_the_others(self):
         """Symptom: a store that serves one load is taken to serve four for ever.
 
         Four begin together. The first ends in its stated time while the others are
         under way, which was taken to show that four are served at full speed.
         """
-        store = OrderlyStore(full=1, loads=4)
+        store = FixedDurationStore(full=1, loads=4)
         for number in range(4):
             store.begin(f"b{number}")
         store.run(1.4 * LOAD_S)
@@ -101,14 +101,14 @@
         self.assertFalse(store.concurrency.allows_probe)
 
     def test_all_of_four_at_full_speed_show_that_four_are_served(self):
-        store = OrderlyStore(full=4, loads=1)
+        store = FixedDurationStore(full=4, loads=1)
         for number in range(4):
             store.begin(f"b{number}")
         store.run(1.1 * LOAD_S)
         self.assertEqual(store.concurrency.loads, 4)
 
     def test_one_more_is_tried_until_the_store_is_seen_to_serve_no_more(self):
-        store = OrderlyStore(full=1, loads=1)
+        store = FixedDurationStore(full=1, loads=1)
         self.assertTrue(store.concurrency.allows_probe)
         store.begin("b0")
         store.begin("b1")
@@ -123,7 +123,7 @@
         Two begin together to see whether it serves them at once. One ends in time; the
         other is late by then, and yet a third was begun beside it.
         """
-        store = OrderlyStore(full=1, loads=1)
+        store = FixedDurationStore(full=1, loads=1)
         store.begin("b0")
         store.begin("b1")
         store.run(1.02 * LOAD_S)
@@ -135,7 +135,7 @@
 
         The engine of the one that was tried went before it had shown anything.
         """
-        store = OrderlyStore(full=1, loads=1)
+        store = FixedDurationStore(full=1, loads=1)
         store.begin("b0")
         store.begin("b1")
         store.run(0.8 * LOAD_S)
@@ -148,7 +148,7 @@
 
     def test_until_the_one_that_is_tried_shows_something_no_other_is_tried(self):
         """The load before it had ended, it wasn't late yet, and another was tried."""
-        store = OrderlyStore(full=1, loads=1)
+        store = FixedDurationStore(full=1, loads=1)
         store.begin("b0")
         store.run(0.1 * LOAD_S)
         store.begin("b1")
@@ -159,7 +159,7 @@
         self.assertFalse(store.concurrency.allows_probe)
 
     def test_the_end_of_a_load_is_foreseen(self):
-        store = OrderlyStore(full=1, loads=1)
+        store = FixedDurationStore(full=1, loads=1)
         store.begin("b0")
         store.run(1.0)
         store.begin("b1")
@@ -176,7 +176,7 @@
         self.assertEqual(initial_loads(long), 1)
 
 
-class TestLoadsOutOfSight(unittest.TestCase):
+class TestLoadsOfSilentAgents(unittest.TestCase):
     """Symptom: of 21 models without a copy none is served in half a minute, though the
     weight store could bring two.
 
@@ -186,7 +186,7 @@
     """
 
     def setUp(self):
-        self.store = OrderlyStore(full=1, loads=1)
+        self.store = FixedDurationStore(full=1, loads=1)
         self.store.begin("b0")
         self.store.begin("b1")
 
@@ -243,9 +243,9 @@
         self.assertFalse(plan["poet"].request_now)
 
 
-class TestStoreSpeed(unittest.TestCase):
+class TestStoreConcurrency(unittest.TestCase):
     def test_at_full_speed_the_assumption_stays(self):
-        store = Store(full=4)
+        store = SharedBandwidthStore(full=4)
         store.run(30.0, at_once=4)
         self.assertEqual(store.concurrency.loads, ASSUMED_LOADS)
 
@@ -254,27 +254,27 @@
 
         The store serves one load at full speed, and four are always under way.
         """
-        store = Store(full=1)
+        store = SharedBandwidthStore(full=1)
         store.run(4.1 * LOAD_S, at_once=4)
         self.assertEqual(store.concurrency.loads, 1)
 
     def test_it_shows_before_the_first_load_ends(self):
-        store = Store(full=1)
+        store = SharedBandwidthStore(full=1)
         store.run(2.1 * LOAD_S, at_once=4)
         self.assertLessEqual(store.concurrency.loads, 2)
 
     def test_a_store_for_more_is_found_out_when_more_are_needed(self):
-        store = Store(full=8)
+        store = SharedBandwidthStore(full=8)
         store.run(2 * LOAD_S, at_once=6)
         self.assertEqual(store.concurrency.loads, 6)
 
     def test_two_more_for_a_moment_do_not_spoil_the_estimate(self):
-        store = Store(full=4)
+        store = SharedBandwidthStore(full=4)
         store.run(20.0, at_once=6)
         self.assertEqual(store.concurrency.loads, 4)
 
     def test_one_engine_that_stands_still_says_nothing_of_the_store(self):
-        store = Store(full=4)
+        store = SharedBandwidthStore(full=4)
         store.run(30.0, at_once=3, frozen=("b0",))
         self.assertEqual(store.concurrency.loads, ASSUMED_LOADS)
 
--- a/tests/gateway/cover/test_store_turns.py
+++ b/tests/gateway/cover/test_store_load_planning.py
@@ -17,7 +17,7 @@
 engine_backend = functools.partial(samples.engine_backend, NOW)
 
 
-class TestLoadsThatWaitForTheStore(unittest.TestCase):
+class TestQueuedStoreLoads(unittest.TestCase):
     """Symptom: models of which engines have copies aren't loaded for tens of seconds,
     though engines are idle and calls wait.
 
@@ -41,7 +41,7 @@
         self.assertEqual([plan[name].request_now for name in names], [False] * 4)
 
 
-class TestOneMoreThanTheStoreIsKnownToServe(unittest.TestCase):
+class TestProbesInAPlan(unittest.TestCase):
     """Symptom: models without a copy come from the weight store in twice their time.
 
     To learn how many loads it serves at once, one more than known was begun: for what
@@ -99,7 +99,7 @@
         self.assertEqual(self.begun([5.0], demands={}), [])
 
 
-class TestModelsWithoutACopyAndTheStore(unittest.TestCase):
+class TestStoreLoadsOfModelsWithoutACopy(unittest.TestCase):
     """Symptom: the weight store brings a model of which an engine has a copy, while a
     score of models without any are refused all day.
 
@@ -265,7 +265,7 @@
         self.assertEqual(load.instance, "b1")
 
 
-class TestEnginesKeptForCopies(unittest.TestCase):
+class TestEnginesReservedForCopies(unittest.TestCase):
     """Symptom: calls that a load from a copy would serve in time wait six seconds.
 
     Four of six engines were in loads from the store, for calls that could only be late,
--- a/tests/gateway/cover/test_store_queue.py
+++ b/tests/gateway/cover/test_store_queue.py
@@ -58,7 +58,7 @@
         self.assertEqual(queue.add(13.0), (18.0, 31.0))
 
 
-class TestWhyALoadBeginsWhenItDoes(unittest.TestCase):
+class TestStartReason(unittest.TestCase):
     def test_it_is_told(self):
         crowded = StoreQueue(4, [6.0] * 4)
         allow_probe = StoreQueue(1, [6.0], allow_probe=True)
@@ -75,7 +75,7 @@
         )
 
 
-class TestOneMoreThanTheStoreIsKnownToServe(unittest.TestCase):
+class TestProbe(unittest.TestCase):
     """Symptom: the most wanted model waited for twice a load's time.
 
     One more was tried in the same plan, arrived first, and slowed it. What was tried
--- a/tests/gateway/cover/test_timeline.py
+++ b/tests/gateway/cover/test_timeline.py
@@ -30,7 +30,7 @@
     return line("agent", uptime_s, "order", clock, order="load", model=model, **fields)
 
 
-class TestReading(unittest.TestCase):
+class TestReadLines(unittest.TestCase):
     def test_what_is_no_line_of_a_log_is_passed_over(self):
         good = json.dumps(line("e", 1.0, "started"))
         text = ["", "nonsense", "{broken", '{"ready": true}', "[1]", f"12.3 e {good}"]
--- a/tests/gateway/cover/test_wakes.py
+++ b/tests/gateway/cover/test_wakeups.py
@@ -10,7 +10,7 @@
 STATE = samples.engine_state("b1", ["tutor"], running=2, orderable=True)
 
 
-class TestWakes(unittest.TestCase):
+class TestWakeups(unittest.TestCase):
     def wakes(self, before=STATE, **news):
         backend = samples.backend("b1", 0.0, before)
         return wakes_waiting_calls(backend, replace(STATE, **news))
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -26,7 +26,7 @@
         return self.time
 
 
-class Known:
+class FakeKnowledge:
     """Knowledge without a store: two services, an engine each."""
 
     gather_s = 0.6
@@ -60,7 +60,7 @@
         one table for all: each agent's word wiped out what the other service's agents
         had said, so plans were made on whichever spoke last.
         """
-        engines = Engines(App(), Known(), None, None, 7, samples.allowances())
+        engines = Engines(App(), FakeKnowledge(), None, None, 7, samples.allowances())
         engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
         engines.received(told("b2", {"critic": Demand(rate=1.0)}))
         self.assertEqual(engines.plans.total_demands("tutor", {})["poet"].waiting, 2)
@@ -68,7 +68,7 @@
         self.assertEqual(engines.plans.total_demands("judge", {})["critic"].rate, 1.0)
 
     def test_an_entrys_own_demand_counts_where_it_is_more(self):
-        engines = Engines(App(), Known(), None, None, 7, samples.allowances())
+        engines = Engines(App(), FakeKnowledge(), None, None, 7, samples.allowances())
         engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
         merged = engines.plans.total_demands(
             "tutor", {"poet": Demand(rate=1.0, waiting=5)}
@@ -85,7 +85,7 @@
     """
 
     def setUp(self):
-        self.app, self.known = App(), Known()
+        self.app, self.known = App(), FakeKnowledge()
         spec = samples.engine(samples.model("poet"), samples.model("critic"))
         service = samples.ServiceSpec("tutor", None, spec)
         self.known.config = samples.config(services=[service])
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -38,7 +38,7 @@
         self.timers = TimerService()
 
 
-class Known:
+class FakeKnowledge:
     """Knowledge without a store."""
 
     def __init__(self):
@@ -98,7 +98,7 @@
 class TestEntryHearsAgent(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.known = Known()
+        self.known = FakeKnowledge()
         self.streams = Streams()
         app = App(self.clock)
         self.engines = Engines(
@@ -203,7 +203,7 @@
 class TestEntryTellsAgent(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.known = Known()
+        self.known = FakeKnowledge()
         self.engines = Engines(
             App(self.clock), self.known, Streams(), Events(), 7, samples.allowances()
         )
--- a/tests/gateway/failures/test_store_turns_taken.py
+++ b/tests/gateway/failures/test_store_turns_taken.py
@@ -17,12 +17,12 @@
 )
 from bambootiller_core.gateway.store_queue import StartReason
 from tests.gateway.common import samples
-from tests.gateway.cover.test_engine_plans import ENTRIES, SERVICE, App, Known
+from tests.gateway.cover.test_engine_plans import ENTRIES, SERVICE, App, FakeKnowledge
 
 MODELS = ("m1", "m2", "m3", "m4")
 
 
-class KnownStore(Known):
+class KnownStore(FakeKnowledge):
     """Engines without any copy, and a weight store that is slow enough to be taken to
     serve one load at a time."""
 
