--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from bambootiller.app import Application
-from bambootiller.gateway.agent_words import AgentWords
+from bambootiller.gateway.agent_updates import AgentUpdates
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller.gateway.exchange import (
     Exchanger,
@@ -23,7 +23,7 @@
 from bambootiller.gateway.quota_allocation import QuotaAllocation
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller.gateway.stall_monitor import StallMonitor
-from bambootiller.gateway.turn_holder import TurnHolder
+from bambootiller.gateway.store_permit_holder import StorePermitHolder
 from bambootiller.rpc import bambootiller_pb2_grpc as api
 from bambootiller_core.gateway import log_lines as lines
 from bambootiller_core.gateway.config import EngineSpec, GatewayConfig
@@ -45,9 +45,9 @@
 
 #: How often the engine's report is read while nothing is going on, while an order is
 #: in progress, and after an order. Seconds.
-QUIET_S = 0.25
-BUSY_S = 0.05
-AFTER_ORDER_S = 0.002
+IDLE_POLL_S = 0.25
+BUSY_POLL_S = 0.05
+AFTER_ORDER_POLL_S = 0.002
 #: The pause before the store is asked again for a fencing token. Seconds.
 TOKEN_RETRY_S = 0.5
 #: Where holders of fencing tokens are written.
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _LoadUnderWay:
+class _ActiveLoad:
     """A load that was ordered at the time ``began``."""
 
     model: str
@@ -99,7 +99,7 @@
         self._quarantine = Quarantine(
             self._knowledge, events, app.now, self._exchanger.poke
         )
-        self._words = AgentWords(
+        self._updates = AgentUpdates(
             self._exchanger, events, app.now, self._load_requested, self._quarantine
         )
         self._server_limits = ServerLimits(events, app.now, self._exchanger.poke)
@@ -109,12 +109,12 @@
             events,
             lambda: platform.bounds.quota,
             self._exchanger.poke,
-            lambda: self._words.hears_an_entry(),
+            lambda: self._updates.has_live_entry(),
             self._server_limits,
         )
         self._book: OrderBook | None = None
         self._gate = StorePermitGate()
-        self._turn = TurnHolder(
+        self._permit_holder = StorePermitHolder(
             app,
             platform.kv,
             service,
@@ -126,9 +126,9 @@
         self._token: int | None = None
         self._silent_since: float | None = None
         #: The load that the engine was last ordered, until that has ended.
-        self._loading: _LoadUnderWay | None = None
+        self._loading: _ActiveLoad | None = None
         self._reported_at = 0.0
-        self._add_levels(meters)
+        self._add_gauges(meters)
         app.add_servicer(self._register)
 
     async def prepare(self) -> None:
@@ -148,11 +148,11 @@
             lambda: self._platform.bounds,
         )
         for prefix in self._platform.directory.prefixes:
-            follow = watcher.follow(prefix, self._no_entry_heard)
+            follow = watcher.follow(prefix, self._has_no_live_entry)
             app.spawn(f"watch {prefix}", follow)
-        app.spawn("fencing token", self._keep_token())
-        app.spawn("store turn", self._turn.recall())
-        app.spawn("engine", self._look_after())
+        app.spawn("fencing token", self._maintain_token())
+        app.spawn("store turn", self._permit_holder.recover())
+        app.spawn("engine", self._manage_engine())
         self._quarantine.start(app.timers, app.now())
         self._server_limits.start(app.timers, app.now(), self._knowledge.fleet)
         self._events.emit(lines.Started("agent", app.settings.zone))
@@ -167,22 +167,22 @@
         await self._engine.close()
         self._events.emit(lines.Stopped("agent"))
 
-    def _no_entry_heard(self) -> bool:
+    def _has_no_live_entry(self) -> bool:
         """Entries pass on all documents. While one is heard, the store is left alone:
         each of its calls is paid for, and the registry changes many times a second."""
-        return not self._words.hears_an_entry()
+        return not self._updates.has_live_entry()
 
     def _register(self, server: object) -> None:
         servicer = ResidencyServicer(self._exchanger, self._fill, self._received)
         api.add_ResidencyServicer_to_server(servicer, server)
 
     def _fill(self, update: Update, outgoing: Outgoing) -> None:
-        self._words.fill(update, outgoing)
+        self._updates.fill(update, outgoing)
         self._server_limits.fill(update, outgoing, own=False)
         self._quotas.fill(update, outgoing)
 
     def _received(self, update: Update, outgoing: Outgoing) -> None:
-        self._words.received(update, outgoing)
+        self._updates.received(update, outgoing)
         self._server_limits.take(update, outgoing)
         self._quotas.received(update, outgoing)
 
@@ -190,7 +190,7 @@
         """An entry wants a load; see to it now."""
         self._wake.set()
 
-    def _add_levels(self, meters: Meters) -> None:
+    def _add_gauges(self, meters: Meters) -> None:
         for name, text, read in (
             ("engine_running", "Calls in the engine's batch", lambda s: s.running),
             ("engine_queued", "Calls that wait in the engine", lambda s: s.queued),
@@ -198,11 +198,15 @@
             ("engine_memory_mb", "Memory of models", lambda s: s.memory_mb_used),
             ("engine_orderable", "1 if it takes orders", lambda s: s.orderable),
         ):
-            meters.level(name, text, self._reader(read))
-        meters.level("entries_known", "Entries heard", lambda: self._words.entry_count)
+            meters.level(name, text, self._state_reader(read))
+        meters.level(
+            "entries_known", "Entries heard", lambda: self._updates.entry_count
+        )
         meters.level("fencing_token", "0 without one", lambda: self._token or 0)
 
-    def _reader(self, read: Callable[[EngineState], float]) -> Callable[[], float]:
+    def _state_reader(
+        self, read: Callable[[EngineState], float]
+    ) -> Callable[[], float]:
         """Reads a figure of the engine's state, 0 while there is none."""
 
         def current() -> float:
@@ -220,12 +224,12 @@
             return
         if self._book is None:
             self._book = OrderBook(spec, self._gate)
-            self._words.begin(self._book)
+            self._updates.begin(self._book)
         else:
             self._book.configured(spec)
         self._wake.set()
 
-    async def _keep_token(self) -> None:
+    async def _maintain_token(self) -> None:
         """Hold a fencing token of the store's making.
 
         The store's revisions grow and are never given twice, so each start of an agent
@@ -234,17 +238,17 @@
         key = HOLDERS_PREFIX + self._app.instance
         while True:
             if self._token is None:
-                self._token = await self._new_token(key)
+                self._token = await self._acquire_token(key)
                 if self._token is not None:
                     if self._book is not None:
                         self._book.fenced = False
-                    self._words.can_order(True)
+                    self._updates.set_can_order(True)
             if self._book is not None and self._book.fenced:
                 self._token = None
-                self._words.can_order(False)
+                self._updates.set_can_order(False)
             await asyncio.sleep(TOKEN_RETRY_S)
 
-    async def _new_token(self, key: str) -> int | None:
+    async def _acquire_token(self, key: str) -> int | None:
         kv = self._platform.kv
         found = await kv.get(key)
         if not isinstance(found, Found):
@@ -257,10 +261,10 @@
         self._events.emit(lines.FencingToken(written.revision))
         return written.revision
 
-    async def _look_after(self) -> None:
+    async def _manage_engine(self) -> None:
         while True:
             pause = await self._step()
-            self._words.tell()
+            self._updates.tell()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause):
                     await self._wake.wait()
@@ -269,49 +273,53 @@
     async def _step(self) -> float:
         """Read the report, send one order if there is one; returns the pause."""
         if self._book is None:
-            return QUIET_S
+            return IDLE_POLL_S
         began = self._stall_monitor.stall_check.now()
         report = await self._engine.report()
         if isinstance(report, ReportFailed):
             if self._stall_monitor.stall_check.was_stalled(began):
                 # Told to entries, one own standstill and one pause of a stream would
                 # have them take the engine for lost.
-                return BUSY_S
+                return BUSY_POLL_S
             if self._silent_since is None:
                 self._silent_since = self._app.now()
                 self._events.emit(lines.DependencyLost("engine", report.detail))
-                self._words.engine_answers(False)
-                self._engine_gone()
+                self._updates.set_engine_responsive(False)
+                self._record_engine_lost()
             if report.gone:
                 self._book.engine_ended()
-                self._turn.load_ended()
-            elif self._is_dropped():
-                self._turn.review(self._app.now(), load_goes_on=False)
-            return QUIET_S
+                self._permit_holder.load_ended()
+            elif self._is_unlisted():
+                self._permit_holder.release_if_unused(
+                    self._app.now(), load_in_progress=False
+                )
+            return IDLE_POLL_S
         self._reported_at = self._app.now()
         if self._silent_since is not None:
             away_ms = round((self._reported_at - self._silent_since) * 1000)
             self._silent_since = None
-            self._words.engine_answers(True)
+            self._updates.set_engine_responsive(True)
             self._events.emit(lines.DependencyRegained("engine", away_ms))
-        is_busy, report = report.busy, self._named(report)
+        is_busy, report = report.busy, self._identify(report)
         if report is None:
             # Listed no more, it goes on with its load until it ends.
-            self._turn.review(self._reported_at, load_goes_on=is_busy)
-            return QUIET_S
-        self._take(report)
-        self._review_turn(report)
+            self._permit_holder.release_if_unused(
+                self._reported_at, load_in_progress=is_busy
+            )
+            return IDLE_POLL_S
+        self._process_report(report)
+        self._release_unused_permit(report)
         book = self._book
         if self._token is None:
-            return QUIET_S
+            return IDLE_POLL_S
         order = book.next_order(self._app.now())
         if order is None:
-            self._turn.seek(self._app.now())
-            return BUSY_S if report.busy else QUIET_S
-        await self._give(order, book.report.instance)
-        return AFTER_ORDER_S
+            self._permit_holder.acquire(self._app.now())
+            return BUSY_POLL_S if report.busy else IDLE_POLL_S
+        await self._send_order(order, book.report.instance)
+        return AFTER_ORDER_POLL_S
 
-    def _is_dropped(self) -> bool:
+    def _is_unlisted(self) -> bool:
         """Whether the registry, as far as it is known here, lists the engine no
         more."""
         fleet = self._knowledge.fleet
@@ -319,34 +327,34 @@
             any(True for _ in fleet) and registration_at(fleet, self._address) is None
         )
 
-    def _review_turn(self, report: EngineReport) -> None:
-        goes_on = self._book.uses_store()
-        if self._turn.recalled:
-            goes_on = goes_on or report.busy
-        self._turn.review(self._reported_at, goes_on)
+    def _release_unused_permit(self, report: EngineReport) -> None:
+        in_progress = self._book.uses_store()
+        if self._permit_holder.is_recovered:
+            in_progress = in_progress or report.busy
+        self._permit_holder.release_if_unused(self._reported_at, in_progress)
 
-    def _named(self, report: EngineReport) -> EngineReport | None:
+    def _identify(self, report: EngineReport) -> EngineReport | None:
         listed = registration_at(self._knowledge.fleet, self._address)
         return with_identity(report, listed)
 
-    def _take(self, report: EngineReport) -> None:
+    def _process_report(self, report: EngineReport) -> None:
         before = self._book.report
-        self._note_load(self._book.reported(self._app.now(), report))
-        now_there = self._book.report
-        changed = copies_changed(before, now_there)
+        self._record_load_ended(self._book.reported(self._app.now(), report))
+        latest = self._book.report
+        changed = copies_changed(before, latest)
         if changed is not None:
             self._events.emit(changed)
         if before is None:
             return
-        if not now_there.incarnation.differs_from(before.incarnation):
+        if not latest.incarnation.differs_from(before.incarnation):
             return
-        self._engine_gone(before.incarnation)
+        self._record_engine_lost(before.incarnation)
         line = lines.BackendRestarted(
-            report.instance, now_there.started_ms, before.started_ms, "report"
+            report.instance, latest.started_ms, before.started_ms, "report"
         )
         self._events.emit(line)
 
-    def _engine_gone(self, incarnation: Incarnation | None = None) -> None:
+    def _record_engine_lost(self, incarnation: Incarnation | None = None) -> None:
         """The engine answers no more, or in another start; its load may have ended
         it."""
         report = self._book.report
@@ -359,23 +367,23 @@
         line = lines.LoadEnded(load.model, False, round(seconds, 2), load.from_store)
         self._events.emit(line)
 
-    def _note_load(self, ended: LoadEnded | None) -> None:
+    def _record_load_ended(self, ended: LoadEnded | None) -> None:
         if ended is None:
             return
         self._loading = None
         if ended.held:
             self._quarantine.load_completed(ended.model)
         if ended.from_store:
-            self._turn.load_ended()
+            self._permit_holder.load_ended()
         seconds = round(ended.seconds, 2)
         self._events.emit(
             lines.LoadEnded(ended.model, ended.held, seconds, ended.from_store)
         )
 
-    async def _give(self, order: EngineOrder, instance: str) -> None:
+    async def _send_order(self, order: EngineOrder, instance: str) -> None:
         book = self._book
         book.order_sent(order)
-        self._words.tell()
+        self._updates.tell()
         decided = self._app.now()
         demand = book.demands().get(order.wanted_for or order.model, Demand())
         requested_by = book.requested_by(order)
@@ -384,7 +392,7 @@
         book.answered(self._app.now(), order, answer)
         may_load = answer in (OrderAnswer.ACCEPTED, OrderAnswer.UNANSWERED)
         if may_load and order.kind is OrderKind.LOAD and not order.adapter:
-            self._loading = _LoadUnderWay(order.model, decided, from_store)
+            self._loading = _ActiveLoad(order.model, decided, from_store)
         line = lines.Order(
             order.kind.value,
             order.model,
@@ -405,10 +413,10 @@
 
     async def _settle_conflict(self, order: EngineOrder) -> None:
         report = await self._engine.report()
-        report = None if isinstance(report, ReportFailed) else self._named(report)
+        report = None if isinstance(report, ReportFailed) else self._identify(report)
         if report is None:
             return
-        self._take(report)
+        self._process_report(report)
         # A late report of the start before isn't taken over, and settles nothing.
         if self._book.report is report and report.accepted <= order.expected:
             self._book.conflict_confirmed(order)
--- a/packages/bambootiller/src/bambootiller/gateway/agent_words.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent_updates.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass
 
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.gateway.eventlog import EventLog
-from bambootiller.gateway.exchange import TELL_S, Exchanger, Outgoing, Update
+from bambootiller.gateway.exchange import UPDATE_INTERVAL_S, Exchanger, Outgoing, Update
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller_core.gateway.demand_collection import planners
 from bambootiller_core.gateway.engine_state import EngineState
@@ -20,20 +20,20 @@
 from bambootiller_core.gateway.orders import OrderBook
 
 #: Entries heard within this time count. Seconds.
-ENTRY_HEARD_S = 3.0
+ENTRY_TIMEOUT_S = 3.0
 #: Load figures go out no more often than makes so many messages a second to all entries
 #: together: telling 68 entries twice a second would take a tenth of a core.
 FIGURES_PER_S = 80
-#: But no less often than this: a beat is due then anyway (``exchange.SERVED_BEAT_S``).
+#: But no less often than this: a beat is due then anyway (``exchange.SERVER_HEARTBEAT_S``).
 #: Seconds.
-FIGURES_MAX_S = 0.7
+MAX_FIGURES_INTERVAL_S = 0.7
 #: An entry that wished for a load is told of all changes at once for so long: it wishes
 #: anew several times a second while a call waits. Seconds.
-LOAD_REQUESTED_S = 1.0
+PROMPT_UPDATE_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class EntryWords:
+class EntryReport:
     """What an entry has said on its stream, until it says otherwise there."""
 
     demands: Mapping[str, Demand]
@@ -41,12 +41,12 @@
     collect: bool
 
 
-class AgentWords:
+class AgentUpdates:
     """Fills the messages of one agent to all entries, and takes in theirs.
 
     Example::
 
-        words = AgentWords(exchanger, events, clock, wake)
+        words = AgentUpdates(exchanger, events, clock, wake)
         words.begin(book)
         words.tell()
     """
@@ -65,16 +65,16 @@
         self._clock = clock
         self._load_requested = load_requested
         self._book: OrderBook | None = None
-        self._orders = False
-        self._silent = False
-        self._told: EngineState | None = None
-        self._told_demands: Mapping[str, Demand] = {}
+        self._can_order = False
+        self._engine_silent = False
+        self._sent: EngineState | None = None
+        self._sent_demands: Mapping[str, Demand] = {}
         self._entries: dict[str, float] = {}
-        self._collected_for: set[str] = set()
-        self._saying: Update | None = None
-        self._said_at = float("-inf")
+        self._collecting_entries: set[str] = set()
+        self._cached_report: Update | None = None
+        self._sent_at = float("-inf")
         #: Something has changed that not all entries were told at once.
-        self._some_untold = False
+        self._partially_sent = False
         self._load_requested_at: dict[str, float] = {}
 
     @property
@@ -82,10 +82,10 @@
         """How many entries have been heard lately."""
         return len(self._entries)
 
-    def hears_an_entry(self) -> bool:
+    def has_live_entry(self) -> bool:
         """Whether an entry has been heard lately."""
         now = self._clock()
-        return any(now - at < ENTRY_HEARD_S for at in self._entries.values())
+        return any(now - at < ENTRY_TIMEOUT_S for at in self._entries.values())
 
     def begin(self, book: OrderBook) -> None:
         """The engine's configuration is known. Entries that spoke before that don't
@@ -93,18 +93,18 @@
         self._book = book
         now = self._clock()
         for outgoing in self._exchanger.streams():
-            if now - outgoing.last_received_at < ENTRY_HEARD_S:
-                self._heard(outgoing, told_anew=True)
+            if now - outgoing.last_received_at < ENTRY_TIMEOUT_S:
+                self._refresh_entry(outgoing, is_new=True)
 
-    def can_order(self, orders: bool) -> None:
+    def set_can_order(self, orders: bool) -> None:
         """Whether there is a fencing token."""
-        self._orders = orders
-        self._say_anew()
+        self._can_order = orders
+        self._send_new_report()
 
-    def engine_answers(self, answers: bool) -> None:
+    def set_engine_responsive(self, answers: bool) -> None:
         """Whether the engine answers the agent."""
-        self._silent = not answers
-        self._say_anew()
+        self._engine_silent = not answers
+        self._send_new_report()
 
     def tell(self) -> None:
         """Tell at once what entries decide on, and other figures after a while.
@@ -116,98 +116,106 @@
         if self._book is None:
             return
         now = self._clock()
-        self._forget(now)
+        self._expire_entries(now)
         state = self._book.state(now)
         if state is None:
             return
-        before = self._told
+        before = self._sent
         decisive = before is None or _differs(before, state)
-        due = now - self._said_at >= self._figures_s()
-        if due and (decisive or self._some_untold or self._moved(state)):
-            self._tell_all(state)
-        elif decisive and (before is None or _takes_away(before, state)):
-            self._tell_all(state)
+        due = now - self._sent_at >= self._figures_interval_s()
+        if due and (decisive or self._partially_sent or self._has_changed(state)):
+            self._send_to_all(state)
+        elif decisive and (before is None or _offers_less(before, state)):
+            self._send_to_all(state)
         elif decisive:
-            self._tell_concerned(now, state, _added(before, state))
+            self._send_to_concerned(now, state, _added(before, state))
 
-    def _tell_all(self, state: EngineState) -> None:
-        self._told, self._told_demands = state, self._book.demands()
-        self._say_anew()
+    def _send_to_all(self, state: EngineState) -> None:
+        self._sent, self._sent_demands = state, self._book.demands()
+        self._send_new_report()
 
-    def _tell_concerned(
+    def _send_to_concerned(
         self, now: float, state: EngineState, added: Collection[str]
     ) -> None:
         """Tell the entries that see to loads, those that wished for one lately, and
         those whose callers ask for what is there now."""
-        self._told, self._saying = state, None
-        self._some_untold = True
-        seeing_to_loads = planners(tuple(sorted(self._entries)))
+        self._sent, self._cached_report = state, None
+        self._partially_sent = True
+        responsible = planners(tuple(sorted(self._entries)))
         for outgoing in self._exchanger.streams():
             entry = outgoing.peer
-            load_requested_s = now - self._load_requested_at.get(entry, float("-inf"))
+            since_request_s = now - self._load_requested_at.get(entry, float("-inf"))
             if (
-                entry in seeing_to_loads
-                or load_requested_s < LOAD_REQUESTED_S
-                or _asks_for(outgoing.said, added)
+                entry in responsible
+                or since_request_s < PROMPT_UPDATE_S
+                or _has_demand_for(outgoing.said, added)
             ):
                 outgoing.poke()
 
     def fill(self, update: Update, outgoing: Outgoing) -> None:
         """Put into a message what its receiver hasn't been told yet."""
         self._quarantine.fill(update, outgoing, own=False)
-        said = self._said()
+        said = self._report()
         if said is None:
             return
         if outgoing.told.get("engine") is not said:
             outgoing.told["engine"] = said
             update.engine.CopyFrom(said.engine)
-            _leave_out_copies(update, outgoing)
-        self._fill_collected(update, outgoing, said)
+            _omit_known_copies(update, outgoing)
+        self._fill_total_demand(update, outgoing, said)
 
     def received(self, update: Update, outgoing: Outgoing) -> None:
         """Take in an entry's message."""
         self._quarantine.take(update, outgoing)
         if update.begins:
             outgoing.said = None
-        told_anew = update.HasField("entry")
-        if told_anew:
-            outgoing.said = EntryWords(
-                wire.demands_of(update.entry.demand),
+        is_new = update.HasField("entry")
+        if is_new:
+            outgoing.said = EntryReport(
+                message_codec.demands_of(update.entry.demand),
                 dict(update.entry.in_use),
                 update.entry.collect,
             )
-        self._heard(outgoing, told_anew)
+        self._refresh_entry(outgoing, is_new)
         if self._book is None or not update.wishes:
             return
         self._load_requested_at[outgoing.peer] = self._clock()
-        if outgoing.told.get("engine") is not self._said():
+        if outgoing.told.get("engine") is not self._report():
             # It decides on what it was told before.
             outgoing.poke()
         for message in update.wishes:
-            load_request = wire.load_request_of(message)
+            load_request = message_codec.load_request_of(message)
             self._book.load_requested(self._clock(), load_request, outgoing.peer)
         self._load_requested()
 
-    def _figures_s(self) -> float:
+    def _figures_interval_s(self) -> float:
         """How long load figures wait for the next."""
-        return min(FIGURES_MAX_S, max(TELL_S, len(self._entries) / FIGURES_PER_S))
+        return min(
+            MAX_FIGURES_INTERVAL_S,
+            max(UPDATE_INTERVAL_S, len(self._entries) / FIGURES_PER_S),
+        )
 
-    def _moved(self, state: EngineState) -> bool:
-        if state != self._told:
+    def _has_changed(self, state: EngineState) -> bool:
+        if state != self._sent:
             return True
-        return bool(self._collected_for) and self._book.demands() != self._told_demands
-
-    def _say_anew(self) -> None:
-        self._saying = None
-        self._some_untold = False
-        self._said_at = self._clock()
+        return (
+            bool(self._collecting_entries)
+            and self._book.demands() != self._sent_demands
+        )
+
+    def _send_new_report(self) -> None:
+        self._cached_report = None
+        self._partially_sent = False
+        self._sent_at = self._clock()
         self._exchanger.poke()
 
-    def _fill_collected(self, update: Update, outgoing: Outgoing, said: Update) -> None:
+    def _fill_total_demand(
+        self, update: Update, outgoing: Outgoing, said: Update
+    ) -> None:
         """The demand of all, for an entry that has asked for it, and once nothing for
         one that asks no more."""
         collected = None
-        if outgoing.peer in self._collected_for:
+        if outgoing.peer in self._collecting_entries:
             collected = (said, tuple(sorted(self._entries)))
         told = outgoing.told.get("collected")
         if told == collected:
@@ -218,58 +226,60 @@
             update.entries.extend(collected[1])
             update.total_demand.extend(said.total_demand)
 
-    def _said(self) -> Update | None:
+    def _report(self) -> Update | None:
         """What all entries are told, made once for all streams until it changes.
 
         A change goes out on all of them in the same moment; made for each, it would
         cost an agent more the more entries there are.
         """
-        if self._saying is not None:
-            return self._saying
+        if self._cached_report is not None:
+            return self._cached_report
         state = self._book.state(self._clock()) if self._book is not None else None
         if state is None:
             return None
-        saying = Update(engine=wire.engine_message(state))
-        saying.engine.orderable = state.orderable and self._orders
-        saying.engine.silent = self._silent
-        if self._collected_for:
-            saying.total_demand.extend(wire.demand_messages(self._book.demands()))
-        self._saying = saying
-        return saying
-
-    def _forget(self, now: float) -> None:
+        new_report = Update(engine=message_codec.engine_message(state))
+        new_report.engine.orderable = state.orderable and self._can_order
+        new_report.engine.silent = self._engine_silent
+        if self._collecting_entries:
+            new_report.total_demand.extend(
+                message_codec.demand_messages(self._book.demands())
+            )
+        self._cached_report = new_report
+        return new_report
+
+    def _expire_entries(self, now: float) -> None:
         for entry, at in list(self._entries.items()):
-            if now - at > ENTRY_HEARD_S:
+            if now - at > ENTRY_TIMEOUT_S:
                 del self._entries[entry]
-                self._collected_for.discard(entry)
+                self._collecting_entries.discard(entry)
                 self._load_requested_at.pop(entry, None)
                 self._events.emit(EntryHeard(entry, heard=False))
                 self._exchanger.soon()
 
-    def _heard(self, outgoing: Outgoing, told_anew: bool) -> None:
+    def _refresh_entry(self, outgoing: Outgoing, is_new: bool) -> None:
         """What an entry said holds on, though it isn't said again."""
         words, entry = outgoing.said, outgoing.peer
-        if self._book is None or not isinstance(words, EntryWords):
+        if self._book is None or not isinstance(words, EntryReport):
             return
         if entry not in self._entries:
             self._events.emit(EntryHeard(entry, heard=True))
             self._exchanger.soon()
         self._entries[entry] = at = outgoing.last_received_at
-        self._collect(entry, words.collect)
-        if told_anew or not self._book.entry_alive(at, entry):
+        self._set_collecting(entry, words.collect)
+        if is_new or not self._book.entry_alive(at, entry):
             self._book.entry_reported(at, entry, words.demands, words.in_use)
 
-    def _collect(self, entry: str, collect: bool) -> None:
-        if collect == (entry in self._collected_for):
+    def _set_collecting(self, entry: str, collect: bool) -> None:
+        if collect == (entry in self._collecting_entries):
             return
         if collect:
-            self._collected_for.add(entry)
+            self._collecting_entries.add(entry)
         else:
-            self._collected_for.discard(entry)
-        self._say_anew()
+            self._collecting_entries.discard(entry)
+        self._send_new_report()
 
 
-def _leave_out_copies(update: Update, outgoing: Outgoing) -> None:
+def _omit_known_copies(update: Update, outgoing: Outgoing) -> None:
     """Which copies an engine has changes once in seconds, and with many models is most
     of the message."""
     engine = update.engine
@@ -294,7 +304,7 @@
     )
 
 
-def _takes_away(told: EngineState, state: EngineState) -> bool:
+def _offers_less(told: EngineState, state: EngineState) -> bool:
     """Whether the engine offers less than entries believe: a call sent there for a
     model that is gone would be turned away, and may have no other attempt."""
     if told.incarnation != state.incarnation:
@@ -320,7 +330,7 @@
     return models
 
 
-def _asks_for(said: object, models: Collection[str]) -> bool:
-    if not isinstance(said, EntryWords):
+def _has_demand_for(said: object, models: Collection[str]) -> bool:
+    if not isinstance(said, EntryReport):
         return False
     return any(said.demands.get(model, NO_DEMAND).value for model in models)
--- a/packages/bambootiller/src/bambootiller/gateway/allowances.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allowances.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.gateway.boot_clock import boot_now
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller_core.gateway.quota_account import QuotaAccount, QuotaCharge
@@ -280,14 +280,14 @@
             self._heard,
             asked,
         )
-        wire.put_quota_ask(update, ask)
+        message_codec.set_quota_ask(update, ask)
 
     def take(self, update: Update, outgoing: Outgoing) -> None:
         """Take in what an agent tells."""
         if update.HasField("allocator_term"):
             self._allocator_told(update.allocator_term, outgoing)
         if update.HasField("quota_answer"):
-            self._answered(wire.quota_answer_of(update.quota_answer))
+            self._answered(message_codec.quota_answer_of(update.quota_answer))
 
     def review(self) -> None:
         """Tell demand that has moved; let in calls for which there is room by now."""
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -7,8 +7,8 @@
 
 from bambootiller.app import Application
 from bambootiller.gateway.knowledge import Knowledge
-from bambootiller.gateway.load_asks import LoadAsks
-from bambootiller.gateway.plan_clock import PlanClock, pause_s
+from bambootiller.gateway.load_requester import LoadRequester
+from bambootiller.gateway.plan_scheduler import PlanScheduler, pause_s
 from bambootiller_core.gateway.adapter_prefetch import AdapterPrefetch
 from bambootiller_core.gateway.config import ServiceSpec
 from bambootiller_core.gateway.copies import copies_seen
@@ -70,7 +70,7 @@
         self.entries: tuple[str, ...] = ()
         self._demand_trackers: dict[str, DemandTracker] = {}
         self._own: dict[str, dict[str, Demand]] = {}
-        self._asks = LoadAsks(
+        self._load_requester = LoadRequester(
             app.instance, knowledge.fleet, lambda: self.entries, load_request, emit
         )
         self._totals = CollectedDemand()
@@ -82,7 +82,7 @@
         self._store_concurrency = StoreConcurrencyByService()
         self._adapter_prefetch: dict[str, AdapterPrefetch] = {}
         self._discoveries: dict[str, InitialDiscovery] = {}
-        self._clock = PlanClock(
+        self._clock = PlanScheduler(
             self._due,
             self._awaited,
             self._any_waits,
@@ -197,14 +197,14 @@
         more = self.demand(service).waiting(now, model) > counted
         if (planned is None and more) or self._is_old(now):
             self.make(now)
-            self._clock.hurry(now)
+            self._clock.check_soon(now)
             planned = self.planned(service, model)
         return planned
 
     def make(self, now: float) -> None:
         """Make the plans of all services, and ask for the loads that this entry sees
         to."""
-        self._clock.making(now)
+        self._clock.plan_started(now)
         self._planned_at = now
         pairs = 0
         for service in self._engine_services():
@@ -219,22 +219,23 @@
                 concurrency.loads,
                 remaining_time(concurrency, now),
                 concurrency.other_load_ends(now, known),
-                concurrency.allows_probe and self._asks.may_probe(now, service.name),
-                self._asks.cooling_down(now, service.name),
+                concurrency.allows_probe
+                and self._load_requester.may_probe(now, service.name),
+                self._load_requester.cooling_down(now, service.name),
             )
             plan = planner.plan(now, backends, self._admitted(total_demands))
             self._plans[service.name] = plan
             self._planned_for[service.name] = total_demands
             self._planners[service.name] = planner
             self._note_idle_store(now, service.name, planner, total_demands)
-            loads = self._asks.from_copies(plan, demands)
+            loads = self._load_requester.from_copies(plan, demands)
             if self._knows_engines(now, service.name, backends):
-                loads += self._asks.from_store(
+                loads += self._load_requester.from_store(
                     now, service.name, planner, plan, total_demands
                 )
-            self._asks.ask(loads, demands, total_demands, planner.store_loads)
+            self._load_requester.ask(loads, demands, total_demands, planner.store_loads)
             if plan or any(demand.value for demand in total_demands.values()):
-                self._clock.has_work()
+                self._clock.mark_not_empty()
         self._clock.pause_s = pause_s(pairs)
 
     def _admitted(self, demands: Mapping[str, Demand]) -> Mapping[str, Demand]:
@@ -302,12 +303,12 @@
         if self._is_planner() or self._awaits_own():
             self.make(now)
             return
-        self._clock.making(now)
+        self._clock.plan_started(now)
         self._observe_all(now)
         for service in self._engine_services():
             demands = self._refresh_demands(service.name)
             if any(demand.value for demand in demands.values()):
-                self._clock.has_work()
+                self._clock.mark_not_empty()
 
     def _awaited(self, now: float) -> None:
         """Calls wait: make the plan if this entry acts on it.
@@ -326,10 +327,13 @@
         if self._awaits_own():
             return True
         awaited = self._totals.models_waited_for(now)
-        if any(map(self._asks.sees_to, awaited)):
+        if any(map(self._load_requester.is_responsible_for, awaited)):
             return True
         services = self._engine_services() if awaited else ()
-        return any(self._asks.sees_to_store(service.name) for service in services)
+        return any(
+            self._load_requester.is_responsible_for_store(service.name)
+            for service in services
+        )
 
     def _awaits_own(self) -> bool:
         """Whether calls of this entry wait, or of one that sees to loads refused
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass, field
 
 from bambootiller.app import Application
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.gateway.allowances import REVIEW_S as ALLOWANCES_REVIEW_S, Allowances
 from bambootiller.gateway.engine_plans import EnginePlans
-from bambootiller.gateway.engine_words import AgentSaid, Told
 from bambootiller.gateway.eventlog import EventLog
-from bambootiller.gateway.exchange import TELL_S, Exchanger, Outgoing, Update
+from bambootiller.gateway.exchange import UPDATE_INTERVAL_S, Exchanger, Outgoing, Update
 from bambootiller.gateway.knowledge import Knowledge
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller.gateway.server_limits import ServerLimits
+from bambootiller.gateway.stream_reports import AgentReport, SentReport
 from bambootiller.rpc import bambootiller_pb2 as pb
 from bambootiller_core.gateway.crash_ledger import AdmissionDecision
 from bambootiller_core.gateway.demand_collection import collectors
@@ -70,7 +70,7 @@
         """Begin to review and to plan."""
         now = self._app.now()
         self._app.timers.every("engine links", REVIEW_S, now, self._review)
-        self._app.timers.every("figures", TELL_S, now, self._tell)
+        self._app.timers.every("figures", UPDATE_INTERVAL_S, now, self._tell)
         self.plans.start(now)
         self.quarantine.start(self._app.timers, now)
         self.server_limits.start(self._app.timers, now, self._knowledge.fleet)
@@ -159,7 +159,7 @@
         repeat what it said."""
         for outgoing in self._exchanger.streams():
             words = outgoing.said
-            if not isinstance(words, AgentSaid) or words.state is None:
+            if not isinstance(words, AgentReport) or words.state is None:
                 continue
             backend = self._knowledge.fleet.get(words.state.instance)
             if backend is None or backend.engine is words.state:
@@ -223,13 +223,13 @@
             outgoing.told["entry"] = told
             update.entry.CopyFrom(told.message())
         for load_request in link.load_requests.values():
-            wire.add_load_request(update, load_request)
+            message_codec.add_load_request(update, load_request)
         link.load_requests.clear()
 
     def _tell(self, now: float) -> None:
         """Tell agents whose figures have moved."""
         for host, link in self._links.items():
-            outgoing = self._exchanger.kept(self._address(host))
+            outgoing = self._exchanger.stream_to(self._address(host))
             backend = self._knowledge.fleet.get(link.instance)
             if outgoing is None or backend is None:
                 continue
@@ -238,15 +238,17 @@
 
     def _has_news(self, backend: Backend, outgoing: Outgoing) -> bool:
         """Whether the agent is to be told anew."""
-        told: Told | None = outgoing.told.get("entry")
+        told: SentReport | None = outgoing.told.get("entry")
         demands = self.plans.own_demands(backend.registration.service)
         collects = self._collects(backend)
         now = self._app.now()
         return told is None or told.is_outdated(now, demands, backend, collects)
 
-    def _to_tell(self, backend: Backend) -> Told:
+    def _to_tell(self, backend: Backend) -> SentReport:
         demands = self.plans.own_demands(backend.registration.service)
-        return Told.now(self._app.now(), demands, backend, self._collects(backend))
+        return SentReport.now(
+            self._app.now(), demands, backend, self._collects(backend)
+        )
 
     def _collects(self, backend: Backend) -> bool:
         registration = backend.registration
@@ -259,7 +261,7 @@
     def received(self, update: Update, outgoing: Outgoing | None = None) -> None:
         """Take over what the agent beside an engine says; what it said before on the
         same stream holds on unless this replaces it."""
-        words = AgentSaid.after(update, outgoing.said if outgoing else None)
+        words = AgentReport.after(update, outgoing.said if outgoing else None)
         if outgoing is not None:
             outgoing.said = words
         if outgoing is not None:
@@ -273,7 +275,7 @@
         self._take_over(self._app.now(), words, source, is_new)
 
     def _take_over(
-        self, now: float, words: AgentSaid, source: str, is_new: bool
+        self, now: float, words: AgentReport, source: str, is_new: bool
     ) -> None:
         if words.entries:
             self.plans.entries = words.entries
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -33,35 +33,35 @@
 #: silent: a beat may be late by a fifth of a second before load figures are taken for
 #: old (``fleet.FIGURES_TTL_S``), and by 0.7 s before an agent counts as silent
 #: (``fleet.AGENT_TIMEOUT_S``). Seconds.
-SERVED_BEAT_S = 0.8
+SERVER_HEARTBEAT_S = 0.8
 #: The same of the side that opened the stream. An agent forgets an entry only after 3 s
-#: (``agent.ENTRY_HEARD_S``). Seconds.
-OPENED_BEAT_S = 1.2
+#: (``agent.ENTRY_TIMEOUT_S``). Seconds.
+CLIENT_HEARTBEAT_S = 1.2
 #: What can wait, as load figures and revisions, travels no more often than this; long
 #: enough to gather, short enough that a peer isn't sent a configuration that it has
 #: (``relaying.SELF_UPDATE_GRACE_S``). Seconds.
-TELL_S = 0.4
+UPDATE_INTERVAL_S = 0.4
 #: A stream that has been silent for so long is given up. Seconds.
-SILENT_S = 1.5
+SILENCE_TIMEOUT_S = 1.5
 #: The pause before a stream is opened anew; doubled up to the longest. Seconds.
-REOPEN_S = 0.2
-REOPEN_MAX_S = 1.0
+REOPEN_DELAY_S = 0.2
+MAX_REOPEN_DELAY_S = 1.0
 #: Changes closer together than this travel in one message. Seconds.
-GATHER_S = 0.003
+BATCH_DELAY_S = 0.003
 
 Update = pb.ResidencyUpdate
 #: Fills a message to a peer with what this side has to say beside documents.
-Fill = Callable[[Update, "Outgoing"], None]
+FillUpdate = Callable[[Update, "Outgoing"], None]
 #: Takes over a message, and what still holds of those before.
-Received = Callable[[Update, "Outgoing"], None]
+HandleUpdate = Callable[[Update, "Outgoing"], None]
 
 
 class Outgoing:
     """One side of a stream: gathers documents and figures, and beats.
 
     ``peer`` is the other side's name, empty as long as it hasn't spoken, and
-    ``last_received_at`` when it spoke last. ``told`` is for :data:`Fill`, to remember what
-    needn't be said again, and ``said`` for :data:`Received`, to keep what the other
+    ``last_received_at`` when it spoke last. ``told`` is for :data:`FillUpdate`, to remember what
+    needn't be said again, and ``said`` for :data:`HandleUpdate`, to keep what the other
     side won't repeat; both end with the stream. ``to_entry`` is whether an entry tells
     another one; these say soon up to where they have everything, as neither beats often
     enough for the other to know in time what it needn't pass on.
@@ -71,9 +71,9 @@
         self,
         sender: str,
         knowledge: Knowledge,
-        fill: Fill,
+        fill: FillUpdate,
         rank: Callable[[], int],
-        beat_s: float,
+        heartbeat_s: float,
         to_entry: bool = False,
     ) -> None:
         self._sender = sender
@@ -82,17 +82,17 @@
         self._documents = PeerQueue()
         self._fill = fill
         self._rank = rank
-        self._beat_s = beat_s
+        self._heartbeat_s = heartbeat_s
         self.peer = ""
         self.last_received_at = float("-inf")
         self.told: dict[str, object] = {}
         self.said: object = None
         #: Whether the other side keeps what it isn't told anew; one of an earlier
         #: version takes what isn't repeated for gone.
-        self._peer_keeps = False
+        self._peer_retains_state = False
         self._loop = asyncio.get_running_loop()
         self._wake = asyncio.Event()
-        self._gathers = False
+        self._batching = False
         self._timer: asyncio.TimerHandle | None = None
         self._sent_at = float("-inf")
         now = self._loop.time()
@@ -116,7 +116,7 @@
         first = not self.peer
         self.peer = update.sender or self.peer
         self.last_received_at = self._loop.time()
-        self._peer_keeps = self._peer_keeps or update.begins
+        self._peer_retains_state = self._peer_retains_state or update.begins
         if first or update.complete:
             self._documents.peer_has(dict(update.complete))
             self.soon()
@@ -136,26 +136,26 @@
 
     def poke(self) -> None:
         """Have the figures sent at once, with what else changes in the same moment."""
-        self._gathers = True
+        self._batching = True
         self._wake.set()
 
     def soon(self) -> None:
         """Have what has changed sent when it is time for the next message."""
-        self._wake_at(self._sent_at + TELL_S)
+        self._wake_at(self._sent_at + UPDATE_INTERVAL_S)
 
     async def updates(self) -> AsyncIterator[Update]:
         """The messages, for as long as the stream lives."""
         try:
             while True:
-                update = self._next()
+                update = self._next_update()
                 self._sent_at = self._loop.time()
                 self._cancel_timer()
                 self._arm()
                 yield update
                 await self._wake.wait()
-                if self._gathers:
-                    await asyncio.sleep(GATHER_S)
-                self._gathers = False
+                if self._batching:
+                    await asyncio.sleep(BATCH_DELAY_S)
+                self._batching = False
                 self._wake.clear()
         finally:
             self._cancel_timer()
@@ -163,8 +163,8 @@
     def _arm(self) -> None:
         """Wake when the next document is due, or the next beat."""
         due = self._documents.next_due()
-        beat = self._sent_at + self._beat_s
-        self._wake_at(beat if due is None else min(due, beat))
+        heartbeat = self._sent_at + self._heartbeat_s
+        self._wake_at(heartbeat if due is None else min(due, heartbeat))
 
     def _wake_at(self, when: float) -> None:
         if self._timer is not None:
@@ -178,9 +178,9 @@
             self._timer.cancel()
             self._timer = None
 
-    def _next(self) -> Update:
+    def _next_update(self) -> Update:
         update = Update()
-        if not self._peer_keeps:
+        if not self._peer_retains_state:
             self.told.clear()
         if not self.told:
             update.sender, update.begins = self._sender, True
@@ -194,16 +194,16 @@
                 value=record.value,
                 deleted=change.deleted,
             )
-        knows = (self._knowledge.known_version, self._documents.is_empty)
-        if self.told.get("knows") != knows:
-            self.told["knows"] = knows
+        completeness = (self._knowledge.known_version, self._documents.is_empty)
+        if self.told.get("knows") != completeness:
+            self.told["knows"] = completeness
             update.complete.update(self._knowledge.complete)
             update.whole = self._documents.is_empty
         self._fill(update, self)
         return update
 
 
-class _Peer:
+class _WatchedPeer:
     """The other side of a stream, as its silence is watched.
 
     Silence ends the stream at the call itself. A timeout around each read would be a
@@ -243,7 +243,7 @@
         self._events = events
         self._channels = channels
         self._outgoing: set[Outgoing] = set()
-        self._kept: dict[str, Outgoing] = {}
+        self._by_address: dict[str, Outgoing] = {}
         knowledge.on_document(self._document)
         knowledge.on_complete(self.soon)
         knowledge.on_revision(self._revision)
@@ -260,13 +260,13 @@
 
     def poke_at(self, address: str) -> None:
         """There is something to tell the peer at ``address`` soon."""
-        outgoing = self._kept.get(address)
+        outgoing = self._by_address.get(address)
         if outgoing is not None:
             outgoing.poke()
 
-    def kept(self, address: str) -> Outgoing | None:
+    def stream_to(self, address: str) -> Outgoing | None:
         """This side of the stream that is kept open to ``address``, if it is open."""
-        return self._kept.get(address)
+        return self._by_address.get(address)
 
     def is_open(self, outgoing: Outgoing) -> bool:
         """Whether the stream of this side still lives."""
@@ -279,21 +279,27 @@
     async def keep_open(
         self,
         address: str,
-        fill: Fill,
-        received: Received,
+        fill: FillUpdate,
+        received: HandleUpdate,
         rank: Callable[[], int] = lambda: 1,
         to_entry: bool = False,
     ) -> None:
         """Keep a stream to ``address`` open until cancelled; ``rank`` is when this side
         tells the peer of a document (:mod:`document_propagation`), ``to_entry`` whether both sides
         are entries."""
-        pause = REOPEN_S
+        pause = REOPEN_DELAY_S
         try:
             while True:
-                lived = await self._once(address, fill, received, rank, to_entry)
-                if lived:
+                was_responsive = await self._run_stream(
+                    address, fill, received, rank, to_entry
+                )
+                if was_responsive:
                     self._events.emit(PeerSilent(address))
-                pause = REOPEN_S if lived else min(pause * 2, REOPEN_MAX_S)
+                pause = (
+                    REOPEN_DELAY_S
+                    if was_responsive
+                    else min(pause * 2, MAX_REOPEN_DELAY_S)
+                )
                 await asyncio.sleep(pause)
         finally:
             await self._channels.drop(address)
@@ -301,8 +307,8 @@
     async def serve(
         self,
         requests: AsyncIterator[Update],
-        fill: Fill,
-        received: Received,
+        fill: FillUpdate,
+        received: HandleUpdate,
         to_entry: bool,
     ) -> AsyncIterator[Update]:
         """The answers to a stream that a peer has opened."""
@@ -311,7 +317,7 @@
             return 1 if to_entry else agent_rank(self._name, outgoing.peer)
 
         outgoing = Outgoing(
-            self._name, self._knowledge, fill, rank, SERVED_BEAT_S, to_entry
+            self._name, self._knowledge, fill, rank, SERVER_HEARTBEAT_S, to_entry
         )
         self._outgoing.add(outgoing)
         reader = asyncio.create_task(self._read(requests, received, outgoing))
@@ -324,22 +330,22 @@
             reader.cancel()
             self._outgoing.discard(outgoing)
 
-    async def _once(
+    async def _run_stream(
         self,
         address: str,
-        fill: Fill,
-        received: Received,
+        fill: FillUpdate,
+        received: HandleUpdate,
         rank: Callable[[], int],
         to_entry: bool,
     ) -> bool:
         outgoing = Outgoing(
-            self._name, self._knowledge, fill, rank, OPENED_BEAT_S, to_entry
+            self._name, self._knowledge, fill, rank, CLIENT_HEARTBEAT_S, to_entry
         )
         self._outgoing.add(outgoing)
-        self._kept[address] = outgoing
+        self._by_address[address] = outgoing
         call = self._channels.residency(address).Exchange(outgoing.updates())
-        peer = _Peer(call, self._running_time)
-        watch = SilenceDetector(peer, SILENT_S, self._running_time)
+        peer = _WatchedPeer(call, self._running_time)
+        watch = SilenceDetector(peer, SILENCE_TIMEOUT_S, self._running_time)
         heard = False
         try:
             while True:
@@ -350,7 +356,7 @@
                 if not heard:
                     heard = True
                     self._events.emit(PeerHeard(address))
-                self._take(update, received, outgoing)
+                self._process(update, received, outgoing)
         except grpc.aio.AioRpcError:
             return heard
         except asyncio.CancelledError:
@@ -361,22 +367,24 @@
         finally:
             watch.stop()
             self._outgoing.discard(outgoing)
-            self._kept.pop(address, None)
+            self._by_address.pop(address, None)
             call.cancel()
 
     async def _read(
         self,
         requests: AsyncIterator[Update],
-        received: Received,
+        received: HandleUpdate,
         outgoing: Outgoing,
     ) -> None:
         try:
             async for update in requests:
-                self._take(update, received, outgoing)
+                self._process(update, received, outgoing)
         except (grpc.aio.AioRpcError, grpc.RpcError, asyncio.CancelledError):
             return
 
-    def _take(self, update: Update, received: Received, outgoing: Outgoing) -> None:
+    def _process(
+        self, update: Update, received: HandleUpdate, outgoing: Outgoing
+    ) -> None:
         outgoing.heard(update)
         for document in update.documents:
             record = Record(document.key, document.value, document.revision)
@@ -403,8 +411,8 @@
     def __init__(
         self,
         exchanger: Exchanger,
-        fill: Fill,
-        received: Received,
+        fill: FillUpdate,
+        received: HandleUpdate,
         to_entry: bool = False,
     ) -> None:
         self._exchanger = exchanger
--- a/packages/bambootiller/src/bambootiller/gateway/load_asks.py
+++ b/packages/bambootiller/src/bambootiller/gateway/load_requester.py
@@ -23,10 +23,10 @@
 from bambootiller_core.gateway.store_queue import MAX_SLOWDOWN, StartReason
 
 #: The urgency of what is asked for ahead of demand.
-AHEAD = 5
+PREFETCH_URGENCY = 5
 
 
-class LoadAsks:
+class LoadRequester:
     """The loads that the entry ``instance`` asks for; ``entries`` are those that agents
     hear, ``load_request`` asks the agent beside an engine, ``emit`` writes a line of the log.
 
@@ -50,17 +50,17 @@
         self._entries = entries
         self._request_load = load_request
         self._emit = emit
-        self._store_asks: dict[str, StoreLoadRequests] = {}
+        self._store_requests: dict[str, StoreLoadRequests] = {}
 
-    def sees_to(self, model: str) -> bool:
+    def is_responsible_for(self, model: str) -> bool:
         """Whether this entry is the one to ask for a load that no call of its own waits
         for."""
         return responsible_planner(model, self._entries()) == self._instance
 
-    def sees_to_store(self, service: str) -> bool:
+    def is_responsible_for_store(self, service: str) -> bool:
         """Whether this entry is the one to ask for the loads of a service that draw on
         the weight store, whoever's calls wait for them."""
-        return self.sees_to(f"weight store of {service}")
+        return self.is_responsible_for(f"weight store of {service}")
 
     def from_copies(
         self, plan: Mapping[str, PlannedLoad], demands: Mapping[str, Demand]
@@ -72,20 +72,23 @@
             for load in plan.values()
             if load.request_now
             and not load.from_store
-            and (demands.get(load.model, NO_DEMAND).waiting or self.sees_to(load.model))
+            and (
+                demands.get(load.model, NO_DEMAND).waiting
+                or self.is_responsible_for(load.model)
+            )
         ]
 
     def cooling_down(self, now: float, service: str) -> frozenset[tuple[str, str]]:
         """The models and engines of a service that this entry has asked for a load from
         the store in vain, a moment ago."""
-        asks = self._store_asks.get(service)
-        return asks.cooling_down(now) if asks is not None else frozenset()
+        requests = self._store_requests.get(service)
+        return requests.cooling_down(now) if requests is not None else frozenset()
 
     def may_probe(self, now: float, service: str) -> bool:
         """Whether this entry may ask for one load more than the store is known to
         serve."""
-        asks = self._store_asks.get(service)
-        return asks is None or asks.may_probe(now)
+        requests = self._store_requests.get(service)
+        return requests is None or requests.may_probe(now)
 
     def from_store(
         self,
@@ -97,18 +100,20 @@
     ) -> list[PlannedLoad]:
         """The loads from the weight store that this entry asks for, of the ``plan``
         that the ``planner`` has made."""
-        if not self.sees_to_store(service):
+        if not self.is_responsible_for_store(service):
             return []
         planned = [
             load for load in plan.values() if load.request_now and load.from_store
         ]
-        asks = self._store_asks.setdefault(service, StoreLoadRequests())
-        chosen = asks.choose(now, planned, self._is_told, self._is_listed)
-        for load in asks.expired:
+        requests = self._store_requests.setdefault(service, StoreLoadRequests())
+        chosen = requests.choose(
+            now, planned, self._is_reported_loading, self._is_listed
+        )
+        for load in requests.expired:
             self._emit(StoreLoadNotBegun(service, load.model, load.instance))
-        for load in asks.newly_requested:
+        for load in requests.newly_requested:
             demand = total_demands.get(load.model, NO_DEMAND)
-            self._emit(_asked(service, load, planner, demand))
+            self._emit(_store_load_line(service, load, planner, demand))
         return chosen
 
     def ask(
@@ -126,8 +131,8 @@
                 continue
             waiting = demands.get(load.model, NO_DEMAND).waiting
             demand = total_demands.get(load.model, NO_DEMAND)
-            urgency = CALLS_WAITING if waiting or demand.awaited else AHEAD
-            store_permits = turns_for(load, store_loads)
+            urgency = CALLS_WAITING if waiting or demand.awaited else PREFETCH_URGENCY
+            store_permits = permits_for(load, store_loads)
             self._request_load(
                 backend, LoadRequest(load.model, "", urgency, demand, store_permits)
             )
@@ -135,7 +140,7 @@
     def _is_listed(self, load: PlannedLoad) -> bool:
         return self._fleet.get(load.instance) is not None
 
-    def _is_told(self, load: PlannedLoad) -> bool:
+    def _is_reported_loading(self, load: PlannedLoad) -> bool:
         backend = self._fleet.get(load.instance)
         if backend is None or backend.engine is None:
             return False
@@ -143,11 +148,11 @@
         return loading is not None and loading.model == load.model
 
 
-def turns_for(load: PlannedLoad, store_loads: int) -> int:
+def permits_for(load: PlannedLoad, store_loads: int) -> int:
     """How many loads may draw on the weight store with this one, which is taken to
     serve ``store_loads`` at full speed.
 
-    >>> turns_for(PlannedLoad("tutor", "b1", 9.0, True, True, StartReason.PROBE), 1)
+    >>> permits_for(PlannedLoad("tutor", "b1", 9.0, True, True, StartReason.PROBE), 1)
     2
     """
     if load.start_reason is StartReason.OVERSUBSCRIBED:
@@ -155,7 +160,7 @@
     return store_loads + (load.start_reason is StartReason.PROBE)
 
 
-def _asked(
+def _store_load_line(
     service: str, load: PlannedLoad, planner: Planner, demand: Demand
 ) -> StoreLoadAsked:
     return StoreLoadAsked(
--- a/packages/bambootiller/src/bambootiller/gateway/wire.py
+++ b/packages/bambootiller/src/bambootiller/gateway/message_codec.py
@@ -19,7 +19,7 @@
 from bambootiller_core.gateway.reported_limits import ReportedLimit
 
 #: Room that is further away than this, or is never there, is told as so far. Seconds.
-MOST_ROOM_S = 3600.0
+MAX_ROOM_WAIT_S = 3600.0
 
 
 def engine_message(state: EngineState) -> pb.EngineFigures:
@@ -185,7 +185,7 @@
     return ReportedLimit(message.instance, per_s, now - message.age_ms / 1000)
 
 
-def put_quota_ask(update: pb.ResidencyUpdate, ask: QuotaAsk) -> None:
+def set_quota_ask(update: pb.ResidencyUpdate, ask: QuotaAsk) -> None:
     """Put an ask for quotas into a message."""
     message = update.quota_ask
     message.incarnation, message.number = ask.incarnation, ask.number
@@ -219,7 +219,7 @@
     )
 
 
-def put_quota_answer(update: pb.ResidencyUpdate, answer: QuotaAnswer) -> None:
+def set_quota_answer(update: pb.ResidencyUpdate, answer: QuotaAnswer) -> None:
     """Put the answer to an ask for quotas into a message."""
     message = update.quota_answer
     message.term, message.number = answer.term, answer.number
@@ -228,7 +228,7 @@
             customer=name,
             share=grant.share,
             advance=grant.advance,
-            room_in_s=min(grant.room_in_s, MOST_ROOM_S),
+            room_in_s=min(grant.room_in_s, MAX_ROOM_WAIT_S),
         )
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/plan_clock.py
+++ b/packages/bambootiller/src/bambootiller/gateway/plan_scheduler.py
@@ -7,19 +7,19 @@
 from bambootiller_core.timers import Subscription, TimerService
 
 #: How often the plan of loads is made anew while calls wait. Seconds.
-PLAN_S = 0.05
+PLAN_INTERVAL_S = 0.05
 #: The longest pause between two plans while calls wait, in a large fleet: a wish for a
 #: load is forgotten unless it is repeated (``order_demand.LOAD_REQUEST_TTL_S``). Seconds.
-PLAN_MAX_S = 0.15
+MAX_PLAN_INTERVAL_S = 0.15
 #: A plan weighs each engine for each model. Up to so many pairs it is made each
-#: :data:`PLAN_S`, beyond that less often in proportion, so that it takes the same part
+#: :data:`PLAN_INTERVAL_S`, beyond that less often in proportion, so that it takes the same part
 #: of a core: 39 engines and 186 models take 5 ms, a tenth of a core at that pace.
 PAIRS_PER_PLAN = 2000
 #: How often it is made while no call waits. Seconds.
-IDLE_PLAN_S = 0.25
+IDLE_PLAN_INTERVAL_S = 0.25
 #: How often it is made while nothing that it depends on changes, in case something was
 #: overlooked. Seconds.
-REST_PLAN_S = 5.0
+UNCHANGED_PLAN_INTERVAL_S = 5.0
 
 
 def pause_s(pairs: int) -> float:
@@ -31,14 +31,14 @@
     >>> pause_s(39 * 186)
     0.15
     """
-    return min(PLAN_MAX_S, PLAN_S * max(1.0, pairs / PAIRS_PER_PLAN))
+    return min(MAX_PLAN_INTERVAL_S, PLAN_INTERVAL_S * max(1.0, pairs / PAIRS_PER_PLAN))
 
 
-class PlanClock:
+class PlanScheduler:
     """Has the plan made often while calls wait, and hardly ever while nothing changes.
 
-    ``plan_awaited`` is called at each beat while calls wait, ``plan`` at the others.
-    ``waits`` tells whether a call waits anywhere, ``asked`` whether this entry's
+    ``plan_for_waiting`` is called at each beat while calls wait, ``plan`` at the others.
+    ``has_waiting_calls`` tells whether a call waits anywhere, ``has_demand`` whether this entry's
     callers have asked for a model lately, ``version`` changes with the registry, the
     configuration and what agents say.
     """
@@ -46,55 +46,55 @@
     def __init__(
         self,
         plan: Callable[[float], None],
-        plan_awaited: Callable[[float], None],
-        waits: Callable[[], bool],
-        asked: Callable[[], bool],
+        plan_for_waiting: Callable[[float], None],
+        has_waiting_calls: Callable[[], bool],
+        has_demand: Callable[[], bool],
         version: Callable[[], int],
     ) -> None:
         self._plan = plan
-        self._plan_awaited = plan_awaited
-        self._waits = waits
-        self._asked = asked
+        self._plan_for_waiting = plan_for_waiting
+        self._has_waiting_calls = has_waiting_calls
+        self._has_demand = has_demand
         self._version = version
         #: The pause between two plans while calls wait. Seconds.
-        self.pause_s = PLAN_S
+        self.pause_s = PLAN_INTERVAL_S
         self._timers: TimerService | None = None
         self._timer: Subscription | None = None
-        self._made_at = float("-inf")
-        self._made_of = -1
+        self._planned_at = float("-inf")
+        self._planned_version = -1
         self._changed = True
         self._is_empty = False
 
     def start(self, timers: TimerService, now: float) -> None:
         """Begin."""
         self._timers = timers
-        self._look_by(now + PLAN_S)
+        self._check_by(now + PLAN_INTERVAL_S)
 
     @property
-    def made_at(self) -> float:
+    def planned_at(self) -> float:
         """When the plan was made last."""
-        return self._made_at
+        return self._planned_at
 
     def changed(self, now: float) -> None:
         """Something that the plan depends on has changed."""
         self._changed = True
-        self.hurry(now)
+        self.check_soon(now)
 
-    def hurry(self, now: float) -> None:
+    def check_soon(self, now: float) -> None:
         """Calls may wait: look soon."""
         if self._timers is not None:
-            self._look_by(now + self.pause_s)
+            self._check_by(now + self.pause_s)
 
-    def making(self, now: float) -> None:
+    def plan_started(self, now: float) -> None:
         """The plan is made now, of what is known now."""
-        self._made_at, self._made_of = now, self._version()
+        self._planned_at, self._planned_version = now, self._version()
         self._changed, self._is_empty = False, True
 
-    def has_work(self) -> None:
+    def mark_not_empty(self) -> None:
         """The plan that is being made isn't empty, or some model is wanted."""
         self._is_empty = False
 
-    def at_rest(self, now: float) -> bool:
+    def is_idle(self, now: float) -> bool:
         """Whether a new plan would be the last one again.
 
         Nobody asks for a model, nothing is under way or planned, and nothing has
@@ -103,24 +103,26 @@
         """
         if self._changed or not self._is_empty:
             return False
-        if self._asked() or self._waits():
+        if self._has_demand() or self._has_waiting_calls():
             return False
-        unchanged = self._made_of == self._version()
-        return unchanged and now - self._made_at < REST_PLAN_S
+        unchanged = self._planned_version == self._version()
+        return unchanged and now - self._planned_at < UNCHANGED_PLAN_INTERVAL_S
 
-    def _look(self, now: float) -> None:
+    def _check(self, now: float) -> None:
         self._timer = None
-        due = now - self._made_at >= IDLE_PLAN_S and not self.at_rest(now)
+        due = now - self._planned_at >= IDLE_PLAN_INTERVAL_S and not self.is_idle(now)
         if due:
             self._plan(now)
-        elif self._waits():
-            self._plan_awaited(now)
-        self._look_by(now + (IDLE_PLAN_S if self.at_rest(now) else self.pause_s))
+        elif self._has_waiting_calls():
+            self._plan_for_waiting(now)
+        self._check_by(
+            now + (IDLE_PLAN_INTERVAL_S if self.is_idle(now) else self.pause_s)
+        )
 
-    def _look_by(self, when: float) -> None:
+    def _check_by(self, when: float) -> None:
         timer = self._timer
         if timer is not None:
             if timer.due <= when:
                 return
             timer.cancel()
-        self._timer = self._timers.at("load plan", when, self._look)
+        self._timer = self._timers.at("load plan", when, self._check)
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable, Iterable
 
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller.gateway.knowledge import Knowledge
@@ -139,7 +139,7 @@
         unsent = self._ledger.unsent(update_filter)
         now = self._clock()
         for run in unsent.runs:
-            wire.add_lost_run(update, run, now)
+            message_codec.add_lost_run(update, run, now)
         update.sound.extend(unsent.sound)
 
     def take(self, update: Update, outgoing: Outgoing) -> None:
@@ -148,7 +148,9 @@
             return
         version, now = self._ledger.version, self._clock()
         for message in update.lost_runs:
-            self._ledger.run_lost(wire.lost_run_of(message, now), outgoing.peer)
+            self._ledger.run_lost(
+                message_codec.lost_run_of(message, now), outgoing.peer
+            )
         for fingerprint in update.sound:
             lost_runs = self._ledger.completed(fingerprint, outgoing.peer, now)
             if lost_runs:
--- a/packages/bambootiller/src/bambootiller/gateway/quota_allocation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quota_allocation.py
@@ -15,7 +15,7 @@
 from weakref import WeakKeyDictionary
 
 from bambootiller.app import Application
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.gateway.boot_clock import boot_now
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller.gateway.exchange import Outgoing, Update
@@ -55,7 +55,7 @@
 class QuotaAllocation:
     """Lets an agent allocate quotas.
 
-    ``poke`` has all peers told soon, ``hears_an_entry`` tells whether any entry has
+    ``poke`` has all peers told soon, ``has_live_entry`` tells whether any entry has
     been heard lately; ``named`` are the limits of backend servers.
 
     Example::
@@ -74,7 +74,7 @@
         events: EventLog,
         tolerance: Callable[[], QuotaTolerance],
         poke: Callable[[], None],
-        hears_an_entry: Callable[[], bool],
+        has_live_entry: Callable[[], bool],
         named: ServerLimits,
     ) -> None:
         self._named = named
@@ -84,7 +84,7 @@
         self._events = events
         self._tolerance = tolerance
         self._poke = poke
-        self._hears_an_entry = hears_an_entry
+        self._hears_an_entry = has_live_entry
         self._config: GatewayConfig | None = None
         self._limits: dict[str, Limit] = {}
         self._limited_by = tolerance()
@@ -131,7 +131,7 @@
         outgoing.told["allocator"] = term
         answer = self._answers.pop(outgoing, None)
         if answer is not None and answer.term == term:
-            wire.put_quota_answer(update, answer)
+            message_codec.set_quota_answer(update, answer)
 
     def received(self, update: Update, outgoing: Outgoing) -> None:
         """Take in an entry's message."""
@@ -143,7 +143,7 @@
         if self._tolerance() != self._limited_by and self._config is not None:
             # The settings have changed.
             self.configured(self._config)
-        ask = wire.quota_ask_of(update.quota_ask, outgoing.peer)
+        ask = message_codec.quota_ask_of(update.quota_ask, outgoing.peer)
         answer = self._allocator.answer(boot_now(), ask, self._limits)
         if answer is not None:
             self._answers[outgoing] = answer
--- a/packages/bambootiller/src/bambootiller/gateway/quotas.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quotas.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable
 
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.gateway.allowances import Allowances, Shortage
 from bambootiller.gateway.knowledge import Knowledge
 from bambootiller_core.gateway.attempts import (
@@ -102,7 +102,7 @@
             room_in_s = max(DEFAULT_RETRY_AFTER_S, min(own_s, told_s))
             # All of the limit may be held by entries that the allocator doesn't hear
             # yet.
-            if room_in_s < wire.MOST_ROOM_S:
+            if room_in_s < message_codec.MAX_ROOM_WAIT_S:
                 reason, come_back_s = RefusalReason.OVER_QUOTA, room_in_s
         age_s = now - allowances.last_received_at
         available = account.available(now, limit) if limit is not None else 0.0
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -336,7 +336,7 @@
                 await self._forward_large_answer(attempt, head, b"".join(parts))
                 return
         self._record_health(attempt, head)
-        self.report.part_passed_on(self._context.clock())
+        self.report.part_forwarded(self._context.clock())
         await self._send_head(head)
         await self._send({"type": "http.response.body", "body": b"".join(parts)})
 
@@ -344,7 +344,7 @@
         self, attempt: Attempt, head: AnswerHead, data: bytes | None
     ) -> None:
         """Stream an answer that is too large to be buffered."""
-        self.report.part_passed_on(self._context.clock())
+        self.report.part_forwarded(self._context.clock())
         await self._send_head(head)
         self._progress.forwarded = True
         try:
@@ -411,7 +411,7 @@
         # forwarded, and a resumed run must still send those before it.
         progress.last_event = newest
         progress.forwarded_at = now = self._context.clock()
-        self.report.part_passed_on(now)
+        self.report.part_forwarded(now)
         if not progress.forwarded:
             await self._send_head(head)
             progress.forwarded = True
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -16,7 +16,7 @@
 
         report = CallReport(relays, call, progress)
         report.chosen(backend, candidates=3)
-        report.part_passed_on(now)
+        report.part_forwarded(now)
         report.answered(backend, 200)
     """
 
@@ -46,7 +46,7 @@
             unread=backend.engine_pending_prefills(now),
         )
 
-    def part_passed_on(self, now: float) -> None:
+    def part_forwarded(self, now: float) -> None:
         """A part of the answer goes to the caller now."""
         if self._first_at is None:
             self._first_at = now
--- a/packages/bambootiller/src/bambootiller/gateway/server_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_limits.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.gateway.eventlog import EventLog
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller_core.gateway.fleet import Backend, Fleet
@@ -82,13 +82,13 @@
             return
         now = self._clock()
         for limit in self._limits.unsent(update_filter):
-            wire.add_server_limit(update, limit, now)
+            message_codec.add_server_limit(update, limit, now)
 
     def take(self, update: Update, outgoing: Outgoing) -> None:
         """Take in what a peer tells."""
         now = self._clock()
         for message in update.server_limits:
-            self._said(wire.server_limit_of(message, now), outgoing.peer)
+            self._said(message_codec.server_limit_of(message, now), outgoing.peer)
 
     def _said(self, limit: ReportedLimit, source: str = "") -> None:
         before, version = self._limits.per_s(limit.instance), self._limits.version
--- a/packages/bambootiller/src/bambootiller/gateway/engine_words.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stream_reports.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.rpc import bambootiller_pb2 as pb
 from bambootiller_core.gateway.demand_collection import (
     demands_changed,
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class SentReport:
     """What an agent was told last, and what it was worked out from."""
 
     demands: Mapping[str, Demand]
@@ -35,7 +35,7 @@
     @classmethod
     def now(
         cls, now: float, demands: Mapping[str, Demand], backend: Backend, collect: bool
-    ) -> Told:
+    ) -> SentReport:
         """What the agent beside the engine is to know, of this entry's ``demands``."""
         in_use = dict(backend.in_flight_by_model)
         part = _part(demands, backend.engine, collect)
@@ -64,11 +64,11 @@
 
     def message(self) -> pb.EntryFigures:
         """The same, to be sent."""
-        return wire.entry_message(self.part, self.in_use, self.collect)
+        return message_codec.entry_message(self.part, self.in_use, self.collect)
 
 
 @dataclass(slots=True)
-class AgentSaid:
+class AgentReport:
     """What an agent has said on its stream, until it says otherwise there."""
 
     state: EngineState | None = None
@@ -76,14 +76,14 @@
     entries: tuple[str, ...] = ()
 
     @classmethod
-    def after(cls, update: pb.ResidencyUpdate, before: object) -> AgentSaid:
+    def after(cls, update: pb.ResidencyUpdate, before: object) -> AgentReport:
         """What holds after a message, ``before`` being what held until then."""
-        begins = update.begins or not isinstance(before, AgentSaid)
+        begins = update.begins or not isinstance(before, AgentReport)
         words = cls() if begins else before
         if update.HasField("engine"):
-            words.state = wire.engine_state(update.engine, words.state)
+            words.state = message_codec.engine_state(update.engine, words.state)
         if update.collected or update.total_demand:
-            words.totals = wire.demands_of(update.total_demand)
+            words.totals = message_codec.demands_of(update.total_demand)
             words.entries = tuple(update.entries)
         return words
 
--- a/tests/gateway/cover/test_demand_collection.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -3,7 +3,7 @@
 import math
 import unittest
 
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.gateway.engines import Engines
 from bambootiller.rpc import bambootiller_pb2 as pb
 from bambootiller_core.gateway.demand_collection import (
@@ -85,7 +85,8 @@
     def test_it_travels_both_ways(self):
         demand = Demand(0.5, 1, adapter_miss_rate=0.25, unserved=2.5, unserved_s=3.5)
         self.assertEqual(
-            wire.demands_of(wire.demand_messages({"poet": demand})), {"poet": demand}
+            message_codec.demands_of(message_codec.demand_messages({"poet": demand})),
+            {"poet": demand},
         )
 
     def test_a_rate_that_rises_is_told(self):
@@ -117,7 +118,9 @@
 
     def test_it_travels_with_the_demand(self):
         demands = {"tutor": Demand(0.5, 1, 0, 0.25, 2, 1.75)}
-        self.assertEqual(wire.demands_of(wire.demand_messages(demands)), demands)
+        self.assertEqual(
+            message_codec.demands_of(message_codec.demand_messages(demands)), demands
+        )
 
     def test_the_entry_with_the_least_time_left_counts(self):
         entry_reports = EntryReports()
@@ -142,7 +145,9 @@
     def test_they_travel_with_the_demand_of_those_who_count_them(self):
         demands = {"tutor": Demand(0.5, callers=0.0), "poet": Demand(0.5, callers=2.5)}
         demands["clerk"] = Demand(0.5)
-        self.assertEqual(wire.demands_of(wire.demand_messages(demands)), demands)
+        self.assertEqual(
+            message_codec.demands_of(message_codec.demand_messages(demands)), demands
+        )
 
     def test_those_of_all_entries_are_added_up(self):
         entry_reports = EntryReports()
@@ -186,10 +191,10 @@
         others see that this one does.
         """
         update = pb.ResidencyUpdate()
-        wire.add_load_request(
+        message_codec.add_load_request(
             update, LoadRequest("poet", "", 0, Demand(9.0, 30, 0, 1.5))
         )
-        load_request = wire.load_request_of(update.wishes[0])
+        load_request = message_codec.load_request_of(update.wishes[0])
         entry_reports = EntryReports()
         entry_reports.reported(1.0, "e1", {"poet": Demand(0.5, 2)}, {})
         entry_reports.load_requested(1.0, load_request)
@@ -197,9 +202,9 @@
 
     def test_a_load_request_without_demand_stays_without(self):
         update = pb.ResidencyUpdate()
-        wire.add_load_request(update, LoadRequest("poet", "a1"))
+        message_codec.add_load_request(update, LoadRequest("poet", "a1"))
         self.assertEqual(
-            wire.load_request_of(update.wishes[0]), LoadRequest("poet", "a1")
+            message_codec.load_request_of(update.wishes[0]), LoadRequest("poet", "a1")
         )
 
 
--- a/tests/gateway/cover/test_plan_clock.py
+++ b/tests/gateway/cover/test_plan_clock.py
@@ -2,7 +2,12 @@
 
 import unittest
 
-from bambootiller.gateway.plan_clock import IDLE_PLAN_S, PLAN_S, REST_PLAN_S, PlanClock
+from bambootiller.gateway.plan_scheduler import (
+    IDLE_PLAN_INTERVAL_S,
+    PLAN_INTERVAL_S,
+    UNCHANGED_PLAN_INTERVAL_S,
+    PlanScheduler,
+)
 from bambootiller_core.timers import TimerService
 
 
@@ -13,7 +18,7 @@
         self.made = []
         self.waits = self.asked = self.work = False
         self.version = 1
-        self.clock = PlanClock(
+        self.clock = PlanScheduler(
             self.plan,
             self.plan,
             lambda: self.waits,
@@ -23,10 +28,10 @@
         self.clock.start(self.timers, 0.0)
 
     def plan(self, now):
-        self.clock.making(now)
+        self.clock.plan_started(now)
         self.made.append(now)
         if self.work:
-            self.clock.has_work()
+            self.clock.mark_not_empty()
 
     def run_for(self, seconds):
         """How many plans are made meanwhile."""
@@ -39,27 +44,27 @@
 
     def test_at_rest_a_plan_is_made_once_in_a_long_while(self):
         self.assertEqual(self.run_for(1.0), 1)
-        self.assertEqual(self.run_for(4 * REST_PLAN_S), 4)
+        self.assertEqual(self.run_for(4 * UNCHANGED_PLAN_INTERVAL_S), 4)
 
     def test_a_plan_that_is_not_empty_is_made_as_before(self):
         self.work = True
         self.run_for(1.0)
-        self.assertGreaterEqual(self.run_for(10.0), 0.8 * 10.0 / IDLE_PLAN_S)
+        self.assertGreaterEqual(self.run_for(10.0), 0.8 * 10.0 / IDLE_PLAN_INTERVAL_S)
 
     def test_while_calls_come_it_is_made_as_before(self):
         self.run_for(1.0)
         self.asked = True
-        self.assertGreaterEqual(self.run_for(10.0), 0.8 * 10.0 / IDLE_PLAN_S)
+        self.assertGreaterEqual(self.run_for(10.0), 0.8 * 10.0 / IDLE_PLAN_INTERVAL_S)
 
     def test_while_calls_wait_it_is_made_often(self):
         self.run_for(1.0)
         self.waits = True
-        self.clock.hurry(self.now)
-        self.assertGreaterEqual(self.run_for(1.0), 0.9 / PLAN_S)
+        self.clock.check_soon(self.now)
+        self.assertGreaterEqual(self.run_for(1.0), 0.9 / PLAN_INTERVAL_S)
 
     def test_a_change_is_planned_for_soon(self):
         self.run_for(1.0)
         self.clock.changed(self.now)
-        self.assertEqual(self.run_for(2 * PLAN_S), 1)
+        self.assertEqual(self.run_for(2 * PLAN_INTERVAL_S), 1)
         self.version = 2
-        self.assertEqual(self.run_for(2 * IDLE_PLAN_S), 1)
+        self.assertEqual(self.run_for(2 * IDLE_PLAN_INTERVAL_S), 1)
--- a/tests/gateway/cover/test_turn_holder.py
+++ b/tests/gateway/cover/test_turn_holder.py
@@ -4,8 +4,12 @@
 import unittest
 from unittest import mock
 
-from bambootiller.gateway import turn_holder
-from bambootiller.gateway.turn_holder import BEGIN_S, TAKE_S, TurnHolder
+from bambootiller.gateway import store_permit_holder
+from bambootiller.gateway.store_permit_holder import (
+    ACQUIRE_TIMEOUT_S,
+    START_TIMEOUT_S,
+    StorePermitHolder,
+)
 from bambootiller_core.gateway.order_messages import (
     EngineReport,
     LoadRequest,
@@ -64,7 +68,7 @@
         self.app, self.events = App(instance), Events()
         self.gate = StorePermitGate()
         self.book = OrderBook(ENGINE, self.gate)
-        self.turn = TurnHolder(
+        self.turn = StorePermitHolder(
             self.app, kv, SERVICE, self.gate, self.events, lambda: None, self.app.now
         )
         self.book.reported(self.app.at, report(instance))
@@ -76,19 +80,19 @@
         )
         order = self.book.next_order(self.app.at)
         if order is None:
-            self.turn.seek(self.app.at)
+            self.turn.acquire(self.app.at)
             await self.app.settle()
             order = self.book.next_order(self.app.at)
         return order
 
-    async def review(self, load_goes_on=False):
-        self.turn.review(self.app.at, load_goes_on)
+    async def release_if_unused(self, load_in_progress=False):
+        self.turn.release_if_unused(self.app.at, load_in_progress)
         await self.app.settle()
 
 
 class TestTurnHolder(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.enterContext(mock.patch.object(turn_holder, "RETRY_S", 0.01))
+        self.enterContext(mock.patch.object(store_permit_holder, "RETRY_S", 0.01))
         self.kv = FakeKeyValue()
         self.first, self.second = Agent(self.kv, "a1"), Agent(self.kv, "a2")
 
@@ -128,41 +132,41 @@
 
     async def test_it_is_kept_while_the_load_goes_on(self):
         await self.first.request_load()
-        self.first.app.at += BEGIN_S + 20.0
-        await self.first.review(load_goes_on=True)
+        self.first.app.at += START_TIMEOUT_S + 20.0
+        await self.first.release_if_unused(load_in_progress=True)
         self.assertEqual(len(self.held()), 1)
 
     async def test_its_lease_is_renewed_while_it_is_held(self):
         """The lease was as long as a load, and began anew when the service was back:
         the turn of an agent that was gone kept all others from the store for 7 s."""
-        self.enterContext(mock.patch.object(turn_holder, "RENEW_S", 0.01))
+        self.enterContext(mock.patch.object(store_permit_holder, "RENEW_S", 0.01))
         await self.first.request_load()
         await asyncio.sleep(0.05)
         self.assertTrue(self.kv.kept)
         self.first.turn.load_ended()
         await self.first.app.settle()
         await asyncio.gather(*self.first.app.renewals)
-        self.assertLess(turn_holder.LEASE_S, 13.0)
+        self.assertLess(store_permit_holder.LEASE_TTL_S, 13.0)
 
     async def test_it_is_given_back_if_the_load_does_not_begin(self):
         await self.first.request_load()
-        self.first.app.at += BEGIN_S + 0.1
-        await self.first.review()
+        self.first.app.at += START_TIMEOUT_S + 0.1
+        await self.first.release_if_unused()
         self.assertEqual(self.held(), [])
 
     def seeks(self, agent, model="m1"):
         """The agent begins to seek a turn, and isn't waited for."""
         agent.book.load_requested(agent.app.at, LoadRequest(model))
         agent.book.next_order(agent.app.at)
-        agent.turn.seek(agent.app.at)
+        agent.turn.acquire(agent.app.at)
 
     async def test_a_load_begins_without_one_while_the_service_is_away(self):
         self.kv.down = True
         self.seeks(self.first)
-        self.first.app.at += TAKE_S / 2
+        self.first.app.at += ACQUIRE_TIMEOUT_S / 2
         self.seeks(self.first)
         self.assertFalse(self.first.gate.is_open)
-        self.first.app.at += TAKE_S
+        self.first.app.at += ACQUIRE_TIMEOUT_S
         self.seeks(self.first)
         self.assertTrue(self.first.gate.is_open)
         self.assertEqual(self.first.events.lines[-1].outcome, "without")
@@ -176,7 +180,7 @@
             order = agent.book.next_order(agent.app.at)
             if order is not None:
                 return order
-            agent.turn.seek(agent.app.at)
+            agent.turn.acquire(agent.app.at)
         return None
 
     async def test_a_load_begins_without_one_though_the_load_request_is_not_repeated(
@@ -186,14 +190,14 @@
         was idle until the service was back."""
         self.kv.down = True
         self.seeks(self.first)
-        self.assertIsNotNone(self.steps(self.first, TAKE_S + 1.0))
+        self.assertIsNotNone(self.steps(self.first, ACQUIRE_TIMEOUT_S + 1.0))
         await self.first.app.settle()
 
     async def test_a_load_begins_without_one_while_the_last_is_not_given_back(self):
         await self.first.request_load()
         self.kv.down = True
         self.first.turn.load_ended()
-        for _ in range(round((TAKE_S + 1.0) / 0.2)):
+        for _ in range(round((ACQUIRE_TIMEOUT_S + 1.0) / 0.2)):
             self.first.app.at += 0.2
             self.seeks(self.first, "m2")
         self.assertTrue(self.first.gate.is_open)
@@ -201,7 +205,7 @@
         await self.first.app.settle()
 
     async def test_a_turn_whose_lease_has_ended_is_taken_anew(self):
-        self.enterContext(mock.patch.object(turn_holder, "RENEW_S", 0.01))
+        self.enterContext(mock.patch.object(store_permit_holder, "RENEW_S", 0.01))
         await self.first.request_load()
         (key,) = self.held()
         del self.kv.records[key]
@@ -225,7 +229,7 @@
         late_try = self.first.app.tasks.pop()
         await asyncio.sleep(0)
         self.kv.get_prefix = read
-        self.steps(self.first, TAKE_S + 1.0)
+        self.steps(self.first, ACQUIRE_TIMEOUT_S + 1.0)
         self.first.turn.load_ended()
         await self.first.app.settle()
         self.assertIsNotNone(await self.first.request_load("m2"))
@@ -262,10 +266,10 @@
         self.kv.faults.append(Fault.LOST_AFTER)
         self.seeks(self.first)
         await asyncio.sleep(0)
-        self.first.app.at += TAKE_S + 0.1
+        self.first.app.at += ACQUIRE_TIMEOUT_S + 0.1
         self.seeks(self.first)
-        self.first.app.at += BEGIN_S + 0.1
-        await self.first.review()
+        self.first.app.at += START_TIMEOUT_S + 0.1
+        await self.first.release_if_unused()
         self.assertEqual(self.held(), [])
 
     async def test_it_is_given_back_once_the_service_answers(self):
@@ -288,10 +292,10 @@
     async def test_a_new_process_takes_over_the_turn_of_the_one_before(self):
         await self.first.request_load()
         successor = Agent(self.kv, "a1")
-        await successor.turn.recall()
+        await successor.turn.recover()
         self.assertTrue(successor.gate.is_open)
-        successor.app.at += BEGIN_S + 0.1
-        await successor.review()
+        successor.app.at += START_TIMEOUT_S + 0.1
+        await successor.release_if_unused()
         self.assertEqual(self.held(), [])
 
     async def test_a_key_that_cannot_be_read_is_taken_all_the_same(self):
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -3,10 +3,14 @@
 import unittest
 from unittest import mock
 
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller.gateway.engine_plans import FRESH_PAUSES
 from bambootiller.gateway.engines import Engines
-from bambootiller.gateway.plan_clock import IDLE_PLAN_S, PLAN_MAX_S, PLAN_S
+from bambootiller.gateway.plan_scheduler import (
+    IDLE_PLAN_INTERVAL_S,
+    MAX_PLAN_INTERVAL_S,
+    PLAN_INTERVAL_S,
+)
 from bambootiller.rpc import bambootiller_pb2 as pb
 from bambootiller_core import rendezvous
 from bambootiller_core.gateway.demand_collection import responsible_planner
@@ -47,8 +51,8 @@
 
 def told(instance, demands):
     update = pb.ResidencyUpdate(sender=f"agent-of-{instance}")
-    update.engine.CopyFrom(wire.engine_message(engine_state(instance)))
-    update.total_demand.extend(wire.demand_messages(demands))
+    update.engine.CopyFrom(message_codec.engine_message(engine_state(instance)))
+    update.total_demand.extend(message_codec.demand_messages(demands))
     return update
 
 
@@ -115,7 +119,7 @@
         """How many plans are made in so many beats, which aren't enough to be idle."""
         before = len(self.plans)
         for _ in range(count):
-            self.app.time += PLAN_S
+            self.app.time += PLAN_INTERVAL_S
             self.timers.advance(self.app.time)
         return len(self.plans) - before
 
@@ -134,7 +138,7 @@
         self.told(model, names)
         self.engines.plans.make(self.app.time)
         self.assertEqual(self.beats(3), 0)
-        self.app.time += IDLE_PLAN_S
+        self.app.time += IDLE_PLAN_INTERVAL_S
         self.assertEqual(self.beats(1), 1)
 
     def many(self):
@@ -156,14 +160,14 @@
         self.told("poet", self.many())
         before = len(self.plans)
         for _ in range(4):
-            self.app.time += IDLE_PLAN_S
+            self.app.time += IDLE_PLAN_INTERVAL_S
             self.timers.advance(self.app.time)
         self.assertEqual(len(self.plans) - before, 0)
 
     def test_one_that_makes_no_plan_still_tells_its_demand(self):
         self.told("poet", self.many())
         self.engines.plans.demand("tutor").asked(self.app.time, "critic")
-        self.app.time += IDLE_PLAN_S
+        self.app.time += IDLE_PLAN_INTERVAL_S
         self.timers.advance(self.app.time)
         self.assertIn("critic", self.engines.plans.own_demands("tutor"))
 
@@ -197,7 +201,9 @@
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").begin_waiting(self.app.time, "poet")
         self.engines.plans.make(self.app.time)
-        self.assertLessEqual(self.beats(20), 20 * PLAN_S / PLAN_MAX_S + 1)
+        self.assertLessEqual(
+            self.beats(20), 20 * PLAN_INTERVAL_S / MAX_PLAN_INTERVAL_S + 1
+        )
 
     def test_one_whose_refused_callers_are_due_back_makes_one_each_beat(self):
         model, names = self.others()
@@ -218,7 +224,7 @@
                 self.engines.plans.plan_for("tutor", "poet").instance, "b1"
             )
         self.assertEqual(len(self.plans) - before, 1)
-        self.app.time += FRESH_PAUSES * PLAN_S + 0.01
+        self.app.time += FRESH_PAUSES * PLAN_INTERVAL_S + 0.01
         self.engines.plans.plan_for("tutor", "poet")
         self.assertEqual(len(self.plans) - before, 2)
 
--- a/tests/gateway/failures/test_messages.py
+++ b/tests/gateway/failures/test_messages.py
@@ -51,16 +51,16 @@
         return Update(sender="a1", begins=begins, complete=complete or {})
 
     async def test_the_first_message_is_whole_and_a_beat_is_empty(self):
-        first = self.outgoing._next()
+        first = self.outgoing._next_update()
         self.assertTrue(first.begins and first.entry.collect)
         self.outgoing.heard(self.peer())
-        self.outgoing._next()
-        self.outgoing._next()
-        self.assertEqual(self.outgoing._next().ByteSize(), 0)
+        self.outgoing._next_update()
+        self.outgoing._next_update()
+        self.assertEqual(self.outgoing._next_update().ByteSize(), 0)
 
     async def test_until_the_peer_has_spoken_everything_is_said_again(self):
-        self.outgoing._next()
-        again = self.outgoing._next()
+        self.outgoing._next_update()
+        again = self.outgoing._next_update()
         self.assertTrue(again.begins and again.entry.collect)
 
     async def test_a_peer_of_an_earlier_version_is_told_everything_each_time(self):
@@ -68,19 +68,19 @@
         side silent."""
         self.outgoing.heard(self.peer(begins=False))
         for _ in range(3):
-            update = self.outgoing._next()
+            update = self.outgoing._next_update()
             self.assertEqual(update.sender, "e1")
             self.assertTrue(update.HasField("entry"))
 
     async def test_a_new_revision_is_told_once(self):
         self.outgoing.heard(self.peer())
-        self.outgoing._next()
-        self.outgoing._next()
+        self.outgoing._next_update()
+        self.outgoing._next_update()
         self.knowledge.has_all({"servers/": 8})
-        self.assertEqual(dict(self.outgoing._next().complete), {"servers/": 8})
-        self.assertEqual(self.outgoing._next().ByteSize(), 0)
+        self.assertEqual(dict(self.outgoing._next_update().complete), {"servers/": 8})
+        self.assertEqual(self.outgoing._next_update().ByteSize(), 0)
         self.knowledge.has_all({"servers/": 7})
-        self.assertEqual(self.outgoing._next().ByteSize(), 0)
+        self.assertEqual(self.outgoing._next_update().ByteSize(), 0)
 
     async def test_a_beat_does_not_take_back_what_the_peer_has(self):
         self.outgoing.heard(self.peer(complete={"servers/": 8}))
@@ -186,7 +186,7 @@
         change = Changed(Record("op/config", b"12345", 9))
         self.knowledge.learnt(change, "store")
         self.outgoing._documents.add(0.0, change, rank=0)
-        self.outgoing._next()
+        self.outgoing._next_update()
         line = self.events.lines[-1]
         self.assertEqual(
             (line.event, line.revision, line.size_bytes, line.peer, line.peer_has),
@@ -205,12 +205,12 @@
         said that it had it. All others sent it once more, its sender was sent it back.
         """
         self.outgoing.heard(self.peer(complete={"op/": 6}))
-        self.outgoing._next()
+        self.outgoing._next_update()
         told = []
         self.knowledge.on_complete(lambda: told.append(1))
         self.learn_config(9, "a1")
         self.assertEqual(told, [1])
-        self.assertEqual(dict(self.outgoing._next().complete), {"op/config": 9})
+        self.assertEqual(dict(self.outgoing._next_update().complete), {"op/config": 9})
 
     async def test_a_configuration_is_not_sent_back(self):
         update = self.peer(complete={"op/": 6, "op/config": 9})
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from bambootiller.gateway import wire
+from bambootiller.gateway import message_codec
 from bambootiller_core.gateway.engine_state import Loading
 from bambootiller_core.gateway.fleet import EXPIRY_GRACE_S, Fleet
 from bambootiller_core.gateway.incarnation import TAKEOVER_SILENCE_S, Incarnation
@@ -251,8 +251,8 @@
 class TestTheStream(unittest.TestCase):
     def test_the_start_travels_with_the_figures(self):
         for started_ms in (FIRST_MS, None):
-            message = wire.engine_message(told(started_ms))
-            self.assertEqual(wire.engine_state(message).started_ms, started_ms)
+            message = message_codec.engine_message(told(started_ms))
+            self.assertEqual(message_codec.engine_state(message).started_ms, started_ms)
 
     def test_copies_of_the_start_before_are_not_carried_over(self):
         """Symptom: a load from memory is planned at an engine that has just started.
@@ -261,6 +261,8 @@
         one before may have told of the start before.
         """
         before = told(FIRST_MS, in_memory=frozenset({"tutor"}))
-        message = wire.engine_message(told(SECOND_MS))
+        message = message_codec.engine_message(told(SECOND_MS))
         message.same_copies = True
-        self.assertEqual(wire.engine_state(message, before).in_memory, frozenset())
+        self.assertEqual(
+            message_codec.engine_state(message, before).in_memory, frozenset()
+        )
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -4,8 +4,12 @@
 import unittest
 from types import SimpleNamespace
 
-from bambootiller.gateway import wire
-from bambootiller.gateway.agent_words import ENTRY_HEARD_S, AgentWords, EntryWords
+from bambootiller.gateway import message_codec
+from bambootiller.gateway.agent_updates import (
+    ENTRY_TIMEOUT_S,
+    AgentUpdates,
+    EntryReport,
+)
 from bambootiller.gateway.engines import Engines
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller.gateway.knowledge import Changes
@@ -91,7 +95,9 @@
 
 def figures(instance="b1", **fields):
     update = Update(sender="a1", begins=True)
-    update.engine.CopyFrom(wire.engine_message(engine_state(instance, **fields)))
+    update.engine.CopyFrom(
+        message_codec.engine_message(engine_state(instance, **fields))
+    )
     return update
 
 
@@ -170,7 +176,9 @@
     def test_a_total_holds_while_its_collector_is_heard_and_ends_with_its_silence(self):
         update = figures()
         update.collected = True
-        update.total_demand.extend(wire.demand_messages({"poet": Demand(rate=3.0)}))
+        update.total_demand.extend(
+            message_codec.demand_messages({"poet": Demand(rate=3.0)})
+        )
         self.hear(update)
         self.clock.at += 1.2
         self.hear(Update())
@@ -184,7 +192,9 @@
     def test_a_collector_that_collects_no_more_takes_its_total_back(self):
         update = figures()
         update.collected = True
-        update.total_demand.extend(wire.demand_messages({"poet": Demand(rate=3.0)}))
+        update.total_demand.extend(
+            message_codec.demand_messages({"poet": Demand(rate=3.0)})
+        )
         self.hear(update)
         self.hear(Update(collected=True))
         self.assertEqual(self.engines.plans.total_demands(SERVICE, {}), {})
@@ -269,7 +279,7 @@
         self.woken = []
         self.events = Events()
         knowledge = SimpleNamespace(fleet=Fleet())
-        self.words = AgentWords(
+        self.words = AgentUpdates(
             self.streams,
             self.events,
             self.clock,
@@ -297,7 +307,9 @@
     def entry_says(self, in_use=2, collect=False):
         update = Update(sender="e1", begins=True)
         demands = {"tutor": Demand(rate=1.0)}
-        update.entry.CopyFrom(wire.entry_message(demands, {"tutor": in_use}, collect))
+        update.entry.CopyFrom(
+            message_codec.entry_message(demands, {"tutor": in_use}, collect)
+        )
         return update
 
     def fill(self):
@@ -312,7 +324,7 @@
         self.hear(self.entry_says())
         self.begin()
         self.assertEqual(self.in_use(), 2)
-        self.assertTrue(self.words.hears_an_entry())
+        self.assertTrue(self.words.has_live_entry())
 
     def test_beats_keep_what_an_entry_said(self):
         self.begin()
@@ -329,11 +341,11 @@
         """
         self.begin()
         self.hear(self.entry_says(collect=True))
-        self.clock.at += ENTRY_HEARD_S + 0.1
+        self.clock.at += ENTRY_TIMEOUT_S + 0.1
         self.words.tell()
         self.book.next_order(self.clock.at)
         self.assertEqual(self.in_use(), 0)
-        self.assertFalse(self.words.hears_an_entry())
+        self.assertFalse(self.words.has_live_entry())
         self.hear(Update())
         self.assertEqual(self.in_use(), 2)
         self.assertTrue(self.fill().collected)
@@ -342,9 +354,9 @@
         self.begin()
         self.hear(self.entry_says())
         self.hear(Update(sender="e1", begins=True))
-        self.clock.at += ENTRY_HEARD_S + 0.1
+        self.clock.at += ENTRY_TIMEOUT_S + 0.1
         self.hear(Update())
-        self.assertFalse(self.words.hears_an_entry())
+        self.assertFalse(self.words.has_live_entry())
 
     def test_what_is_the_same_is_said_once(self):
         self.begin()
@@ -388,7 +400,7 @@
         for stream in others:
             stream.last_received_at = self.clock.at
             update = Update(sender=stream.peer, begins=True)
-            update.entry.CopyFrom(wire.entry_message({}, {}, False))
+            update.entry.CopyFrom(message_codec.entry_message({}, {}, False))
             self.words.received(update, stream)
         self.streams.all += others
         self.clock.at += 0.01
@@ -420,7 +432,7 @@
         self.hear(self.entry_says())
         self.many()
         self.load("poet")
-        self.stream.said = EntryWords({"clerk": Demand(rate=0.1)}, {}, False)
+        self.stream.said = EntryReport({"clerk": Demand(rate=0.1)}, {}, False)
         self.load("clerk")
         self.assertTrue(self.stream.sent)
 
@@ -432,7 +444,7 @@
         self.load()
         other.sent = 0
         update = Update()
-        wire.add_load_request(update, LoadRequest("poet"))
+        message_codec.add_load_request(update, LoadRequest("poet"))
         self.words.received(update, other)
         self.assertTrue(other.sent)
         self.load("clerk")
@@ -451,9 +463,9 @@
     def test_a_lost_engine_and_a_fencing_token_are_said_at_once(self):
         self.begin()
         self.assertFalse(self.fill().engine.orderable)
-        self.words.can_order(True)
+        self.words.set_can_order(True)
         self.assertTrue(self.fill().engine.orderable)
-        self.words.engine_answers(False)
+        self.words.set_engine_responsive(False)
         self.assertTrue(self.fill().engine.silent)
 
     def test_a_new_stream_is_told_everything_copies_too(self):
--- a/tests/gateway/failures/test_store_turns_taken.py
+++ b/tests/gateway/failures/test_store_turns_taken.py
@@ -3,7 +3,7 @@
 import unittest
 
 from bambootiller.gateway.engine_plans import EnginePlans
-from bambootiller.gateway.plan_clock import PLAN_S
+from bambootiller.gateway.plan_scheduler import PLAN_INTERVAL_S
 from bambootiller_core.gateway.demand_collection import planners
 from bambootiller_core.gateway.fleet import Fleet
 from bambootiller_core.gateway.initial_discovery import MAX_STALL_S
@@ -91,7 +91,7 @@
             for model in MODELS:
                 later = {**first, model: Demand(0.9, 3)}
                 plans.totals_reported(app.at, SERVICE, "10.0.0.1", later)
-                app.at += PLAN_S
+                app.at += PLAN_INTERVAL_S
                 plans.make(app.at)
             self.assertEqual(set(requested), asked)
 
@@ -113,8 +113,8 @@
         )
         plans.entries = (app.instance,)
         demands = {"m1": Demand(0.9, 3), "m2": Demand(0.5, 2)}
-        for _ in range(round((MAX_STALL_S + 12.0) / PLAN_S)):
-            app.at += PLAN_S
+        for _ in range(round((MAX_STALL_S + 12.0) / PLAN_INTERVAL_S)):
+            app.at += PLAN_INTERVAL_S
             for number in range(6):
                 known.fleet.engine_reported(app.at, samples.engine_state(f"b{number}"))
             plans.totals_reported(app.at, SERVICE, "10.0.0.1", demands)
