--- a/packages/bambootiller-core/src/bambootiller_core/gateway/events.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/events.py
@@ -34,7 +34,7 @@
     >>> splitter = EventSplitter()
     >>> [event.number for event in splitter.feed(b"id: 4\\ndata: x\\n\\nid: 5\\n")]
     [4]
-    >>> splitter.rest
+    >>> splitter.remainder
     b'id: 5\\n'
     """
 
