--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -85,7 +85,7 @@
         """Return the permit of the chosen backend server if the call wasn't sent."""
         permit, self._permit = self._permit, None
         if permit is not None:
-            permit.give_back()
+            permit.return_unused()
 
     async def _find(self) -> Backend | Refusal:
         if self._call.ask is None:
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -296,7 +296,7 @@
             self._last_stay_reason = found
             self.report.silence_borne(backend, detail, found.value)
         if found in (StayReason.SPOKE, StayReason.ATTEMPTS):
-            self._silence_detector.again()
+            self._silence_detector.restart()
         else:
             # A free slot, a connection or retry budget may soon become available.
             self._silence_detector.recheck_in(RECHECK_S)
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -58,7 +58,7 @@
         """Record that the call was sent."""
         self._close(True)
 
-    def give_back(self) -> None:
+    def return_unused(self) -> None:
         """Return the permit, unless it was used."""
         self._close(False)
 
--- a/packages/bambootiller/src/bambootiller/gateway/silence.py
+++ b/packages/bambootiller/src/bambootiller/gateway/silence.py
@@ -59,9 +59,9 @@
         self._running_time = running_time
         self._timer: asyncio.TimerHandle | None = None
         self._silent_since = 0.0
-        self.again()
+        self.restart()
 
-    def again(self) -> None:
+    def restart(self) -> None:
         """Start a new silence period: the silence so far has been handled."""
         self._silent_since = self._running_time()
         self._arm(self._seconds)
@@ -87,7 +87,7 @@
         conn = self._conn
         if not conn.awaited:
             # The caller reads slowly, so nothing is being read from the backend server.
-            self.again()
+            self.restart()
             return
         silent_s = self._running_time() - max(self._silent_since, conn.last_received_at)
         if silent_s < self._seconds:
--- a/tests/gateway/cover/test_silence.py
+++ b/tests/gateway/cover/test_silence.py
@@ -32,7 +32,7 @@
         and its caller got no answer: a watch set anew had left its first timer."""
         watch = SilenceDetector(self.conn, 0.02, time.monotonic)
         watch.recheck_in(0.03)
-        watch.again()
+        watch.restart()
         watch.stop()
         await asyncio.sleep(0.1)
         self.assertEqual(self.conn.told, [])
