--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -9,18 +9,18 @@
 
 from bambootiller.app import Application
 from bambootiller.gateway.agent_updates import AgentUpdates
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.allocator_election import AllocatorElection
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.exchange import (
     Exchanger,
     Outgoing,
     ResidencyServicer,
     Update,
 )
-from bambootiller.gateway.knowledge import Knowledge, StoreWatcher
+from bambootiller.gateway.gateway_state import GatewayState, StoreWatcher
 from bambootiller.gateway.meters import Meters
 from bambootiller.gateway.ports import Engine, Platform, ReportFailed
 from bambootiller.gateway.quarantine import Quarantine
-from bambootiller.gateway.quota_allocation import QuotaAllocation
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller.gateway.stall_monitor import StallMonitor
 from bambootiller.gateway.store_permit_holder import StorePermitHolder
@@ -91,19 +91,19 @@
         self._events = events
         self._wake = asyncio.Event()
         self._stall_monitor = StallMonitor(app, events)
-        self._knowledge = Knowledge(platform.directory, events, app.now)
+        self._gateway_state = GatewayState(platform.directory, events, app.now)
         running_time = self._stall_monitor.running_time
         self._exchanger = Exchanger(
-            app.instance, self._knowledge, events, app.channels, running_time
+            app.instance, self._gateway_state, events, app.channels, running_time
         )
         self._quarantine = Quarantine(
-            self._knowledge, events, app.now, self._exchanger.poke
+            self._gateway_state, events, app.now, self._exchanger.poke
         )
         self._updates = AgentUpdates(
             self._exchanger, events, app.now, self._load_requested, self._quarantine
         )
         self._server_limits = ServerLimits(events, app.now, self._exchanger.poke)
-        self._quotas = QuotaAllocation(
+        self._quotas = AllocatorElection(
             app,
             platform.kv,
             events,
@@ -138,10 +138,10 @@
         """Follow the store, get a fencing token, and look after the engine."""
         app = self._app
         self._stall_monitor.start()
-        self._knowledge.on_config(self._configured)
+        self._gateway_state.on_config(self._configured)
         watcher = StoreWatcher(
             self._platform.kv,
-            self._knowledge,
+            self._gateway_state,
             self._events,
             app.now,
             self._stall_monitor.running_time_at,
@@ -154,7 +154,7 @@
         app.spawn("store turn", self._permit_holder.recover())
         app.spawn("engine", self._manage_engine())
         self._quarantine.start(app.timers, app.now())
-        self._server_limits.start(app.timers, app.now(), self._knowledge.fleet)
+        self._server_limits.start(app.timers, app.now(), self._gateway_state.fleet)
         self._events.emit(lines.Started("agent", app.settings.zone))
 
     async def drain(self, seconds: float) -> None:
@@ -322,7 +322,7 @@
     def _is_unlisted(self) -> bool:
         """Whether the registry, as far as it is known here, lists the engine no
         more."""
-        fleet = self._knowledge.fleet
+        fleet = self._gateway_state.fleet
         return (
             any(True for _ in fleet) and registration_at(fleet, self._address) is None
         )
@@ -334,7 +334,7 @@
         self._permit_holder.release_if_unused(self._reported_at, in_progress)
 
     def _identify(self, report: EngineReport) -> EngineReport | None:
-        listed = registration_at(self._knowledge.fleet, self._address)
+        listed = registration_at(self._gateway_state.fleet, self._address)
         return with_identity(report, listed)
 
     def _process_report(self, report: EngineReport) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/agent_updates.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent_updates.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from bambootiller.gateway import message_codec
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.exchange import UPDATE_INTERVAL_S, Exchanger, Outgoing, Update
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller_core.gateway.demand_collection import planners
--- a/packages/bambootiller/src/bambootiller/gateway/allowances.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_client.py
@@ -69,12 +69,12 @@
     """One limit at this entry.
 
     ``room_in_s`` is what the last answer said, ``next_in_s`` how much later it lets in
-    one call after the other; until ``dry_until`` nothing is asked.
+    one call after the other; until ``backoff_until`` nothing is asked.
     """
 
     account: QuotaAccount = field(default_factory=QuotaAccount)
     waiters: deque[_Waiter] = field(default_factory=deque)
-    dry_until: float = float("-inf")
+    backoff_until: float = float("-inf")
     room_in_s: float = 0.0
     next_in_s: float = 0.0
     told_demand: float = 0.0
@@ -88,7 +88,7 @@
     pause_s: float
 
 
-class Allowances:
+class AllocatorClient:
     """The accounts of all limits at one entry, by the names of the limits.
 
     ``is_open`` tells whether a stream still lives.
@@ -198,20 +198,20 @@
         """How much time lies between two calls that are let in, as told last."""
         return self._book(name).next_in_s
 
-    def dry_s(self, name: str, cost: float) -> float:
+    def backoff_left_s(self, name: str, cost: float) -> float:
         """For how long there is no use in asking for so much. Seconds."""
         limit, book = self._limits.get(name), self._books.get(name)
         if limit is None or book is None:
             return 0.0
         now = self.clock()
-        if now >= book.dry_until or book.account.available(now, limit) >= cost:
+        if now >= book.backoff_until or book.account.available(now, limit) >= cost:
             return 0.0
-        return book.dry_until - now
+        return book.backoff_until - now
 
     def pause(self, name: str, seconds: float) -> None:
         """Don't ask again for so long."""
         book = self._book(name)
-        book.dry_until = max(book.dry_until, self.clock() + seconds)
+        book.backoff_until = max(book.backoff_until, self.clock() + seconds)
 
     def record_demand(self, name: str, cost: float) -> None:
         """A call of that cost has come."""
@@ -228,7 +228,7 @@
         charge = None if book.waiters else book.account.take(now, limit, cost)
         if charge is not None:
             return charge
-        if now < book.dry_until:
+        if now < book.backoff_until:
             return Shortage.NO_ROOM
         return await self._wait(book, cost, wait_s)
 
@@ -244,7 +244,7 @@
             book.account.refund(self.clock(), limit, charge)
             self._look(book, limit)
 
-    def ran_again(self, name: str, cost: float) -> None:
+    def charge_retry(self, name: str, cost: float) -> None:
         """A call is sent once more though it may have run."""
         book, limit = self._books.get(name), self._limits.get(name)
         if book is not None and limit is not None:
@@ -369,7 +369,7 @@
             return grant.room_in_s
         book.next_in_s = grant.room_in_s / len(book.waiters)
         pause_s = max(ROOM_S, min(book.next_in_s, self._pauses.get(name, ROOM_S)))
-        book.dry_until = now + pause_s
+        book.backoff_until = now + pause_s
         for waiter in book.waiters:
             _decide(waiter, None)
         book.waiters.clear()
--- a/packages/bambootiller/src/bambootiller/gateway/quota_allocation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
@@ -17,7 +17,7 @@
 from bambootiller.app import Application
 from bambootiller.gateway import message_codec
 from bambootiller.gateway.boot_clock import boot_now
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller_core.gateway import quota_record
@@ -52,7 +52,7 @@
 RETRY_S = 0.4
 
 
-class QuotaAllocation:
+class AllocatorElection:
     """Lets an agent allocate quotas.
 
     ``poke`` has all peers told soon, ``has_live_entry`` tells whether any entry has
@@ -60,7 +60,7 @@
 
     Example::
 
-        allocation = QuotaAllocation(
+        allocation = AllocatorElection(
             app, kv, events, terms, exchanger.poke, hears, named
         )
         allocation.configured(config)
--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -106,7 +106,7 @@
         """Send the call, to be resumed after the last event that was forwarded."""
         context, call = self._context, self._call
         if self._progress.may_have_run:
-            context.quotas.ran_again(call)
+            context.quotas.charge_retry(call)
         headers = context.dialect.request_headers(
             self._incoming, call, backend.instance, self.resume_after()
         )
@@ -169,7 +169,7 @@
         elif limit is not None:
             limits.named(backend, limit)
         elif answer_kind is AnswerKind.ANSWER and 200 <= head.status < 300:
-            limits.named_none(backend, attempt.sent_at_clock)
+            limits.record_no_limit(backend, attempt.sent_at_clock)
 
     def lost(self, attempt: Attempt, exc: ConnectionLost) -> None:
         """Record that the answer to an attempt was lost, and possibly its run."""
--- a/packages/bambootiller/src/bambootiller/gateway/customer_audit.py
+++ b/packages/bambootiller/src/bambootiller/gateway/customer_audit.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller_core.gateway.config import GatewayConfig
 from bambootiller_core.gateway.log_lines import (
     CustomerKeysChanged,
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection, Mapping
 
 from bambootiller.app import Application
-from bambootiller.gateway.knowledge import Knowledge
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.load_requester import LoadRequester
 from bambootiller.gateway.plan_scheduler import PlanScheduler, pause_s
 from bambootiller_core.gateway.adapter_prefetch import AdapterPrefetch
@@ -56,13 +56,13 @@
     def __init__(
         self,
         app: Application,
-        knowledge: Knowledge,
+        gateway_state: GatewayState,
         load_request: Callable[[Backend, LoadRequest], object],
         emit: Callable[[LogLine], None] = lambda line: None,
         admits: Callable[[str], bool] = lambda model: True,
     ) -> None:
         self._app = app
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._request_load = load_request
         self._emit = emit
         self._admits = admits
@@ -71,7 +71,7 @@
         self._demand_trackers: dict[str, DemandTracker] = {}
         self._own: dict[str, dict[str, Demand]] = {}
         self._load_requester = LoadRequester(
-            app.instance, knowledge.fleet, lambda: self.entries, load_request, emit
+            app.instance, gateway_state.fleet, lambda: self.entries, load_request, emit
         )
         self._totals = CollectedDemand()
         self._plans: dict[str, dict[str, PlannedLoad]] = {}
@@ -89,7 +89,7 @@
             lambda: not all(
                 demand.is_idle for demand in self._demand_trackers.values()
             ),
-            lambda: knowledge.changed.count,
+            lambda: gateway_state.changed.count,
         )
 
     def start(self, now: float) -> None:
@@ -115,7 +115,7 @@
         due = self._adapter_prefetch.get(service)
         if due is None:
             return
-        backends = self._knowledge.fleet.of_service(service)
+        backends = self._gateway_state.fleet.of_service(service)
         for load_request in due.load_requests(now, backend, backends):
             self._request_load(backend, load_request)
 
@@ -162,7 +162,7 @@
         spec = engine.models.get(model) if engine is not None else None
         if spec is None:
             return ()
-        fleet, now = self._knowledge.fleet, self._app.now()
+        fleet, now = self._gateway_state.fleet, self._app.now()
         return copies_seen(now, fleet, service, spec, engine.memory_mb)
 
     def store_loads_under_way(self, service: str) -> int:
@@ -171,7 +171,7 @@
             backend.engine is not None
             and backend.engine.loading is not None
             and backend.engine.loading.from_store
-            for backend in self._knowledge.fleet.of_service(service)
+            for backend in self._gateway_state.fleet.of_service(service)
         )
 
     def all_store_loads_under_way(self) -> int:
@@ -208,7 +208,7 @@
         self._planned_at = now
         pairs = 0
         for service in self._engine_services():
-            backends = self._knowledge.fleet.of_service(service.name)
+            backends = self._gateway_state.fleet.of_service(service.name)
             pairs += len(backends) * len(service.engine.models)
             concurrency = self._observe(now, service)
             demands = self._refresh_demands(service.name)
@@ -273,7 +273,7 @@
         now = self._app.now()
         holders: Counter[str] = Counter()
         copies: Counter[str] = Counter()
-        for backend in self._knowledge.fleet.of_service(service):
+        for backend in self._gateway_state.fleet.of_service(service):
             if backend.lost(now):
                 # Nobody is served there, and others mustn't make way for what it holds.
                 continue
@@ -365,11 +365,11 @@
 
     def _observe(self, now: float, service: ServiceSpec) -> StoreConcurrency:
         """Take a look at the loads under way, at engines that leave too."""
-        backends = self._knowledge.fleet.all_of_service(service.name)
+        backends = self._gateway_state.fleet.all_of_service(service.name)
         return self._store_concurrency.observe(now, service, backends)
 
     def _engine_services(self) -> list[ServiceSpec]:
-        config = self._knowledge.config
+        config = self._gateway_state.config
         services = config.services.values() if config is not None else ()
         return [service for service in services if service.engine is not None]
 
@@ -379,5 +379,5 @@
         """Whether copies of models can be at no engine that this entry hasn't heard of
         since it started."""
         look = self._discoveries.setdefault(service, InitialDiscovery())
-        quiet_s = self._knowledge.gather_s + LISTED_WITHIN_S
+        quiet_s = self._gateway_state.batch_delay_s + LISTED_WITHIN_S
         return look.is_complete(now, backends, quiet_s)
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -7,11 +7,14 @@
 
 from bambootiller.app import Application
 from bambootiller.gateway import message_codec
-from bambootiller.gateway.allowances import REVIEW_S as ALLOWANCES_REVIEW_S, Allowances
+from bambootiller.gateway.allocator_client import (
+    REVIEW_S as ALLOCATOR_REVIEW_INTERVAL_S,
+    AllocatorClient,
+)
 from bambootiller.gateway.engine_plans import EnginePlans
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.exchange import UPDATE_INTERVAL_S, Exchanger, Outgoing, Update
-from bambootiller.gateway.knowledge import Knowledge
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller.gateway.stream_reports import AgentReport, SentReport
@@ -45,24 +48,26 @@
     def __init__(
         self,
         app: Application,
-        knowledge: Knowledge,
+        gateway_state: GatewayState,
         exchanger: Exchanger,
         events: EventLog,
         agent_port: int,
-        allowances: Allowances,
+        allocator_client: AllocatorClient,
     ) -> None:
-        self._allowances = allowances
+        self._allocator_client = allocator_client
         self._app = app
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._exchanger = exchanger
         self._events = events
         self._agent_port = agent_port
         self._links: dict[str, _Link] = {}
         self._collectors: dict[str, list[str]] = {}
-        self.quarantine = Quarantine(knowledge, events, app.now, self._tell_collectors)
+        self.quarantine = Quarantine(
+            gateway_state, events, app.now, self._tell_collectors
+        )
         self.server_limits = ServerLimits(events, app.now, self._tell_limits)
         self.plans = EnginePlans(
-            app, knowledge, self.load_request, self._emit, self._admits_load
+            app, gateway_state, self.load_request, self._emit, self._admits_load
         )
         self._reached: list[tuple[str, bool, bool]] = []
 
@@ -73,10 +78,10 @@
         self._app.timers.every("figures", UPDATE_INTERVAL_S, now, self._tell)
         self.plans.start(now)
         self.quarantine.start(self._app.timers, now)
-        self.server_limits.start(self._app.timers, now, self._knowledge.fleet)
-        self._allowances.start(self._app.timers, now)
+        self.server_limits.start(self._app.timers, now, self._gateway_state.fleet)
+        self._allocator_client.start(self._app.timers, now)
         self._app.timers.every(
-            "allocator", ALLOWANCES_REVIEW_S, now, self._seek_allocator
+            "allocator", ALLOCATOR_REVIEW_INTERVAL_S, now, self._seek_allocator
         )
 
     def _emit(self, line: LogLine) -> None:
@@ -105,9 +110,9 @@
     def has_heard_collectors(self) -> bool:
         """Whether what all entries have to know has been heard, as far as there is
         somebody to hear it from."""
-        config, now = self._knowledge.config, self._app.now()
+        config, now = self._gateway_state.config, self._app.now()
         engines: dict[str, dict[str, Backend]] = {}
-        for backend in self._knowledge.fleet:
+        for backend in self._gateway_state.fleet:
             service = config.services.get(backend.registration.service)
             if service is not None and service.engine is not None:
                 by_host = engines.setdefault(service.name, {})
@@ -127,13 +132,13 @@
         self._links.clear()
 
     def _review(self, now: float) -> None:
-        for instance in self._knowledge.fleet.sweep(now):
+        for instance in self._gateway_state.fleet.sweep(now):
             self._events.emit(BackendRemoved(instance, "missing_after_outage"))
         wanted = {}
-        config = self._knowledge.config
+        config = self._gateway_state.config
         if config is None:
             return
-        for backend in self._knowledge.fleet:
+        for backend in self._gateway_state.fleet:
             service = config.services.get(backend.registration.service)
             if service is not None and service.engine is not None:
                 wanted[backend.registration.host] = backend
@@ -161,7 +166,7 @@
             words = outgoing.said
             if not isinstance(words, AgentReport) or words.state is None:
                 continue
-            backend = self._knowledge.fleet.get(words.state.instance)
+            backend = self._gateway_state.fleet.get(words.state.instance)
             if backend is None or backend.engine is words.state:
                 continue
             if now - outgoing.last_received_at < AGENT_TIMEOUT_S:
@@ -195,12 +200,12 @@
 
     def _tell_limits(self) -> None:
         self._tell_collectors()
-        allocator = self._allowances.allocator
+        allocator = self._allocator_client.allocator
         if allocator is not None:
             allocator.poke()
 
     def _seek_allocator(self, now: float) -> None:
-        if self._allowances.lacks_allocator:
+        if self._allocator_client.lacks_allocator:
             self._tell_collectors()
 
     def _collecting(self) -> set[str]:
@@ -210,12 +215,12 @@
     def _fill(self, host: str, update: Update, outgoing: Outgoing) -> None:
         if host in self._collecting():
             self.quarantine.fill(update, outgoing, own=True)
-            update.lacks_allocator = self._allowances.lacks_allocator
-        if host in self._collecting() or outgoing is self._allowances.allocator:
+            update.lacks_allocator = self._allocator_client.lacks_allocator
+        if host in self._collecting() or outgoing is self._allocator_client.allocator:
             self.server_limits.fill(update, outgoing, own=True)
-        self._allowances.fill(update, outgoing)
+        self._allocator_client.fill(update, outgoing)
         link = self._links.get(host)
-        backend = link and self._knowledge.fleet.get(link.instance)
+        backend = link and self._gateway_state.fleet.get(link.instance)
         if not backend:
             return
         if self._has_news(backend, outgoing):
@@ -230,7 +235,7 @@
         """Tell agents whose figures have moved."""
         for host, link in self._links.items():
             outgoing = self._exchanger.stream_to(self._address(host))
-            backend = self._knowledge.fleet.get(link.instance)
+            backend = self._gateway_state.fleet.get(link.instance)
             if outgoing is None or backend is None:
                 continue
             if self._has_news(backend, outgoing):
@@ -267,7 +272,7 @@
         if outgoing is not None:
             self.quarantine.take(update, outgoing)
             self.server_limits.take(update, outgoing)
-            self._allowances.take(update, outgoing)
+            self._allocator_client.take(update, outgoing)
         if update.collected:
             self.plans.changed(self._app.now())
         source = outgoing.peer if outgoing is not None else update.sender
@@ -281,7 +286,7 @@
             self.plans.entries = words.entries
         if words.state is None:
             return
-        fleet = self._knowledge.fleet
+        fleet = self._gateway_state.fleet
         backend = fleet.get(words.state.instance)
         if backend is not None and words.totals is not None:
             service, host = backend.registration.service, backend.registration.host
@@ -295,8 +300,8 @@
         wakes = wakes_waiting_calls(backend, words.state)
         if fleet.engine_reported(now, words.state) and is_news:
             if backend.replaced:
-                self._knowledge.note_restart(backend, source)
+                self._gateway_state.log_restart(backend, source)
             self.plans.changed(now)
             self.plans.engine_spoke(now, fleet.get(words.state.instance))
             if wakes:
-                self._knowledge.changed.notify()
+                self._gateway_state.changed.notify()
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -9,19 +9,19 @@
 from bambootiller import logs
 from bambootiller.app import Application
 from bambootiller.entry.httpserver import HttpServer
-from bambootiller.gateway.allowances import Allowances
+from bambootiller.gateway.allocator_client import AllocatorClient
 from bambootiller.gateway.customer_audit import CustomerAudit
 from bambootiller.gateway.engines import Engines
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.exchange import (
     Exchanger,
     Outgoing,
     ResidencyServicer,
     Update,
 )
+from bambootiller.gateway.gateway_state import GatewayState, StoreWatcher
 from bambootiller.gateway.http_front import HttpFront, pages
 from bambootiller.gateway.http_limits import HeadRefusal, limited_protocol
-from bambootiller.gateway.knowledge import Knowledge, StoreWatcher
 from bambootiller.gateway.meters import Meters
 from bambootiller.gateway.ports import Platform
 from bambootiller.gateway.quarantine_records import QuarantineRecords
@@ -87,30 +87,34 @@
         self._events = events
         self._stall_monitor = StallMonitor(app, events)
         running_time_at = self._stall_monitor.running_time_at
-        self.knowledge = Knowledge(platform.directory, events, app.now, running_time_at)
+        self.gateway_state = GatewayState(
+            platform.directory, events, app.now, running_time_at
+        )
         running_time = self._stall_monitor.running_time
         self._exchanger = Exchanger(
-            app.instance, self.knowledge, events, app.channels, running_time
+            app.instance, self.gateway_state, events, app.channels, running_time
         )
         started_at = app.now()
-        allowances = Allowances(
+        allocator_client = AllocatorClient(
             app.instance,
             self._exchanger.is_open,
             lambda: app.now() - started_at < STARTUP_GRACE_S,
         )
-        self._quotas = Quotas(self.knowledge, lambda: platform.bounds.quota, allowances)
+        self._quotas = Quotas(
+            self.gateway_state, lambda: platform.bounds.quota, allocator_client
+        )
         self._customers = CustomerAudit(events)
         self._engines = Engines(
             app,
-            self.knowledge,
+            self.gateway_state,
             self._exchanger,
             events,
             addresses.agent_port,
-            allowances,
+            allocator_client,
         )
         limits = self._engines.server_limits
         self._context = RelayContext(
-            self.knowledge,
+            self.gateway_state,
             self._engines,
             platform.dialect,
             events,
@@ -122,7 +126,7 @@
             self._engines.quarantine,
             self._quotas,
             limits,
-            ServerAdmission(limits, allowances, app.now),
+            ServerAdmission(limits, allocator_client, app.now),
         )
         self._records = QuarantineRecords(
             app, platform.kv, self._engines.quarantine, events
@@ -166,7 +170,7 @@
         self._stall_monitor.start()
         watcher = StoreWatcher(
             self._platform.kv,
-            self.knowledge,
+            self.gateway_state,
             self._events,
             app.now,
             self._stall_monitor.running_time_at,
@@ -180,7 +184,7 @@
         app.http_port = self._caller_server.port
         self._engines.start()
         self._quotas.start(app.timers, app.now())
-        self.knowledge.on_config(self._customers.configured)
+        self.gateway_state.on_config(self._customers.configured)
         self._records.start()
         app.timers.every(
             "gateway sweep", SWEEP_INTERVAL_S, app.now(), self._context.sweep
@@ -202,11 +206,11 @@
         self._meters.shares(self._quotas.shares())
 
     def _limits(self) -> CallLimits:
-        config = self.knowledge.config
+        config = self.gateway_state.config
         return config.limits if config is not None else CallLimits()
 
     def _log_head_refusal(self, refusal: HeadRefusal) -> None:
-        config = self.knowledge.config
+        config = self.gateway_state.config
         line = lines.Refused(
             request=None,
             route=None,
@@ -234,11 +238,11 @@
 
     def is_ready(self) -> bool:
         """Whether the load balancer may send new connections here."""
-        if self.knowledge.config is None or self._leaving:
+        if self.gateway_state.config is None or self._leaving:
             return False
         if not self._overload.is_ready:
             return False
-        if not any(True for _ in self.knowledge.fleet):
+        if not any(True for _ in self.gateway_state.fleet):
             return False
         # Without the quarantine state it would forward requests that other entries have
         # found to crash engines.
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -14,8 +14,8 @@
 
 import grpc
 
-from bambootiller.gateway.eventlog import EventLog
-from bambootiller.gateway.knowledge import Knowledge
+from bambootiller.gateway.event_log import EventLog
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.silence import RunningTimeSource, SilenceDetector
 from bambootiller.rpc import bambootiller_pb2 as pb, bambootiller_pb2_grpc as api
 from bambootiller.rpc.channels import Channels
@@ -70,7 +70,7 @@
     def __init__(
         self,
         sender: str,
-        knowledge: Knowledge,
+        gateway_state: GatewayState,
         fill: FillUpdate,
         rank: Callable[[], int],
         heartbeat_s: float,
@@ -78,7 +78,7 @@
     ) -> None:
         self._sender = sender
         self.to_entry = to_entry
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._documents = PeerQueue()
         self._fill = fill
         self._rank = rank
@@ -96,15 +96,17 @@
         self._timer: asyncio.TimerHandle | None = None
         self._sent_at = float("-inf")
         now = self._loop.time()
-        for change in knowledge.documents():
+        for change in gateway_state.documents():
             self._documents.add(now, change, rank=0)
 
     def document(self, change: Changed) -> None:
         """The other side may lack a document."""
         rank = self._rank()
         self_update_grace_s = SELF_UPDATE_GRACE_S
-        if not self._knowledge.is_configuration(change.record.key):
-            self_update_grace_s = self._knowledge.gather_s + AGENT_REPORT_GRACE_S
+        if not self._gateway_state.is_configuration(change.record.key):
+            self_update_grace_s = (
+                self._gateway_state.batch_delay_s + AGENT_REPORT_GRACE_S
+            )
         self._documents.add(self._loop.time(), change, rank, self_update_grace_s)
         if rank:
             self._arm()
@@ -187,17 +189,20 @@
         for change in self._documents.due(self._loop.time()):
             record = change.record
             peer_has = self._documents.peer_revision(record.key)
-            self._knowledge.passed_on(record, self.peer, peer_has)
+            self._gateway_state.passed_on(record, self.peer, peer_has)
             update.documents.add(
                 key=record.key,
                 revision=record.mod_revision,
                 value=record.value,
                 deleted=change.deleted,
             )
-        completeness = (self._knowledge.known_version, self._documents.is_empty)
+        completeness = (
+            self._gateway_state.completeness_version,
+            self._documents.is_empty,
+        )
         if self.told.get("knows") != completeness:
             self.told["knows"] = completeness
-            update.complete.update(self._knowledge.complete)
+            update.complete.update(self._gateway_state.complete)
             update.whole = self._documents.is_empty
         self._fill(update, self)
         return update
@@ -232,21 +237,21 @@
     def __init__(
         self,
         name: str,
-        knowledge: Knowledge,
+        gateway_state: GatewayState,
         events: EventLog,
         channels: Channels,
         running_time: RunningTimeSource,
     ) -> None:
         self._name = name
         self._running_time = running_time
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._events = events
         self._channels = channels
         self._outgoing: set[Outgoing] = set()
         self._by_address: dict[str, Outgoing] = {}
-        knowledge.on_document(self._document)
-        knowledge.on_complete(self.soon)
-        knowledge.on_revision(self._revision)
+        gateway_state.on_document(self._document)
+        gateway_state.on_complete(self.soon)
+        gateway_state.on_revision(self._revision)
 
     def poke(self) -> None:
         """Figures have changed; tell all peers soon."""
@@ -317,7 +322,7 @@
             return 1 if to_entry else agent_rank(self._name, outgoing.peer)
 
         outgoing = Outgoing(
-            self._name, self._knowledge, fill, rank, SERVER_HEARTBEAT_S, to_entry
+            self._name, self._gateway_state, fill, rank, SERVER_HEARTBEAT_S, to_entry
         )
         self._outgoing.add(outgoing)
         reader = asyncio.create_task(self._read(requests, received, outgoing))
@@ -339,7 +344,7 @@
         to_entry: bool,
     ) -> bool:
         outgoing = Outgoing(
-            self._name, self._knowledge, fill, rank, CLIENT_HEARTBEAT_S, to_entry
+            self._name, self._gateway_state, fill, rank, CLIENT_HEARTBEAT_S, to_entry
         )
         self._outgoing.add(outgoing)
         self._by_address[address] = outgoing
@@ -389,9 +394,9 @@
         for document in update.documents:
             record = Record(document.key, document.value, document.revision)
             change = Changed(record, document.deleted)
-            self._knowledge.learnt(change, outgoing.peer)
+            self._gateway_state.apply_document(change, outgoing.peer)
         if update.whole:
-            self._knowledge.has_all(update.complete)
+            self._gateway_state.mark_complete(update.complete)
         received(update, outgoing)
 
     def _document(self, change: Changed) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/knowledge.py
+++ b/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.ports import Bounds, Directory, Unreadable
 from bambootiller.gateway.registry_faults import MOST_DETAIL, RegistryFaults
 from bambootiller.gateway.stall_monitor import StallCheck
@@ -35,17 +35,17 @@
 #: it are so much later at most. Backend servers write to the registry about once a
 #: second each, and without a pause every write is a call of the store by every watcher;
 #: with 2 s and this, less than 2 calls a second remain.
-GATHER_SHARE = 0.3
+BATCH_DELAY_FRACTION = 0.3
 #: The pause shortly after the store's return: what it lost is written anew within two
 #: seconds, and taken for gone 0.3 s later (``fleet.EXPIRY_GRACE_S``). Seconds.
-RETURNED_GATHER_S = 0.25
+RECOVERY_BATCH_DELAY_S = 0.25
 #: How often a watcher that isn't wanted looks whether it is. Seconds.
 IDLE_S = 0.5
 
 Listener = Callable[[Changed], None]
 
 
-class Knowledge:
+class GatewayState:
     """The configuration in force, and the backend servers."""
 
     def __init__(
@@ -59,14 +59,14 @@
         self.fleet = Fleet(running_time) if running_time is not None else Fleet()
         self.changed = Changes()
         #: The pause between two reads of the registry, here as elsewhere. Seconds.
-        self.gather_s = GATHER_SHARE * Bounds().leaving_s
+        self.batch_delay_s = BATCH_DELAY_FRACTION * Bounds().leaving_s
         self._directory = directory
         self._events = events
         self._clock = clock
         #: Up to which revision everything is known, by the part of the store.
         self.complete: dict[str, int] = {}
         #: How often that has changed.
-        self.known_version = 0
+        self.completeness_version = 0
         self._records: dict[str, Changed] = {}
         self._registry = RegistryFaults(self.fleet, events)
         self._listeners: list[Listener] = []
@@ -108,10 +108,10 @@
         """All documents held, removals of the recent past included."""
         return list(self._records.values())
 
-    def learnt(self, change: Changed, source: str) -> bool:
+    def apply_document(self, change: Changed, source: str) -> bool:
         """Take over a document, unless it is older than what is held."""
         record = change.record
-        if not self._registry.can_pass_on(record, source):
+        if not self._registry.can_forward(record, source):
             return False
         held = self._records.get(record.key)
         if held is not None and held.record.mod_revision >= record.mod_revision:
@@ -139,14 +139,14 @@
         keys = set()
         for record in found.records:
             keys.add(record.key)
-            self.learnt(Changed(record), source)
+            self.apply_document(Changed(record), source)
         for key, held in list(self._records.items()):
             missing = key.startswith(prefix) and key not in keys and not held.deleted
             if missing and held.record.mod_revision <= found.revision:
                 gone = Record(key, b"", found.revision)
-                self.learnt(Changed(gone, deleted=True), source)
+                self.apply_document(Changed(gone, deleted=True), source)
 
-    def has_all(self, complete: Mapping[str, int]) -> None:
+    def mark_complete(self, complete: Mapping[str, int]) -> None:
         """Everything up to these revisions has been learnt, by the part of the store: a
         prefix of keys, or one key."""
         news = {
@@ -157,7 +157,7 @@
         if not news:
             return
         self.complete.update(news)
-        self.known_version += 1
+        self.completeness_version += 1
         for listener in self._revision_listeners:
             listener()
         if not self._config_came:
@@ -189,7 +189,7 @@
             self._configured(config, record, source)
             # Told to peers by its key: who has it from a peer, and not from the store,
             # doesn't know that it has all up to there, and would be sent it by each.
-            self.has_all({record.key: record.mod_revision})
+            self.mark_complete({record.key: record.mod_revision})
             return True
         registration = self._directory.registration(record)
         if isinstance(registration, Unreadable):
@@ -230,7 +230,7 @@
         stood = self._standing(registration.instance)
         taken = self.fleet.registry_changed(self._clock(), registration)
         if held is not None and held.replaced:
-            self.note_restart(held, source)
+            self.log_restart(held, source)
         if not taken:
             # Of an earlier start, or overtaken: a peer that hears of this entry less
             # often than the store's readers would take it for the latest.
@@ -255,7 +255,7 @@
             self.changed.notify()
         return is_news
 
-    def note_restart(self, before: Backend, source: str) -> None:
+    def log_restart(self, before: Backend, source: str) -> None:
         """Say that another start has followed ``before``, known a moment ago."""
         now_there = self.fleet.get(before.instance)
         line = lines.BackendRestarted(
@@ -313,12 +313,12 @@
 
 
 class StoreWatcher:
-    """Keeps :class:`Knowledge` up to date from the store, one prefix at a time."""
+    """Keeps :class:`GatewayState` up to date from the store, one prefix at a time."""
 
     def __init__(
         self,
         kv: KeyValue,
-        knowledge: Knowledge,
+        gateway_state: GatewayState,
         events: EventLog,
         clock: Callable[[], float],
         running_time: Callable[[float], float] = lambda now: now,
@@ -326,7 +326,7 @@
     ) -> None:
         self._bounds = bounds
         self._kv = kv
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._events = events
         self._clock = clock
         self._own = StallCheck(clock, running_time)
@@ -354,8 +354,8 @@
                 continue
             pause = RETRY_S
             self._regained(prefix)
-            self._knowledge.listed(prefix, found, "store")
-            self._knowledge.has_all({prefix: found.revision})
+            self._gateway_state.listed(prefix, found, "store")
+            self._gateway_state.mark_complete({prefix: found.revision})
             await self._watch(prefix, found.revision + 1, wanted)
 
     async def _watch(
@@ -371,8 +371,8 @@
                     self._lost(prefix, batch.detail)
                 return
             for change in batch:
-                self._knowledge.learnt(change, "store")
-                self._knowledge.has_all({prefix: change.record.mod_revision})
+                self._gateway_state.apply_document(change, "store")
+                self._gateway_state.mark_complete({prefix: change.record.mod_revision})
             if not wanted():
                 return
             await asyncio.sleep(self._pause())
@@ -381,10 +381,10 @@
     def _pause(self) -> float:
         """The pause before the next read; live backend servers that come back after the
         store's return would be dropped if they were read of later than that."""
-        pause = GATHER_SHARE * self._bounds().leaving_s
-        self._knowledge.gather_s = pause
+        pause = BATCH_DELAY_FRACTION * self._bounds().leaving_s
+        self._gateway_state.batch_delay_s = pause
         if self._clock() - self._returned_at < EXPIRY_GRACE_S:
-            return min(pause, RETURNED_GATHER_S)
+            return min(pause, RECOVERY_BATCH_DELAY_S)
         return pause
 
     def _lost(self, prefix: str, detail: str) -> None:
@@ -396,6 +396,6 @@
         since = self._away.pop(prefix, None)
         if since is not None:
             self._returned_at = now = self._clock()
-            self._knowledge.fleet.store_returned(now)
+            self._gateway_state.fleet.store_returned(now)
             away_ms = round((now - since) * 1000)
             self._events.emit(lines.DependencyRegained("store", away_ms))
--- a/packages/bambootiller/src/bambootiller/gateway/http_front.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_front.py
@@ -100,7 +100,7 @@
         context = self._context
         arrived = context.clock()
         incoming = context.dialect.read(scope)
-        config = context.knowledge.config
+        config = context.gateway_state.config
         if config is None:
             refusal = Refusal(RefusalReason.NO_CONFIGURATION, DEFAULT_RETRY_AFTER_S)
             await self._refuse(send, incoming, refusal, arrived)
@@ -116,7 +116,7 @@
             await self._refuse(send, incoming, refusal, arrived)
             return
         # Read again: the configuration may have changed while the body was received.
-        config = context.knowledge.config
+        config = context.gateway_state.config
         call = self._build_call(config, incoming, arrived, body)
         if isinstance(call, Refusal):
             await self._refuse(send, incoming, call, arrived)
@@ -220,7 +220,7 @@
     ) -> None:
         context = self._context
         parsed = incoming if isinstance(incoming, Incoming) else None
-        config = context.knowledge.config
+        config = context.gateway_state.config
         line = Refused(
             request=parsed.request_id if parsed else None,
             route=call.route.name if call else None,
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -126,7 +126,7 @@
         ]
 
     def _in_service(self) -> list[Backend]:
-        fleet, now = self._context.knowledge.fleet, self._context.clock()
+        fleet, now = self._context.gateway_state.fleet, self._context.clock()
         backends = fleet.of_service(self._call.service)
         return [backend for backend in backends if not backend.lost(now)]
 
@@ -206,7 +206,7 @@
             while found is None:
                 found = self._try_engines(began)
                 if found is None:
-                    await context.knowledge.changed.wait(RECHECK_S)
+                    await context.gateway_state.changed.wait(RECHECK_S)
             return found
         finally:
             demand.end_waiting(began, ask.model, self._weight, due)
@@ -332,7 +332,7 @@
                 unserved=round(demand.unserved, 1),
                 unserved_s=round(demand.unserved_s, 1),
             )
-        backend = self._context.knowledge.fleet.get(planned.instance)
+        backend = self._context.gateway_state.fleet.get(planned.instance)
         age_s = None if backend is None else backend.agent_silence_s(now)
         return PlanSnapshot(
             ready_in_s=round(planned.ready_in_s, 2),
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Iterable
 
 from bambootiller.gateway import message_codec
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.exchange import Outgoing, Update
-from bambootiller.gateway.knowledge import Knowledge
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.crash_evidence import crash_verdict
 from bambootiller_core.gateway.crash_ledger import (
@@ -58,12 +58,12 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        gateway_state: GatewayState,
         events: EventLog,
         clock: Callable[[], float],
         poke: Callable[[], None],
     ) -> None:
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._events = events
         self._clock = clock
         self._poke = poke
@@ -179,7 +179,7 @@
         """Look again at what became of backend servers where runs were lost."""
         if self._ledger.is_empty:
             return
-        fleet = self._knowledge.fleet
+        fleet = self._gateway_state.fleet
 
         def verdict(run: LostRun, before: CrashVerdict) -> CrashVerdict:
             return crash_verdict(now, run, before, fleet)
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine_records.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine_records.py
@@ -11,8 +11,8 @@
 import time
 
 from bambootiller.app import Application
-from bambootiller.gateway.eventlog import EventLog
-from bambootiller.gateway.knowledge import RETRY_MAX_S
+from bambootiller.gateway.event_log import EventLog
+from bambootiller.gateway.gateway_state import RETRY_MAX_S
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller_core.gateway import quarantine_record
 from bambootiller_core.gateway.crash_ledger import LostRun
--- a/packages/bambootiller/src/bambootiller/gateway/quotas.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quotas.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from bambootiller.gateway import message_codec
-from bambootiller.gateway.allowances import Allowances, Shortage
-from bambootiller.gateway.knowledge import Knowledge
+from bambootiller.gateway.allocator_client import AllocatorClient, Shortage
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller_core.gateway.attempts import (
     DEFAULT_RETRY_AFTER_S,
     Refusal,
@@ -31,9 +31,9 @@
     """A call that was let in; closed when its end is known."""
 
     def __init__(
-        self, allowances: Allowances, name: str, charge: QuotaCharge | None
+        self, allocator_client: AllocatorClient, name: str, charge: QuotaCharge | None
     ) -> None:
-        self._allowances = allowances
+        self._allocator_client = allocator_client
         self._name = name
         self._charge = charge
 
@@ -41,7 +41,7 @@
         """The call has ended; what it cost is given back if it never ran."""
         charge, self._charge = self._charge, None
         if charge is not None:
-            self._allowances.ended(self._name, charge, may_have_run)
+            self._allocator_client.ended(self._name, charge, may_have_run)
 
 
 class Quotas:
@@ -56,55 +56,55 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        gateway_state: GatewayState,
         tolerance: Callable[[], QuotaTolerance],
-        allowances: Allowances,
+        allocator_client: AllocatorClient,
     ) -> None:
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._tolerance = tolerance
-        self._allowances = allowances
+        self._allocator_client = allocator_client
         self._limited_by = tolerance()
 
     def start(self, timers: TimerService, now: float) -> None:
         """Follow the configuration and the settings."""
-        self._knowledge.on_config(self._configured)
+        self._gateway_state.on_config(self._configured)
         timers.every("quotas", REVIEW_S, now, lambda _: self.review())
 
     def shares(self) -> dict[str, float]:
         """The parts of the customers' limits that this entry holds."""
-        return self._allowances.shares(KIND)
+        return self._allocator_client.shares(KIND)
 
     def _configured(self, config: GatewayConfig) -> None:
         self._limited_by = self._tolerance()
         limits = limits_of(config.customers, self._limited_by)
-        self._allowances.limited(KIND, limits)
+        self._allocator_client.limited(KIND, limits)
 
     async def admit(self, call: Call) -> Admission | Refusal:
         """Let the call in, or refuse it."""
-        allowances = self._allowances
+        allocator_client = self._allocator_client
         name = call.customer.name if call.customer is not None else ""
-        if allowances.limit(name) is None:
-            return Admission(allowances, name, None)
-        allowances.record_demand(name, call.cost)
-        found = await allowances.obtain(name, call.cost)
+        if allocator_client.limit(name) is None:
+            return Admission(allocator_client, name, None)
+        allocator_client.record_demand(name, call.cost)
+        found = await allocator_client.obtain(name, call.cost)
         if isinstance(found, QuotaCharge):
-            return Admission(allowances, name, found)
+            return Admission(allocator_client, name, found)
         return self._refusal(call, found)
 
     def _refusal(self, call: Call, shortage: Shortage) -> Refusal:
-        allowances, quota = self._allowances, call.customer.quota
-        name, limit = call.customer.name, allowances.limit(call.customer.name)
-        account, now = allowances.account(name), allowances.clock()
+        allocator_client, quota = self._allocator_client, call.customer.quota
+        name, limit = call.customer.name, allocator_client.limit(call.customer.name)
+        account, now = allocator_client.account(name), allocator_client.clock()
         reason, come_back_s = RefusalReason.QUOTA_UNKNOWN, UNKNOWN_S
         if shortage is Shortage.NO_ROOM and limit is not None:
             own_s = account.room_in_s(now, limit, call.cost)
-            told_s = allowances.room_in_s(name) or math.inf
+            told_s = allocator_client.room_in_s(name) or math.inf
             room_in_s = max(DEFAULT_RETRY_AFTER_S, min(own_s, told_s))
             # All of the limit may be held by entries that the allocator doesn't hear
             # yet.
             if room_in_s < message_codec.MAX_ROOM_WAIT_S:
                 reason, come_back_s = RefusalReason.OVER_QUOTA, room_in_s
-        age_s = now - allowances.last_received_at
+        age_s = now - allocator_client.last_received_at
         available = account.available(now, limit) if limit is not None else 0.0
         seen = QuotaSnapshot(
             unit=quota.unit.value,
@@ -114,17 +114,20 @@
             demand_per_s=round(account.demand_per_s(now), 1),
             share=round(account.share, 4),
             available=round(available, 1),
-            term=allowances.term,
+            term=allocator_client.term,
             answer_age_ms=None if math.isinf(age_s) else round(age_s * 1000),
         )
         return Refusal(reason, come_back_s, quota=seen)
 
-    def ran_again(self, call: Call) -> None:
+    def charge_retry(self, call: Call) -> None:
         """A call is sent once more though it may have run."""
         if call.customer is not None:
-            self._allowances.ran_again(call.customer.name, call.cost)
+            self._allocator_client.charge_retry(call.customer.name, call.cost)
 
     def review(self) -> None:
         """Take over settings that have changed."""
-        if self._tolerance() != self._limited_by and self._knowledge.config is not None:
-            self._configured(self._knowledge.config)
+        if (
+            self._tolerance() != self._limited_by
+            and self._gateway_state.config is not None
+        ):
+            self._configured(self._gateway_state.config)
--- a/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
+++ b/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.ports import Unreadable
 from bambootiller_core.gateway import log_lines as lines
 from bambootiller_core.gateway.fleet import Fleet
@@ -30,7 +30,7 @@
         self._events = events
         self._said: dict[str, str] = {}
 
-    def can_pass_on(self, record: Record, source: str) -> bool:
+    def can_forward(self, record: Record, source: str) -> bool:
         """Whether messages to peers can carry the record's key.
 
         One that can't ends the stream to each peer with an exception, and again when
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -8,8 +8,8 @@
 
 from bambootiller.gateway.connection_pool import ConnectionPool
 from bambootiller.gateway.engines import Engines
-from bambootiller.gateway.eventlog import EventLog
-from bambootiller.gateway.knowledge import Knowledge
+from bambootiller.gateway.event_log import EventLog
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.ports import Dialect
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller.gateway.quotas import Quotas
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        gateway_state: GatewayState,
         engines: Engines,
         dialect: Dialect,
         events: EventLog,
@@ -77,7 +77,7 @@
         self.server_admission = server_admission
         self.quarantine = quarantine
         self.quotas = quotas
-        self.knowledge = knowledge
+        self.gateway_state = gateway_state
         self.engines = engines
         self.dialect = dialect
         self.events = events
@@ -133,7 +133,7 @@
     def key_refusal(self, call: Call) -> Refusal | None:
         """Why an admitted call may no longer be sent: the configuration has changed and
         its key has been removed or belongs to another customer."""
-        config = self.knowledge.config
+        config = self.gateway_state.config
         if config is None or config.customers is None or call.customer is None:
             return None
         holder = config.customers.holder(call.key)
@@ -168,7 +168,7 @@
     def sweep(self, now: float) -> None:
         """Close expired idle connections and drop the state of backend servers that
         have ended."""
-        is_current = self.knowledge.fleet.is_current
+        is_current = self.gateway_state.fleet.is_current
         for server, pool in list(self._pools.items()):
             pool.sweep(now)
             if not is_current(server):
@@ -178,7 +178,7 @@
             state.health.forget_ended(is_current)
 
     def _connection_limit(self, backend: Backend) -> int:
-        config = self.knowledge.config
+        config = self.gateway_state.config
         service = config.services.get(backend.registration.service) if config else None
         if service is None or service.max_connections is None:
             return DEFAULT_MAX_CONNECTIONS
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -183,7 +183,7 @@
         self._context.events.emit(line)
 
     def _config_version(self) -> int:
-        config = self._context.knowledge.config
+        config = self._context.gateway_state.config
         return config.version if config is not None else 0
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -2,7 +2,7 @@
 
 Each call to such a backend server needs a permit, which stands for one call of the
 limit. The allocator divides the limit between the entries; see
-:mod:`bambootiller.gateway.allowances`. A call that gets no permit goes to another
+:mod:`bambootiller.gateway.allocator_client`. A call that gets no permit goes to another
 backend server, waits if a permit is expected in time, or is refused at once.
 """
 
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from bambootiller.gateway.allowances import Allowances, Shortage
+from bambootiller.gateway.allocator_client import AllocatorClient, Shortage
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.quota_account import QuotaCharge
@@ -49,8 +49,10 @@
 class Permit:
     """Allows one call to be sent to one backend server."""
 
-    def __init__(self, allowances: Allowances, name: str, charge: QuotaCharge) -> None:
-        self._allowances = allowances
+    def __init__(
+        self, allocator_client: AllocatorClient, name: str, charge: QuotaCharge
+    ) -> None:
+        self._allocator_client = allocator_client
         self._name = name
         self._charge: QuotaCharge | None = charge
 
@@ -65,7 +67,7 @@
     def _close(self, sent: bool) -> None:
         charge, self._charge = self._charge, None
         if charge is not None:
-            self._allowances.ended(self._name, charge, sent)
+            self._allocator_client.ended(self._name, charge, sent)
 
 
 class ServerAdmission:
@@ -79,17 +81,20 @@
     """
 
     def __init__(
-        self, limits: ServerLimits, allowances: Allowances, clock: Callable[[], float]
+        self,
+        limits: ServerLimits,
+        allocator_client: AllocatorClient,
+        clock: Callable[[], float],
     ) -> None:
         self._limits = limits
-        self._allowances = allowances
+        self._allocator_client = allocator_client
         self._clock = clock
         self._waiting: Counter[str] = Counter()
         limits.on_change(self._limits_changed)
 
     def _limits_changed(self) -> None:
         limits = shared_limits(self._limits.in_force())
-        self._allowances.limited(LIMIT_KIND, limits, MAX_PAUSE_S)
+        self._allocator_client.limited(LIMIT_KIND, limits, MAX_PAUSE_S)
 
     def is_limited(self, backend: Backend) -> bool:
         """Whether the backend server reports a limit."""
@@ -99,25 +104,34 @@
         """Whether no permit can be obtained now."""
         if not self.is_limited(backend):
             return False
-        return self._allowances.dry_s(limit_name(backend.instance), CALL_COST) > 0
+        return (
+            self._allocator_client.backoff_left_s(
+                limit_name(backend.instance), CALL_COST
+            )
+            > 0
+        )
 
     def asked(self, backend: Backend) -> None:
         """Count a call in the demand for the backend server's limit."""
         if self.is_limited(backend):
-            self._allowances.record_demand(limit_name(backend.instance), CALL_COST)
+            self._allocator_client.record_demand(
+                limit_name(backend.instance), CALL_COST
+            )
 
     async def permit(self, backend: Backend) -> Permit | None:
         """A permit for a call to the backend server now, None if there is none; then no
         further ones are requested for a moment."""
         name = limit_name(backend.instance)
-        found = await self._allowances.obtain(name, CALL_COST, ALLOCATOR_TIMEOUT_S)
+        found = await self._allocator_client.obtain(
+            name, CALL_COST, ALLOCATOR_TIMEOUT_S
+        )
         if isinstance(found, QuotaCharge):
-            return Permit(self._allowances, name, found)
+            return Permit(self._allocator_client, name, found)
         backend.throttled_until = self._clock() + SHORTAGE_S
         if found is Shortage.UNKNOWN:
-            self._allowances.pause(name, NO_ALLOCATOR_PAUSE_S)
+            self._allocator_client.pause(name, NO_ALLOCATOR_PAUSE_S)
         else:
-            self._allowances.pause(name, ALLOCATOR_TIMEOUT_S)
+            self._allocator_client.pause(name, ALLOCATOR_TIMEOUT_S)
         return None
 
     def estimate(self, backends: Iterable[Backend]) -> PermitEstimate | None:
@@ -131,13 +145,15 @@
         return min(estimates, key=lambda estimate: estimate.in_s, default=None)
 
     def _estimate_for(self, backend: Backend) -> PermitEstimate:
-        allowances, name = self._allowances, limit_name(backend.instance)
-        if allowances.allocator is None:
+        allocator_client, name = self._allocator_client, limit_name(backend.instance)
+        if allocator_client.allocator is None:
             return PermitEstimate(
                 backend.instance, NO_ALLOCATOR_RETRY_AFTER_S, known=False
             )
         ahead = self._waiting[backend.instance]
-        in_s = allowances.dry_s(name, CALL_COST) + ahead * allowances.next_in_s(name)
+        in_s = allocator_client.backoff_left_s(
+            name, CALL_COST
+        ) + ahead * allocator_client.next_in_s(name)
         return PermitEstimate(backend.instance, in_s, known=True)
 
     def begin_waiting(self, estimate: PermitEstimate) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/server_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_limits.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from bambootiller.gateway import message_codec
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.exchange import Outgoing, Update
 from bambootiller_core.gateway.fleet import Backend, Fleet
 from bambootiller_core.gateway.log_lines import BackendLimit, BackendLimitUnreadable
@@ -27,7 +27,7 @@
     Example::
 
         limits.named(backend, 1.9)
-        limits.named_none(backend, sent_at)
+        limits.record_no_limit(backend, sent_at)
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         """An answer names a limit."""
         self._said(ReportedLimit(backend.instance, per_s, self._clock()))
 
-    def named_none(self, backend: Backend, sent_at: float) -> None:
+    def record_no_limit(self, backend: Backend, sent_at: float) -> None:
         """The answer to a call that was sent at ``sent_at`` names none."""
         self._said(ReportedLimit(backend.instance, None, sent_at))
 
--- a/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from bambootiller.app import Application
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller_core.gateway.log_lines import StoodStill
 from bambootiller_core.gateway.running_clock import TICK_S, RunningClock
 
--- a/packages/bambootiller/src/bambootiller/gateway/store_permit_holder.py
+++ b/packages/bambootiller/src/bambootiller/gateway/store_permit_holder.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from bambootiller.app import Application
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller_core.gateway.log_lines import StoreTurn
 from bambootiller_core.gateway.store_permit_gate import (
     StorePermitGate,
--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -8,9 +8,9 @@
 import json
 import random
 
-from bambootiller.gateway.allowances import Allowances
+from bambootiller.gateway.allocator_client import AllocatorClient
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.http_front import HttpFront
-from bambootiller.gateway.knowledge import Knowledge
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller.gateway.quotas import Quotas
 from bambootiller.gateway.relay_context import RelayContext
@@ -115,15 +115,15 @@
     def __init__(self):
         self.events = RecordingEventLog()
         loop = asyncio.get_running_loop()
-        self.knowledge = Knowledge(PlatformDirectory(), self.events, loop.time)
+        self.gateway_state = GatewayState(PlatformDirectory(), self.events, loop.time)
         self.engines = EnginesWithoutAgents()
         self._running = RunningClock(loop.time())
         self._ticking = loop.create_task(self._tick())
-        allowances = Allowances("e1", lambda peer: True, lambda: False)
+        allocator_client = AllocatorClient("e1", lambda peer: True, lambda: False)
         limits = ServerLimits(self.events, loop.time, lambda: None)
-        self.quotas = Quotas(self.knowledge, QuotaTolerance, allowances)
+        self.quotas = Quotas(self.gateway_state, QuotaTolerance, allocator_client)
         self.context = RelayContext(
-            self.knowledge,
+            self.gateway_state,
             self.engines,
             PlatformDialect(),
             self.events,
@@ -132,10 +132,10 @@
             loop.time,
             lambda: RetryBudget(0.2, 54, 10.0),
             self.running_time,
-            Quarantine(self.knowledge, self.events, loop.time, lambda: None),
+            Quarantine(self.gateway_state, self.events, loop.time, lambda: None),
             self.quotas,
             limits,
-            ServerAdmission(limits, allowances, loop.time),
+            ServerAdmission(limits, allocator_client, loop.time),
         )
         # Simulates an entry that started a minute ago: calls don't wait for information
         # that an entry only expects after its start.
@@ -179,7 +179,9 @@
         value = (
             document if isinstance(document, bytes) else json.dumps(document).encode()
         )
-        self.knowledge.learnt(Changed(Record(key, value, self.revision)), "test")
+        self.gateway_state.apply_document(
+            Changed(Record(key, value, self.revision)), "test"
+        )
 
     async def add(self, replica):
         """Start a replica and add it to the registry."""
--- a/tests/adapter/cover/test_key_changes.py
+++ b/tests/adapter/cover/test_key_changes.py
@@ -20,7 +20,7 @@
     def refusal(self, *keyed, call=None):
         config = samples.config()
         found = Customers.build(keyed)
-        self.harness.knowledge.config = replace(config, customers=found)
+        self.harness.gateway_state.config = replace(config, customers=found)
         refusal = self.harness.context.key_refusal(call or self.call)
         return refusal and refusal.reason
 
--- a/tests/adapter/failures/test_calls.py
+++ b/tests/adapter/failures/test_calls.py
@@ -446,7 +446,7 @@
         replica.next_replies = [lambda req: Reply(silent=True)]
         loop = asyncio.get_running_loop()
         state = samples.engine_state("i-1", (MODEL_NAME,))
-        self.harness.knowledge.fleet.engine_reported(loop.time() - 2.0, state)
+        self.harness.gateway_state.fleet.engine_reported(loop.time() - 2.0, state)
         started_at = loop.time()
         answer = await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
         self.assertEqual(answer.status, 502)
--- a/tests/adapter/failures/test_foreign_entries.py
+++ b/tests/adapter/failures/test_foreign_entries.py
@@ -13,7 +13,7 @@
 
 from hypothesis import given, strategies as st
 
-from bambootiller.gateway.knowledge import Knowledge
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.meters import Meters
 from bambootiller_core.ports import Changed, Found, Record
 from bambootiller_platform.documents import PlatformDirectory
@@ -78,23 +78,27 @@
     def __init__(self):
         self.events = RecordingEventLog()
         self.now = 100.0
-        self.knowledge = Knowledge(PlatformDirectory(), self.events, lambda: self.now)
+        self.gateway_state = GatewayState(
+            PlatformDirectory(), self.events, lambda: self.now
+        )
         self.revision = 0
 
     def write(self, key, form):
         self.revision += 1
         record = Record(key, encoded(form), self.revision)
-        self.knowledge.learnt(Changed(record), "store")
+        self.gateway_state.apply_document(Changed(record), "store")
 
     def remove(self, key):
         self.revision += 1
         change = Changed(Record(key, b"", self.revision), deleted=True)
-        self.knowledge.learnt(change, "store")
+        self.gateway_state.apply_document(change, "store")
 
     def used(self):
         """The backend servers that calls, loads and orders may go to."""
-        of_service = self.knowledge.fleet.of_service("llm")
-        iterated = [one for one in self.knowledge.fleet if not one.registration.leaving]
+        of_service = self.gateway_state.fleet.of_service("llm")
+        iterated = [
+            one for one in self.gateway_state.fleet if not one.registration.leaving
+        ]
         names = sorted(one.instance for one in of_service)
         assert names == sorted(one.instance for one in iterated)
         return names
@@ -125,7 +129,7 @@
 
     def test_calls_under_way_go_on_and_count_when_the_entry_is_back(self):
         self.registry.write("servers/i-1", SERVER)
-        fleet = self.registry.knowledge.fleet
+        fleet = self.registry.gateway_state.fleet
         fleet.get("i-1").call_sent("tutor")
         self.registry.write("servers/i-1", b"x")
         self.assertEqual(fleet.get("i-1").in_flight, 1)
@@ -142,19 +146,21 @@
         self.registry.write("servers/i-1", SERVER)
         self.registry.write("servers/i-1", b"x")
         self.registry.remove("servers/i-1")
-        self.assertIsNone(self.registry.knowledge.fleet.get("i-1"))
+        self.assertIsNone(self.registry.gateway_state.fleet.get("i-1"))
 
     def test_a_service_that_is_not_configured_is_no_fault(self):
         self.registry.write("servers/i-1", {**SERVER, "service": "foreign"})
         self.assertEqual(self.registry.said(), [])
-        names = [one.instance for one in self.registry.knowledge.fleet.of_service("x")]
+        names = [
+            one.instance for one in self.registry.gateway_state.fleet.of_service("x")
+        ]
         self.assertEqual(names, [])
 
     def test_the_configuration_that_was_in_force_stays(self):
         self.registry.write("op/config", CONFIG)
         self.registry.write("op/config", b"x")
         self.registry.write("op/config", DEEP)
-        self.assertEqual(self.registry.knowledge.config.version, 7)
+        self.assertEqual(self.registry.gateway_state.config.version, 7)
 
 
 class TestKeys(unittest.TestCase):
@@ -171,7 +177,7 @@
         """Passed on, it would end the stream to each peer, again and again."""
         registry = Registry()
         registry.write("servers/\ud800", SERVER)
-        self.assertEqual(registry.knowledge.documents(), [])
+        self.assertEqual(registry.gateway_state.documents(), [])
 
 
 class TestSaid(unittest.TestCase):
@@ -232,14 +238,14 @@
         registry.write(f"servers/{name}", value)
         records = (Record("servers/i-2", encoded(OTHER), 1),)
         self.assertIn("i-2", registry.used())
-        registry.knowledge.listed("servers/", Found(records, 9), "store")
+        registry.gateway_state.listed("servers/", Found(records, 9), "store")
         self.assertEqual(registry.used(), ["i-2"])
 
     @given(st.sampled_from(NEEDED), ANYTHING)
     def test_a_field_of_any_type_names_a_usable_address_or_nothing(self, name, value):
         registry = Registry()
         registry.write("servers/i-1", {**SERVER, name: value})
-        for backend in registry.knowledge.fleet:
+        for backend in registry.gateway_state.fleet:
             host, _, port = backend.registration.address.rpartition(":")
             self.assertTrue(host)
             self.assertIn(int(port), range(1, 65536))
@@ -251,7 +257,7 @@
         registry = Registry()
         for form in (SERVER, {**SERVER, name: value}, b"x"):
             registry.write("servers/i-1", form)
-        if not registry.knowledge.fleet.get("i-1").registration.leaving:
+        if not registry.gateway_state.fleet.get("i-1").registration.leaving:
             registry.write("servers/i-1", {**SERVER, "slots": 3})
             self.assertEqual(registry.used(), ["i-1"])
 
--- a/tests/adapter/failures/test_poison_requests.py
+++ b/tests/adapter/failures/test_poison_requests.py
@@ -289,7 +289,7 @@
                     silent=True,
                     started_ms=replica.started_ms,
                 )
-                self.harness.knowledge.fleet.engine_reported(now, told)
+                self.harness.gateway_state.fleet.engine_reported(now, told)
 
     async def call_and_leave(self, lapses_first=False):
         calling = asyncio.create_task(
@@ -308,7 +308,7 @@
         now = asyncio.get_running_loop().time()
         for replica in self.harness.replicas:
             if replica.runs:
-                self.harness.knowledge.fleet.registry_removed(now, replica.instance)
+                self.harness.gateway_state.fleet.registry_removed(now, replica.instance)
 
     async def test_runs_that_are_left_there_count(self):
         await self.assert_kept_out(lapses_first=False)
--- a/tests/adapter/failures/test_restarts.py
+++ b/tests/adapter/failures/test_restarts.py
@@ -43,7 +43,7 @@
         self.harness.add_document("servers/i-1", self.replica.entry())
 
     def backend(self):
-        return self.harness.knowledge.fleet.get("i-1")
+        return self.harness.gateway_state.fleet.get("i-1")
 
     async def test_no_call_goes_out_on_a_connection_to_the_start_before(self):
         self.assertEqual((await self.harness.call()).status, 200)
--- a/tests/adapter/failures/test_silent_streams.py
+++ b/tests/adapter/failures/test_silent_streams.py
@@ -53,7 +53,7 @@
 
     def assert_nothing_held(self):
         """No call and no connection counts as under way."""
-        fleet = self.harness.knowledge.fleet
+        fleet = self.harness.gateway_state.fleet
         for backend in map(fleet.get, [replica.instance for replica in self.replicas]):
             pool = self.harness.context.pool(backend)
             self.assertEqual((backend.in_flight, backend.pending_prefills), (0, 0))
@@ -124,7 +124,7 @@
     async def test_it_is_kept_if_the_other_does_not_hold_the_model(self):
         await self.assert_kept(misdirected)
         self.assertEqual(self.lost(), [])
-        backend = self.harness.knowledge.fleet.get(self.others[0].instance)
+        backend = self.harness.gateway_state.fleet.get(self.others[0].instance)
         self.assertIn(MODEL_NAME, backend.denials)
 
     async def test_it_is_kept_if_the_other_resets_the_connection(self):
@@ -201,7 +201,7 @@
         self.assertEqual(line.backend, self.running.instance)
         self.assertNotIn("silent", line.detail)
         await asyncio.sleep(0.1)
-        backend = self.harness.knowledge.fleet.get(self.others[0].instance)
+        backend = self.harness.gateway_state.fleet.get(self.others[0].instance)
         self.assertEqual((backend.in_flight, len(self.asked)), (1, 1))
         self.calling.cancel()
         await asyncio.wait((self.calling,))
@@ -233,7 +233,7 @@
     def suspect(self):
         """A run of whatever request comes next was lost at another backend server."""
         quarantine, clock = self.harness.context.quarantine, self.harness.context.clock
-        backend = self.harness.knowledge.fleet.get(self.others[0].instance)
+        backend = self.harness.gateway_state.fleet.get(self.others[0].instance)
         admission = quarantine.admission
 
         def recalling(call):
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_standstills.py
@@ -18,7 +18,7 @@
 
 from bambootiller_platform_standins.httpd import Reply
 
-from bambootiller.gateway.knowledge import Knowledge, StoreWatcher
+from bambootiller.gateway.gateway_state import GatewayState, StoreWatcher
 from bambootiller.gateway.ports import Bounds
 from bambootiller_core.gateway.retry_budget import RetryBudget
 from bambootiller_core.gateway.running_clock import TICK_S, RunningClock
@@ -121,7 +121,7 @@
         nothing was found instead, and the caller's answer was cut.
         """
         calling, running, other = await self.paused_stream()
-        self.harness.knowledge.fleet.get(other.instance).in_flight = 1_000
+        self.harness.gateway_state.fleet.get(other.instance).in_flight = 1_000
         answer = await calling
         self.assertTrue(answer.whole)
         self.assertEqual(len(running.runs), 1)
@@ -160,7 +160,7 @@
         loop = asyncio.get_running_loop()
         for name in ("i-1", "i-2"):
             state = samples.engine_state(name, (MODEL_NAME,), silent=silent)
-            self.harness.knowledge.fleet.engine_reported(loop.time(), state)
+            self.harness.gateway_state.fleet.engine_reported(loop.time(), state)
 
     async def answer(self, speaks):
         for replica in self.holders():
@@ -188,8 +188,8 @@
         call's time, and then there was none left."""
         self.harness.configure(**{"max-attempts": 3})
         first, second, _ = (self.add(f"i-{n}", "plain") for n in (1, 2, 3))
-        self.harness.knowledge.fleet.get("i-2").in_flight = 1
-        self.harness.knowledge.fleet.get("i-3").in_flight = 2
+        self.harness.gateway_state.fleet.get("i-2").in_flight = 1
+        self.harness.gateway_state.fleet.get("i-3").in_flight = 2
         first.next_replies.append(lambda request: Reply(silent=True))
         self.background_loop.stop_replica(second)
         answer = await self.harness.call(path=b"/plain/x")
@@ -206,7 +206,7 @@
         calling = asyncio.ensure_future(self.call())
         await asyncio.sleep(0.3)
         (other,) = [replica for replica in replicas if not replica.runs]
-        backend = self.harness.knowledge.fleet.get(other.instance)
+        backend = self.harness.gateway_state.fleet.get(other.instance)
         with swallowing_port() as port:
             self.harness.context.pool(backend)._port = port
             answer = await calling
@@ -231,21 +231,23 @@
         self.addAsyncCleanup(kv.close)
         loop, events = asyncio.get_running_loop(), RecordingEventLog()
         running = RunningClock(loop.time())
-        knowledge = Knowledge(
+        gateway_state = GatewayState(
             PlatformDirectory(), events, loop.time, running.running_time
         )
-        watcher = StoreWatcher(kv, knowledge, events, loop.time, running.running_time)
+        watcher = StoreWatcher(
+            kv, gateway_state, events, loop.time, running.running_time
+        )
         tasks = [
             asyncio.ensure_future(watcher.follow("servers/")),
             asyncio.ensure_future(tick(running)),
         ]
         await asyncio.sleep(0.4)
-        self.assertIsNotNone(knowledge.fleet.get("i-1"))
+        self.assertIsNotNone(gateway_state.fleet.get("i-1"))
         time.sleep(0.8)
         await asyncio.sleep(0.5)
         background_loop.call(store.remove, "servers/i-1")
         await asyncio.sleep(0.8)
-        held = knowledge.fleet.get("i-1")
+        held = gateway_state.fleet.get("i-1")
         for task in tasks:
             task.cancel()
         self.assertIsNone(held)
@@ -269,9 +271,9 @@
         kv = store_module.PlatformKeyValue(f"http://{store.server.address}")
         self.addAsyncCleanup(kv.close)
         loop, events = asyncio.get_running_loop(), RecordingEventLog()
-        knowledge = Knowledge(PlatformDirectory(), events, loop.time)
+        gateway_state = GatewayState(PlatformDirectory(), events, loop.time)
         watcher = StoreWatcher(
-            kv, knowledge, events, loop.time, bounds=lambda: Bounds(leaving_s=20.0)
+            kv, gateway_state, events, loop.time, bounds=lambda: Bounds(leaving_s=20.0)
         )
         watcher._away["servers/"] = loop.time()
         watching = asyncio.ensure_future(watcher.follow("servers/"))
@@ -282,7 +284,7 @@
             body = json.dumps(server).encode()
             background_loop.call(store.put, f"servers/i-{number}", body)
             await asyncio.sleep(0.5)
-        self.assertIsNotNone(knowledge.fleet.get("i-2"))
+        self.assertIsNotNone(gateway_state.fleet.get("i-2"))
 
 
 async def tick(running):
--- a/tests/gateway/common/samples.py
+++ b/tests/gateway/common/samples.py
@@ -1,6 +1,6 @@
 """Small configurations, backend servers and calls for tests of the gateway."""
 
-from bambootiller.gateway.allowances import Allowances
+from bambootiller.gateway.allocator_client import AllocatorClient
 from bambootiller_core.gateway.calls import Call, ModelRequest
 from bambootiller_core.gateway.config import (
     CallKind,
@@ -41,9 +41,9 @@
     )
 
 
-def allowances(clock=lambda: 0.0):
+def allocator_client(clock=lambda: 0.0):
     """Those of an entry that hears no allocator."""
-    return Allowances("e1", lambda peer: True, lambda: False, clock)
+    return AllocatorClient("e1", lambda peer: True, lambda: False, clock)
 
 
 def plain_service(name="plain", **fields):
--- a/tests/gateway/cover/test_demand_collection.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -217,9 +217,9 @@
         sizes = []
         for count in (5, 500):
             engines = Engines(
-                App(), FakeKnowledge(), None, None, 7, samples.allowances()
+                App(), FakeKnowledge(), None, None, 7, samples.allocator_client()
             )
-            fleet = engines._knowledge.fleet
+            fleet = engines._gateway_state.fleet
             fleet.engine_reported(10.0, samples.engine_state("b1", ("m0", "m1")))
             for number in range(count):
                 engines.plans.demand("tutor").asked(10.0, f"m{number}")
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from bambootiller.gateway.engine_plans import EnginePlans
-from bambootiller.gateway.knowledge import Changes
+from bambootiller.gateway.gateway_state import Changes
 from bambootiller_core.gateway.demand_collection import planners
 from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, Fleet
 from bambootiller_core.gateway.model_demand import Demand
@@ -32,7 +32,7 @@
 class FakeKnowledge:
     """One engine, and the configuration of its service."""
 
-    gather_s = 0.6
+    batch_delay_s = 0.6
 
     def __init__(self, app):
         models = [samples.model(f"m{number}") for number in range(40)]
--- a/tests/gateway/cover/test_initial_discovery.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -3,7 +3,7 @@
 import unittest
 
 from bambootiller.gateway.engine_plans import EnginePlans
-from bambootiller.gateway.knowledge import Changes
+from bambootiller.gateway.gateway_state import Changes
 from bambootiller_core.gateway.fleet import Fleet
 from bambootiller_core.gateway.initial_discovery import (
     MAX_DISCOVERY_S,
@@ -82,7 +82,7 @@
 class FakeKnowledge:
     """What the entry has heard of."""
 
-    gather_s = 0.6
+    batch_delay_s = 0.6
 
     def __init__(self):
         spec = samples.engine(samples.model("tutor"))
--- a/tests/gateway/cover/test_meters.py
+++ b/tests/gateway/cover/test_meters.py
@@ -5,7 +5,7 @@
 from dataclasses import fields, replace
 from unittest import mock
 
-from bambootiller.gateway.eventlog import EventLog
+from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.meters import MOST_LABELS, Meters
 from bambootiller.gateway.metrics_page import MOST_HEAD, MetricsPage
 from bambootiller.settings import Address
--- a/tests/gateway/cover/test_retry_prediction.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -81,7 +81,7 @@
         """Those counted after one call each with so much time has been refused."""
         demand, context = DemandTracker(), mock.Mock()
         context.clock.return_value = 5.0
-        context.knowledge.fleet.of_service.return_value = []
+        context.gateway_state.fleet.of_service.return_value = []
         context.quarantine.load_admission.return_value.decision = (
             AdmissionDecision.ADMITTED
         )
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -31,9 +31,9 @@
 
 
 class FakeKnowledge:
-    """Knowledge without a store: two services, an engine each."""
+    """GatewayState without a store: two services, an engine each."""
 
-    gather_s = 0.6
+    batch_delay_s = 0.6
 
     class changed:
         count = 0
@@ -64,7 +64,9 @@
         one table for all: each agent's word wiped out what the other service's agents
         had said, so plans were made on whichever spoke last.
         """
-        engines = Engines(App(), FakeKnowledge(), None, None, 7, samples.allowances())
+        engines = Engines(
+            App(), FakeKnowledge(), None, None, 7, samples.allocator_client()
+        )
         engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
         engines.received(told("b2", {"critic": Demand(rate=1.0)}))
         self.assertEqual(engines.plans.total_demands("tutor", {})["poet"].waiting, 2)
@@ -72,7 +74,9 @@
         self.assertEqual(engines.plans.total_demands("judge", {})["critic"].rate, 1.0)
 
     def test_an_entrys_own_demand_counts_where_it_is_more(self):
-        engines = Engines(App(), FakeKnowledge(), None, None, 7, samples.allowances())
+        engines = Engines(
+            App(), FakeKnowledge(), None, None, 7, samples.allocator_client()
+        )
         engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
         merged = engines.plans.total_demands(
             "tutor", {"poet": Demand(rate=1.0, waiting=5)}
@@ -94,7 +98,7 @@
         service = samples.ServiceSpec("tutor", None, spec)
         self.known.config = samples.config(services=[service])
         self.engines = Engines(
-            self.app, self.known, None, None, 7, samples.allowances()
+            self.app, self.known, None, None, 7, samples.allocator_client()
         )
         self.plans = []
         made = Planner.plan
--- a/tests/gateway/failures/test_eventlog.py
+++ b/tests/gateway/failures/test_eventlog.py
@@ -4,7 +4,7 @@
 import os
 import unittest
 
-from bambootiller.gateway.eventlog import MOST_WAITING, EventLog
+from bambootiller.gateway.event_log import MOST_WAITING, EventLog
 from bambootiller_core.gateway.log_lines import (
     AnswerLost,
     ConfigInForce,
--- a/tests/gateway/failures/test_messages.py
+++ b/tests/gateway/failures/test_messages.py
@@ -4,7 +4,7 @@
 import unittest
 
 from bambootiller.gateway.exchange import Outgoing, Update
-from bambootiller.gateway.knowledge import Knowledge
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.ports import Unreadable
 from bambootiller_core.ports import Changed, Record
 from tests.gateway.common.samples import engine_state, registration
@@ -35,11 +35,11 @@
                 return None
 
         self.events = Events()
-        self.knowledge = Knowledge(Directory(), self.events, lambda: 0.0)
+        self.gateway_state = GatewayState(Directory(), self.events, lambda: 0.0)
         self.outgoing = self.new()
 
     def new(self):
-        return Outgoing("e1", self.knowledge, self.fill, lambda: 1, 60.0)
+        return Outgoing("e1", self.gateway_state, self.fill, lambda: 1, 60.0)
 
     @staticmethod
     def fill(update, outgoing):
@@ -76,10 +76,10 @@
         self.outgoing.heard(self.peer())
         self.outgoing._next_update()
         self.outgoing._next_update()
-        self.knowledge.has_all({"servers/": 8})
+        self.gateway_state.mark_complete({"servers/": 8})
         self.assertEqual(dict(self.outgoing._next_update().complete), {"servers/": 8})
         self.assertEqual(self.outgoing._next_update().ByteSize(), 0)
-        self.knowledge.has_all({"servers/": 7})
+        self.gateway_state.mark_complete({"servers/": 7})
         self.assertEqual(self.outgoing._next_update().ByteSize(), 0)
 
     async def test_a_beat_does_not_take_back_what_the_peer_has(self):
@@ -96,10 +96,10 @@
         entries, and each read of the registry was followed by a message on all of them.
         """
         passed_on = []
-        self.knowledge.on_document(passed_on.append)
+        self.gateway_state.on_document(passed_on.append)
         for revision in (3, 4, 5):
             record = Record("servers/b1", b"", revision)
-            self.knowledge.learnt(Changed(record), "store")
+            self.gateway_state.apply_document(Changed(record), "store")
         self.assertEqual(len(passed_on), 1)
 
     async def test_what_the_agent_tells_itself_is_not_passed_on(self):
@@ -109,28 +109,30 @@
         process queued that for each of its peers, who know it from the agent.
         """
         passed_on = []
-        self.knowledge.on_document(passed_on.append)
+        self.gateway_state.on_document(passed_on.append)
         self.hold({"tutor"}, revision=3)
         state = engine_state("b1", ("tutor",))
-        self.knowledge.fleet.engine_reported(0.0, state)
+        self.gateway_state.fleet.engine_reported(0.0, state)
         self.hold({"poet"}, revision=4)
         self.assertEqual(len(passed_on), 1)
-        self.assertEqual(self.knowledge.changed.count, 1)
+        self.assertEqual(self.gateway_state.changed.count, 1)
 
     async def test_what_only_the_registry_tells_is_passed_on(self):
         passed_on = []
-        self.knowledge.on_document(passed_on.append)
+        self.gateway_state.on_document(passed_on.append)
         self.hold({"tutor"}, revision=3)
         self.hold({"poet"}, revision=4)
         self.assertEqual(len(passed_on), 2)
 
     def hold(self, models, revision):
-        self.knowledge._directory.registration = lambda record: registration(
+        self.gateway_state._directory.registration = lambda record: registration(
             "b1",
             revision=revision,
             holdings=dict.fromkeys(models, frozenset()),
         )
-        self.knowledge.learnt(Changed(Record("servers/b1", b"", revision)), "store")
+        self.gateway_state.apply_document(
+            Changed(Record("servers/b1", b"", revision)), "store"
+        )
 
     async def test_a_late_write_of_an_earlier_start_is_not_passed_on(self):
         """Symptom: an agent takes its engine for an earlier start of it.
@@ -140,16 +142,16 @@
         heartbeats no more, would take a start that nobody told of for 10 s for over.
         """
         passed_on = []
-        self.knowledge.on_document(passed_on.append)
+        self.gateway_state.on_document(passed_on.append)
         starts = {3: 2000, 4: 1000}
-        self.knowledge._directory.registration = lambda record: registration(
+        self.gateway_state._directory.registration = lambda record: registration(
             "b1",
             revision=record.mod_revision,
             started_ms=starts[record.mod_revision],
         )
         for revision in starts:
             record = Record("servers/b1", b"", revision)
-            self.knowledge.learnt(Changed(record), "store")
+            self.gateway_state.apply_document(Changed(record), "store")
         self.assertEqual([one.record.mod_revision for one in passed_on], [3])
 
     async def test_a_peer_that_reads_the_registry_seldom_is_not_told_what_it_reads(
@@ -161,30 +163,30 @@
         registry is read less often, and a peer was told meanwhile what it was to read.
         """
         self.outgoing.heard(self.peer(complete={"servers/": 7}))
-        self.knowledge.gather_s = 1.2
+        self.gateway_state.batch_delay_s = 1.2
         self.outgoing.document(Changed(Record("servers/b1", b"", 8)))
         due = self.outgoing._documents.next_due()
         self.assertGreater(due - asyncio.get_running_loop().time(), 1.2 + 0.8)
 
     async def test_a_peer_hears_of_a_higher_revision_with_the_next_message(self):
         told = []
-        self.knowledge.on_complete(lambda: told.append(1))
-        self.knowledge.has_all({"servers/": 8})
+        self.gateway_state.on_complete(lambda: told.append(1))
+        self.gateway_state.mark_complete({"servers/": 8})
         self.assertEqual(told, [])
 
     async def test_a_peer_hears_soon_that_a_configuration_has_come(self):
         told = []
-        self.knowledge.on_complete(lambda: told.append(1))
-        self.knowledge._directory.config = lambda record: Unreadable("none")
-        self.knowledge.learnt(Changed(Record("op/config", b"", 9)), "store")
-        self.knowledge.has_all({"op/": 9})
+        self.gateway_state.on_complete(lambda: told.append(1))
+        self.gateway_state._directory.config = lambda record: Unreadable("none")
+        self.gateway_state.apply_document(Changed(Record("op/config", b"", 9)), "store")
+        self.gateway_state.mark_complete({"op/": 9})
         self.assertEqual(told, [1])
 
     async def test_a_configuration_that_is_passed_on_is_logged(self):
-        self.knowledge._directory.config = lambda record: Unreadable("none")
+        self.gateway_state._directory.config = lambda record: Unreadable("none")
         self.outgoing.heard(self.peer(complete={"op/": 6, "servers/": 40}))
         change = Changed(Record("op/config", b"12345", 9))
-        self.knowledge.learnt(change, "store")
+        self.gateway_state.apply_document(change, "store")
         self.outgoing._documents.add(0.0, change, rank=0)
         self.outgoing._next_update()
         line = self.events.lines[-1]
@@ -194,9 +196,9 @@
         )
 
     def learn_config(self, revision, source):
-        self.knowledge._directory.config = lambda record: Unreadable("none")
+        self.gateway_state._directory.config = lambda record: Unreadable("none")
         change = Changed(Record("op/config", b"12345", revision))
-        self.knowledge.learnt(change, source)
+        self.gateway_state.apply_document(change, source)
 
     async def test_who_has_a_configuration_from_a_peer_says_so(self):
         """Symptom: a store that loses answers has links filled with configurations.
@@ -207,7 +209,7 @@
         self.outgoing.heard(self.peer(complete={"op/": 6}))
         self.outgoing._next_update()
         told = []
-        self.knowledge.on_complete(lambda: told.append(1))
+        self.gateway_state.on_complete(lambda: told.append(1))
         self.learn_config(9, "a1")
         self.assertEqual(told, [1])
         self.assertEqual(dict(self.outgoing._next_update().complete), {"op/config": 9})
@@ -221,5 +223,5 @@
     async def test_a_write_that_says_nothing_new_wakes_nobody(self):
         for revision in (3, 4, 5):
             record = Record("servers/b1", b"", revision)
-            self.knowledge.learnt(Changed(record), "store")
-        self.assertEqual(self.knowledge.changed.count, 1)
+            self.gateway_state.apply_document(Changed(record), "store")
+        self.assertEqual(self.gateway_state.changed.count, 1)
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -12,7 +12,7 @@
 )
 from bambootiller.gateway.engines import Engines
 from bambootiller.gateway.exchange import Outgoing, Update
-from bambootiller.gateway.knowledge import Changes
+from bambootiller.gateway.gateway_state import Changes
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller_core.gateway.demand_collection import demands_changed
 from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, FIGURES_TTL_S, Fleet
@@ -43,7 +43,7 @@
 
 
 class FakeKnowledge:
-    """Knowledge without a store."""
+    """GatewayState without a store."""
 
     def __init__(self):
         self.config = None
@@ -108,7 +108,7 @@
         self.streams = Streams()
         app = App(self.clock)
         self.engines = Engines(
-            app, self.known, self.streams, Events(), 7, samples.allowances()
+            app, self.known, self.streams, Events(), 7, samples.allocator_client()
         )
         self.stream = Stream("a1")
         self.streams.all.append(self.stream)
@@ -215,7 +215,12 @@
         self.clock = Clock()
         self.known = FakeKnowledge()
         self.engines = Engines(
-            App(self.clock), self.known, Streams(), Events(), 7, samples.allowances()
+            App(self.clock),
+            self.known,
+            Streams(),
+            Events(),
+            7,
+            samples.allocator_client(),
         )
         self.backend = self.known.fleet.get("b1")
         self.known.fleet.engine_reported(10.0, engine_state("b1", ("poet",)))
@@ -278,13 +283,13 @@
         self.streams = Streams()
         self.woken = []
         self.events = Events()
-        knowledge = SimpleNamespace(fleet=Fleet())
+        gateway_state = SimpleNamespace(fleet=Fleet())
         self.words = AgentUpdates(
             self.streams,
             self.events,
             self.clock,
             lambda: self.woken.append(1),
-            Quarantine(knowledge, self.events, self.clock, lambda: None),
+            Quarantine(gateway_state, self.events, self.clock, lambda: None),
         )
         self.book = OrderBook(engine())
         self.stream = Stream("e1")
--- a/tests/gateway/failures/test_standstills.py
+++ b/tests/gateway/failures/test_standstills.py
@@ -6,7 +6,7 @@
 import unittest
 
 from bambootiller.gateway.exchange import Exchanger, Update
-from bambootiller.gateway.knowledge import Knowledge
+from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller_core.gateway.running_clock import TICK_S, RunningClock
 
 
@@ -80,10 +80,10 @@
         self.events, self.channels = Events(), Channels()
         self.running = RunningClock(loop.time())
         self.heard = []
-        knowledge = Knowledge(Directory(), self.events, loop.time)
+        gateway_state = GatewayState(Directory(), self.events, loop.time)
         exchanger = Exchanger(
             "entry-1",
-            knowledge,
+            gateway_state,
             self.events,
             self.channels,
             lambda: self.running.running_time(loop.time()),
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -115,7 +115,7 @@
         due = AdapterPrefetch()
         context = mock.Mock()
         context.clock.return_value = 5.0
-        context.knowledge.fleet.of_service.return_value = [holder]
+        context.gateway_state.fleet.of_service.return_value = [holder]
         context.engines.plans.adapter_prefetch.return_value = due
         call = samples.call(now=5.0, ask=samples.ask("tutor", "x1"), service="llm")
         refusal = await Placement(context, call, Progress()).place()
@@ -131,7 +131,7 @@
     async def told(self, planned):
         context = mock.Mock()
         context.clock.return_value = 5.0
-        context.knowledge.fleet.of_service.return_value = []
+        context.gateway_state.fleet.of_service.return_value = []
         context.quarantine.load_admission.return_value.decision = (
             AdmissionDecision.ADMITTED
         )
