--- a/tests/gateway/cover/test_attempts.py
+++ b/tests/gateway/cover/test_attempts.py
@@ -31,7 +31,7 @@
             decision = decide(kind, AttemptOutcome.REFUSED, sent())
             self.assertEqual(decision, SendAgain(False, True), kind)
 
-    def test_a_connection_that_was_never_made_costs_no_budget(self):
+    def test_a_connection_that_was_never_made_costs_no_retry_budget(self):
         decision = decide(CallKind.NON_IDEMPOTENT, AttemptOutcome.NOT_SENT, sent())
         self.assertEqual(decision, SendAgain(False, False))
 
@@ -75,21 +75,21 @@
         decision = decide(CallKind.IDEMPOTENT, AttemptOutcome.UNKNOWN, progress)
         self.assertEqual(decision, SendAgain(False, True))
 
-    def test_a_call_refused_elsewhere_keeps_the_doubt_of_its_first_attempt(self):
+    def test_a_later_refusal_does_not_settle_an_unknown_first_attempt(self):
         progress = Progress(tried=["b1", "b2"], sends=2, may_have_run=True)
         decision = decide(CallKind.IDEMPOTENT, AttemptOutcome.REFUSED, progress)
         self.assertEqual(decision.reason, RefusalReason.OUTCOME_UNKNOWN)
 
 
 class TestBrokenStreams(unittest.TestCase):
-    def test_a_resumable_one_goes_on_behind_its_last_event(self):
+    def test_a_resumable_stream_continues_after_its_last_event(self):
         progress = sent(may_have_run=True, forwarded=True, last_event=4)
         decision = decide(
             CallKind.STREAM, AttemptOutcome.BROKEN, progress, resumable=True
         )
         self.assertEqual(decision, SendAgain(True, True))
 
-    def test_another_is_cut_so_that_it_does_not_look_complete(self):
+    def test_another_stream_is_cut_off_so_that_it_does_not_look_complete(self):
         progress = sent(may_have_run=True, forwarded=True, last_event=4)
         decision = decide(CallKind.STREAM, AttemptOutcome.BROKEN, progress)
         self.assertEqual(decision, CutOff())
@@ -103,7 +103,7 @@
 
 
 class TestDeadlines(unittest.TestCase):
-    def test_a_call_that_was_not_sent_may_come_back(self):
+    def test_a_call_that_was_not_sent_may_be_retried(self):
         decision = give_up(Progress(), timed_out=True)
         self.assertEqual(decision.status, 503)
         self.assertIsNotNone(decision.come_back_s)
@@ -113,7 +113,7 @@
         self.assertEqual(decision.status, 504)
         self.assertIsNone(decision.come_back_s)
 
-    def test_no_attempt_begins_that_has_no_time_left(self):
+    def test_no_attempt_starts_without_time_left(self):
         progress = sent(may_have_run=True)
         decision = decide(
             CallKind.IDEMPOTENT, AttemptOutcome.UNKNOWN, progress, now=9.99
--- a/tests/gateway/cover/test_copies.py
+++ b/tests/gateway/cover/test_copies.py
@@ -25,11 +25,11 @@
         seen = copies_seen(NOW, backends, "llm", samples.model(), 100.0)
         return [copy.state for copy in seen]
 
-    def test_without_a_copy_nothing_is_named(self):
+    def test_without_a_copy_nothing_is_listed(self):
         other = with_copy(state={"on_disk": frozenset({"poet"})})
         self.assertEqual(self.states(other), [])
 
-    def test_each_state_is_told_from_the_others(self):
+    def test_each_state_is_distinguished(self):
         loading = Loading("poet", 9.0, True)
         unheard = with_copy()
         unheard.last_received_at = NOW - 60
@@ -51,7 +51,7 @@
         seen = copies_seen(NOW, [with_copy()], "other", samples.model(), 100.0)
         self.assertEqual(seen, ())
 
-    def test_the_line_lists_them(self):
+    def test_the_log_line_lists_copies(self):
         plan = PlanSnapshot(copies=(ModelCopy("b1", "full"),))
         self.assertEqual(
             samples.refused(plan).to_json()["plan"]["copies"],
@@ -62,14 +62,14 @@
 class TestCopiesChanged(unittest.TestCase):
     REPORT = EngineReport("b1", {}, 0, on_disk=frozenset({"tutor", "poet"}))
 
-    def test_the_first_report_names_all(self):
+    def test_the_first_report_lists_all(self):
         line = copies_changed(None, self.REPORT)
         self.assertEqual(line.gained, ("poet", "tutor"))
 
-    def test_a_copy_that_was_pushed_out_is_named(self):
+    def test_an_evicted_copy_is_listed(self):
         later = replace(self.REPORT, on_disk=frozenset({"poet", "clerk"}))
         line = copies_changed(self.REPORT, later)
         self.assertEqual((line.gained, line.lost), (("clerk",), ("tutor",)))
 
-    def test_the_same_copies_make_no_line(self):
+    def test_unchanged_copies_emit_no_line(self):
         self.assertIsNone(copies_changed(self.REPORT, self.REPORT))
--- a/tests/gateway/cover/test_crash_ledger.py
+++ b/tests/gateway/cover/test_crash_ledger.py
@@ -222,7 +222,7 @@
         self.before = crash_verdict(now, self.run_, self.before, self.fleet)
         return self.before
 
-    def agent_says(self, now, **fields):
+    def agent_reports(self, now, **fields):
         state = engine_state("b1", started_ms=self.started_ms, **fields)
         self.fleet.engine_reported(now, state)
 
@@ -236,23 +236,23 @@
 
     def test_an_engine_that_answers_again_in_the_same_start_was_only_busy(self):
         self.begin()
-        self.agent_says(10.1, silent=True)
+        self.agent_reports(10.1, silent=True)
         self.assertIs(self.verdict(10.1), CrashVerdict.CRASHED)
-        self.agent_says(10.5, silent=False)
+        self.agent_reports(10.5, silent=False)
         self.assertIs(self.verdict(10.5), CrashVerdict.UNDECIDED)
-        self.agent_says(10.1 + AGENT_DETECTION_S)
+        self.agent_reports(10.1 + AGENT_DETECTION_S)
         self.assertIs(self.verdict(10.1 + AGENT_DETECTION_S), CrashVerdict.SURVIVED)
 
     def test_one_that_answers_again_in_an_unknown_start_has_crashed(self):
         self.begin(started_ms=None)
-        self.agent_says(10.1, silent=True)
+        self.agent_reports(10.1, silent=True)
         self.assertIs(self.verdict(10.1), CrashVerdict.CRASHED)
-        self.agent_says(13.6, silent=False)
+        self.agent_reports(13.6, silent=False)
         self.assertIs(self.verdict(13.6), CrashVerdict.CRASHED)
 
     def test_a_report_from_before_the_run_was_lost_proves_nothing(self):
         self.begin()
-        self.agent_says(10.0)
+        self.agent_reports(10.0)
         self.assertIs(self.verdict(10.1 + AGENT_DETECTION_S), CrashVerdict.UNDECIDED)
 
     def test_without_an_agent_the_registration_has_to_outlive_its_heartbeats(self):
@@ -276,8 +276,8 @@
         for number in range(3):
             self.crash(number, f"r{number}", COMMON, BAD)
         self.assert_quarantined(BAD)
-        kept_out = self.call_decision("another", COMMON, BAD)
-        self.assertIs(kept_out, AdmissionDecision.QUARANTINED)
+        with_bad_part = self.call_decision("another", COMMON, BAD)
+        self.assertIs(with_bad_part, AdmissionDecision.QUARANTINED)
         self.assertIs(self.call_decision("another", COMMON), AdmissionDecision.ADMITTED)
 
     def test_a_part_is_sound_as_long_as_requests_with_it_complete(self):
@@ -289,13 +289,13 @@
             self.crash(number, BAD, at=SOUND_PART_TTL_S + number)
         self.assert_quarantined(BAD)
 
-    def test_one_that_completes_after_all_is_cleared(self):
+    def test_a_part_that_completes_is_cleared(self):
         for number in range(3):
             self.crash(number, BAD)
         self.ledger.completed(BAD, "a1", now=5.0)
         self.assert_quarantined()
 
-    def test_a_request_that_explains_the_crashes_goes_before_its_parts(self):
+    def test_a_request_that_explains_the_crashes_is_suspected_before_its_parts(self):
         for number in range(3):
             self.crash(number, "p", BAD)
         self.assert_quarantined("p")
@@ -303,7 +303,7 @@
         self.crash(3, "another", BAD)
         self.assert_quarantined(BAD)
 
-    def test_of_two_that_occur_together_a_request_with_one_of_them_distinguishes(self):
+    def test_of_two_parts_that_occur_together_the_one_that_completes_is_cleared(self):
         for number in range(3):
             self.crash(number, f"r{number}", BAD, NEIGHBOUR)
         both = self.call_decision("r9", BAD, NEIGHBOUR)
@@ -314,7 +314,7 @@
         self.assert_quarantined(BAD)
         self.assertIs(self.call_decision("r9", BAD), AdmissionDecision.QUARANTINED)
 
-    def test_a_further_crash_distinguishes_them_too(self):
+    def test_of_two_such_parts_the_one_in_a_further_crash_is_quarantined(self):
         for number in range(3):
             self.crash(number, f"r{number}", BAD, NEIGHBOUR)
         self.crash(3, "r9", BAD)
@@ -328,7 +328,7 @@
         self.crash(5, BAD, progressed=(BAD,))
         self.assertIs(self.call_decision("r9", BAD), AdmissionDecision.QUARANTINED)
 
-    def test_several_at_once_are_distinguished(self):
+    def test_several_bad_parts_are_found(self):
         bad = [part_name(f"bad{number}") for number in range(5)]
         for number in range(15):
             self.crash(number, f"r{number}", COMMON, bad[number % 5])
--- a/tests/gateway/cover/test_demand.py
+++ b/tests/gateway/cover/test_demand.py
@@ -18,7 +18,7 @@
     def demand(self, now, model="tutor"):
         return self.demand_tracker.demands(now, {}, {}).get(model)
 
-    def test_a_steady_rate_is_found(self):
+    def test_a_steady_rate_is_measured(self):
         for number in range(400):
             self.demand_tracker.asked(number * 0.1, "tutor")
         self.assertAlmostEqual(self.demand(40.0).rate, 10.0, delta=1.0)
@@ -52,7 +52,7 @@
         self.assertEqual(self.demand(1.0).waiting, 6)
         self.assertEqual(self.demand(1.0 + MAX_RETURN_WAIT_S).waiting, 0)
 
-    def test_calls_without_an_answer_count_until_an_engine_holds_the_model(self):
+    def test_unserved_calls_count_until_an_engine_holds_the_model(self):
         """A model was passed over as its callers, refused at once, never waited."""
         self.demand_tracker.asked(0.0, "tutor")
         self.demand_tracker.unserved(0.0, "tutor")
@@ -66,20 +66,20 @@
         self.assertEqual((held.unserved, held.awaited), (0.0, 0))
         self.assertEqual(self.demand(9.5).unserved, 0.0)
 
-    def test_calls_without_an_answer_are_forgotten_with_the_demand(self):
+    def test_unserved_calls_are_forgotten_with_the_demand(self):
         self.demand_tracker.asked(0.0, "tutor")
         self.demand_tracker.unserved(0.0, "tutor")
         self.assertIsNone(self.demand(20 * DECAY_S))
         self.demand_tracker.asked(21 * DECAY_S, "tutor")
         self.assertEqual(self.demand(21 * DECAY_S).unserved, 0.0)
 
-    def test_a_caller_told_to_come_soon_is_not_waited_for_longer(self):
+    def test_a_caller_with_a_short_retry_time_is_not_expected_longer(self):
         self.demand_tracker.asked(0.0, "tutor")
         self.demand_tracker.refused(0.0, "tutor", come_back_s=0.3)
         self.assertEqual(self.demand(0.3).waiting, 1)
         self.assertEqual(self.demand(0.4 + RETURN_SLACK_S).waiting, 0)
 
-    def test_the_next_call_that_would_be_late_tells_how_long_it_is_in_time(self):
+    def test_the_next_deadline_is_that_of_the_next_call_to_be_late(self):
         self.demand_tracker.asked(0.0, "tutor")
         self.demand_tracker.begin_waiting(0.0, "tutor", due=0.5)
         self.demand_tracker.begin_waiting(0.0, "tutor", due=4.0)
@@ -88,7 +88,7 @@
         self.demand_tracker.end_waiting(0.0, "tutor", due=4.0)
         self.assertEqual(self.demand(1.0).next_deadline_s, 8.0)
 
-    def test_calls_that_are_late_already_are_in_time_no_more(self):
+    def test_calls_that_are_late_already_have_no_deadline_left(self):
         self.demand_tracker.asked(0.0, "tutor")
         self.demand_tracker.begin_waiting(0.0, "tutor", due=0.5)
         self.assertEqual(self.demand(1.0).next_deadline_s, 0.0)
--- a/tests/gateway/cover/test_demand_collection.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -30,14 +30,14 @@
         self.assertEqual(len(chosen), 2)
         self.assertEqual(chosen, collectors("tutor", reversed(HOSTS)))
 
-    def test_the_loss_of_one_moves_only_its_place(self):
+    def test_losing_one_collector_replaces_only_that_one(self):
         first, second = collectors("tutor", HOSTS)
         left = [host for host in HOSTS if host != first]
         self.assertEqual(collectors("tutor", left)[0], second)
 
 
 class TestDemandsChanged(unittest.TestCase):
-    def test_a_rate_that_fades_is_not_told_again_and_again(self):
+    def test_a_decaying_rate_is_not_reported_repeatedly(self):
         """Symptom: nobody calls, and each stream carries two messages a second.
 
         A rate fades by a tenth in half a second, and was told again each time, for a
@@ -50,7 +50,7 @@
                 demands_changed({"poet": Demand(rate=1.0)}, demands, seconds)
             )
 
-    def test_an_agent_lets_it_fade_as_the_entry_does(self):
+    def test_an_agent_decays_a_rate_as_the_entry_does(self):
         entry_reports = EntryReports()
         entry_reports.reported(1.0, "e1", {"poet": Demand(rate=1.0)}, {})
         for now in (1.5, 2.0, 3.0):
@@ -61,7 +61,7 @@
                 delta=0.05,
             )
 
-    def test_the_age_of_calls_without_an_answer_is_told_once(self):
+    def test_the_age_of_unserved_calls_is_reported_once(self):
         reported = {"poet": Demand(unserved=2.0, unserved_s=3.0)}
         demands = {"poet": Demand(unserved=2.0, unserved_s=13.0)}
         self.assertFalse(demands_changed(reported, demands, elapsed_s=10.0))
@@ -70,7 +70,7 @@
         )
         self.assertTrue(demands_changed(reported, {"poet": Demand()}, elapsed_s=0.1))
 
-    def test_an_agent_lets_that_age_grow(self):
+    def test_an_agent_advances_the_age_of_unserved_calls(self):
         entry_reports = EntryReports()
         entry_reports.reported(
             1.0, "e1", {"poet": Demand(unserved=2.0, unserved_s=3.0)}, {}
@@ -82,27 +82,27 @@
         demand = entry_reports.demands()["poet"]
         self.assertEqual((demand.unserved, demand.unserved_s), (3.0, 4.0))
 
-    def test_it_travels_both_ways(self):
+    def test_a_demand_is_encoded_and_decoded(self):
         demand = Demand(0.5, 1, adapter_miss_rate=0.25, unserved=2.5, unserved_s=3.5)
         self.assertEqual(
             message_codec.demands_of(message_codec.demand_messages({"poet": demand})),
             {"poet": demand},
         )
 
-    def test_a_rate_that_rises_is_told(self):
+    def test_a_rising_rate_is_reported(self):
         self.assertTrue(
             demands_changed({"poet": Demand(rate=1.0)}, {"poet": Demand(rate=1.3)})
         )
 
 
 class TestCollectedDemand(unittest.TestCase):
-    def test_the_collector_that_knows_of_more_counts(self):
+    def test_the_larger_total_of_two_collectors_counts(self):
         totals = CollectedDemand()
         totals.reported(1.0, "tutor", "h1", {"poet": Demand(3.0, 1)})
         totals.reported(1.0, "tutor", "h2", {"poet": Demand(2.0, 4)})
         self.assertEqual(totals.demands(1.5, "tutor")["poet"], Demand(3.0, 4))
 
-    def test_a_lost_collectors_word_is_forgotten(self):
+    def test_the_total_of_a_lost_collector_expires(self):
         """Symptom: a model that nobody asks for any more keeps an engine.
 
         The agent that collected its demand was killed, and its last sum stays.
@@ -116,13 +116,13 @@
 class TestNextDeadline(unittest.TestCase):
     """How long the next waiting call is in time, as several tell it."""
 
-    def test_it_travels_with_the_demand(self):
+    def test_the_deadline_is_encoded_and_decoded(self):
         demands = {"tutor": Demand(0.5, 1, 0, 0.25, 2, 1.75)}
         self.assertEqual(
             message_codec.demands_of(message_codec.demand_messages(demands)), demands
         )
 
-    def test_the_entry_with_the_least_time_left_counts(self):
+    def test_the_earliest_deadline_of_all_entries_counts(self):
         entry_reports = EntryReports()
         entry_reports.reported(
             1.0, "e1", {"tutor": Demand(0.5, 1, next_deadline_s=2.0)}, {}
@@ -132,7 +132,7 @@
         )
         self.assertEqual(entry_reports.demands()["tutor"].next_deadline_s, 0.5)
 
-    def test_one_without_such_a_call_does_not(self):
+    def test_an_entry_without_a_deadline_does_not_count(self):
         early, late = Demand(0.5, 1, next_deadline_s=2.0), Demand(0.5, 3)
         for first, second in ((early, late), (late, early)):
             merged = merge_max({"tutor": first}, {"tutor": second})
@@ -142,27 +142,27 @@
 class TestCallers(unittest.TestCase):
     """Callers who wait or are expected back, as several tell them."""
 
-    def test_they_travel_with_the_demand_of_those_who_count_them(self):
+    def test_a_count_of_callers_is_encoded_and_decoded(self):
         demands = {"tutor": Demand(0.5, callers=0.0), "poet": Demand(0.5, callers=2.5)}
         demands["clerk"] = Demand(0.5)
         self.assertEqual(
             message_codec.demands_of(message_codec.demand_messages(demands)), demands
         )
 
-    def test_those_of_all_entries_are_added_up(self):
+    def test_callers_of_all_entries_are_added_up(self):
         entry_reports = EntryReports()
         entry_reports.reported(1.0, "e1", {"tutor": Demand(0.5, callers=2.0)}, {})
         entry_reports.reported(1.0, "e2", {"tutor": Demand(0.5, callers=1.5)}, {})
         entry_reports.reported(1.0, "e3", {"tutor": Demand(0.5)}, {})
         self.assertEqual(entry_reports.demands()["tutor"].callers, 3.5)
 
-    def test_the_collector_that_knows_of_more_counts(self):
+    def test_the_larger_total_of_two_collectors_counts(self):
         counted, other = Demand(0.5, callers=2.0), Demand(0.6)
         for first, second in ((counted, other), (other, counted)):
             merged = merge_max({"tutor": first}, {"tutor": second})
             self.assertEqual(merged["tutor"].callers, 2.0)
 
-    def test_one_who_has_gone_is_told(self):
+    def test_a_caller_that_left_is_reported(self):
         self.assertTrue(
             demands_changed(
                 {"poet": Demand(callers=1.0)}, {"poet": Demand(callers=0.0)}
@@ -173,18 +173,18 @@
 
 
 class TestRelevantDemands(unittest.TestCase):
-    def test_an_agent_hears_of_what_its_engine_holds_or_loads(self):
+    def test_an_agent_gets_the_demand_for_what_its_engine_holds_or_loads(self):
         loading = Loading("critic", 2.0, True)
         state = samples.engine_state("b1", ("poet",), loading=loading)
         demands = {name: Demand(1.0) for name in ("poet", "critic", "clerk")}
         self.assertEqual(sorted(relevant_demands(demands, state)), ["critic", "poet"])
 
-    def test_without_its_word_it_hears_of_nothing(self):
+    def test_an_agent_that_has_not_reported_gets_no_demand(self):
         self.assertEqual(relevant_demands({"poet": Demand(1.0)}, None), {})
 
 
 class TestLoadRequests(unittest.TestCase):
-    def test_the_demand_of_all_comes_with_the_load_request(self):
+    def test_a_load_request_carries_the_demand_of_all_entries(self):
         """Symptom: a model that all entries wait for doesn't make others go.
 
         Its agent heard of the calls of the one entry that asks for the load, as the
--- a/tests/gateway/cover/test_document_propagation.py
+++ b/tests/gateway/cover/test_document_propagation.py
@@ -47,7 +47,7 @@
         self.queue.peer_has({"config/": 7})
         self.assertEqual(self.due(9.0), [])
 
-    def test_a_peer_that_hangs_is_sent_it_a_moment_later(self):
+    def test_a_peer_that_does_not_catch_up_is_sent_it_after_the_grace_period(self):
         self.queue.peer_has({"config/": 6})
         self.queue.add(0.0, change(), rank=1)
         self.assertEqual(self.due(SELF_UPDATE_GRACE_S / 2), [])
@@ -94,24 +94,24 @@
         self.assertEqual(set(ranks), set(range(1, AGENT_RANKS + 1)))
 
     def test_a_peer_that_reports_in_time_is_sent_it_by_one(self):
-        told = 0
+        sent_count = 0
         for rank in range(len(ENTRIES)):
             queue = PeerQueue()
             queue.peer_has({"config/": 6})
             queue.add(0.0, change(), rank)
-            told += len(queue.due(0.3))
+            sent_count += len(queue.due(0.3))
             queue.peer_has({"config/": 6, "config/x": 7})
-            told += len(queue.due(60.0))
-        self.assertEqual(told, 1)
+            sent_count += len(queue.due(60.0))
+        self.assertEqual(sent_count, 1)
 
     def test_a_silent_peer_is_sent_it_by_few_within_a_second(self):
-        told = 0
+        sent_count = 0
         for rank in range(len(ENTRIES)):
             queue = PeerQueue()
             queue.peer_has({"config/": 6})
             queue.add(0.0, change(), rank)
-            told += len(queue.due(SELF_UPDATE_GRACE_S + 2 * STAGGER_S))
-        self.assertEqual(told, 4)
+            sent_count += len(queue.due(SELF_UPDATE_GRACE_S + 2 * STAGGER_S))
+        self.assertEqual(sent_count, 4)
 
     def test_rankings_are_cached(self):
         """Symptom: an entry at rest spends a tenth of a core on its peers.
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -47,7 +47,7 @@
 class TestLostEngines(unittest.TestCase):
     """Callers of a model that only a lost engine holds counted as served."""
 
-    def test_what_they_hold_does_not_count_as_held(self):
+    def test_models_that_they_hold_do_not_count_as_held(self):
         app = App("e1")
         known = FakeKnowledge(app)
         known.fleet.engine_reported(app.at, samples.engine_state("b1", ["m1"]))
@@ -85,20 +85,20 @@
         return plan.call_count
 
     @staticmethod
-    def other():
+    def other_entry():
         return next(name for name in ENTRIES if name not in planners(ENTRIES))
 
-    def test_an_entry_with_refused_callers_alone_leaves_it_to_those_who_see_to_it(self):
-        self.start(self.other())
+    def test_an_entry_with_refused_callers_alone_leaves_plans_to_planners(self):
+        self.start(self.other_entry())
         self.demand.refused(self.app.at, "m1", 6.0)
         self.assertEqual(self.plans_in(2.0), 0)
 
     def test_an_entry_with_a_waiting_call_plans(self):
-        self.start(self.other())
+        self.start(self.other_entry())
         self.demand.begin_waiting(self.app.at, "m1")
         self.assertGreater(self.plans_in(1.0), 5)
 
-    def test_who_sees_to_loads_plans_for_the_refused_callers_of_others(self):
+    def test_a_planner_plans_for_the_refused_callers_of_others(self):
         self.start(planners(ENTRIES)[0])
         demands = {f"m{number}": Demand(0.1, waiting=1) for number in range(40)}
         self.plans.totals_reported(self.app.at, SERVICE, "10.0.0.1", demands)
--- a/tests/gateway/cover/test_events.py
+++ b/tests/gateway/cover/test_events.py
@@ -71,7 +71,7 @@
         self.assertEqual(splitter.feed(b"id: 1\ndata: o"), [])
         self.assertEqual(splitter.remainder, b"id: 1\ndata: o")
 
-    def test_other_line_ends_are_understood(self):
+    def test_other_line_ends_are_accepted(self):
         (event,) = EventSplitter().feed(b"id: 9\r\ndata: x\r\n\r\n")
         self.assertEqual(event.number, 9)
 
--- a/tests/gateway/cover/test_fingerprint.py
+++ b/tests/gateway/cover/test_fingerprint.py
@@ -21,7 +21,7 @@
             with self.subTest(name):
                 self.assertNotEqual(fingerprint(**other), same)
 
-    def test_a_part_does_not_run_into_the_next(self):
+    def test_bytes_moved_between_parts_make_a_difference(self):
         first = fingerprint(**{**PARTS, "target": b"/xy", "body": b"z"})
         second = fingerprint(**{**PARTS, "target": b"/x", "body": b"yz"})
         self.assertNotEqual(first, second)
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -57,7 +57,7 @@
     def names(self):
         return [backend.instance for backend in self.fleet.of_service("plain")]
 
-    def test_only_the_last_start_counts_in_whatever_order_they_are_heard(self):
+    def test_only_the_last_start_counts_in_whatever_order_they_are_listed(self):
         for order in ((self.ended, self.begun), (self.begun, self.ended)):
             self.fleet = Fleet()
             for record in order:
@@ -73,7 +73,7 @@
         self.fleet.registry_changed(1.0, record)
         self.assertEqual(self.names(), [])
 
-    def test_what_was_registered_before_counts_again_if_the_last_one_goes(self):
+    def test_the_earlier_start_counts_again_if_the_last_one_is_removed(self):
         for record in (self.ended, self.begun):
             self.fleet.registry_changed(0.0, record)
         self.fleet.registry_removed(1.0, "b2")
--- a/tests/gateway/cover/test_health.py
+++ b/tests/gateway/cover/test_health.py
@@ -18,7 +18,7 @@
         self.assertGreater(self.health.cost(0.0, "a"), 1.0)
         self.assertEqual(self.health.cost(0.0, "b"), 0.0)
 
-    def test_a_service_that_fails_by_design_costs_nothing(self):
+    def test_failures_of_all_backend_servers_alike_cost_nothing(self):
         for name in ("a", "b", "c"):
             for _ in range(5):
                 self.health.failed(0.0, name)
--- a/tests/gateway/cover/test_initial_discovery.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -18,52 +18,64 @@
 STEP_S = 0.05
 
 
-def heard(name, **fields):
+def reported_backend(name, **fields):
     return samples.backend(name, 0.0, samples.engine_state(name, **fields))
 
 
 class TestInitialDiscovery(unittest.TestCase):
     def setUp(self):
-        self.look = InitialDiscovery()
+        self.discovery = InitialDiscovery()
 
-    def over(self, now, *backends):
-        return self.look.is_complete(now, backends, QUIET_S)
+    def is_over(self, now, *backends):
+        return self.discovery.is_complete(now, backends, QUIET_S)
 
-    def test_it_lasts_while_engines_come(self):
-        self.assertFalse(self.over(0.0, heard("b1")))
-        self.assertFalse(self.over(0.9, heard("b1"), heard("b2")))
-        self.assertFalse(self.over(1.8, heard("b1"), heard("b2")))
-        self.assertTrue(self.over(2.0, heard("b1"), heard("b2")))
+    def test_it_lasts_while_engines_appear(self):
+        self.assertFalse(self.is_over(0.0, reported_backend("b1")))
+        self.assertFalse(
+            self.is_over(0.9, reported_backend("b1"), reported_backend("b2"))
+        )
+        self.assertFalse(
+            self.is_over(1.8, reported_backend("b1"), reported_backend("b2"))
+        )
+        self.assertTrue(
+            self.is_over(2.0, reported_backend("b1"), reported_backend("b2"))
+        )
 
-    def test_it_waits_for_engines_to_be_listed_and_not_for_what_was_heard(self):
+    def test_a_late_report_of_a_listed_engine_does_not_prolong_it(self):
         """The store's first load began seconds after all engines were known."""
         silent = samples.backend("b2")
-        self.assertFalse(self.over(0.0, heard("b1"), silent))
-        self.assertFalse(self.over(QUIET_S - 0.1, heard("b1"), silent))
-        self.assertTrue(self.over(QUIET_S, heard("b1"), heard("b2")))
+        self.assertFalse(self.is_over(0.0, reported_backend("b1"), silent))
+        self.assertFalse(self.is_over(QUIET_S - 0.1, reported_backend("b1"), silent))
+        self.assertTrue(
+            self.is_over(QUIET_S, reported_backend("b1"), reported_backend("b2"))
+        )
 
-    def test_it_lasts_until_each_was_heard_but_not_for_ever(self):
+    def test_it_lasts_until_each_engine_reported_but_not_for_ever(self):
         silent = samples.backend("b2")
-        self.assertFalse(self.over(0.0, heard("b1"), silent))
-        self.assertFalse(self.over(MAX_STALL_S - 0.1, heard("b1"), silent))
-        self.assertTrue(self.over(MAX_STALL_S, heard("b1"), silent))
+        self.assertFalse(self.is_over(0.0, reported_backend("b1"), silent))
+        self.assertFalse(
+            self.is_over(MAX_STALL_S - 0.1, reported_backend("b1"), silent)
+        )
+        self.assertTrue(self.is_over(MAX_STALL_S, reported_backend("b1"), silent))
 
-    def test_engines_that_come_and_go_do_not_make_it_last_for_ever(self):
+    def test_engines_that_come_and_go_do_not_prolong_it_for_ever(self):
         """The weight store was asked for nothing while engines went down and up."""
-        now, both = 0.0, (heard("b1"), heard("b2"))
+        now, both = 0.0, (reported_backend("b1"), reported_backend("b2"))
         while now < MAX_DISCOVERY_S - 0.1:
-            self.assertFalse(self.over(now, *both[: 1 + round(now * 2) % 2]))
+            self.assertFalse(self.is_over(now, *both[: 1 + round(now * 2) % 2]))
             now += 0.5
-        self.assertTrue(self.over(MAX_DISCOVERY_S, *both))
+        self.assertTrue(self.is_over(MAX_DISCOVERY_S, *both))
 
-    def test_before_any_engine_is_listed_nothing_is_known(self):
-        self.assertFalse(self.over(0.0))
-        self.assertFalse(self.over(QUIET_S + 0.1))
+    def test_it_lasts_until_an_engine_is_listed(self):
+        self.assertFalse(self.is_over(0.0))
+        self.assertFalse(self.is_over(QUIET_S + 0.1))
 
     def test_once_over_it_stays_over(self):
-        self.over(0.0, heard("b1"))
-        self.over(QUIET_S, heard("b1"))
-        self.assertTrue(self.over(QUIET_S + 0.1, heard("b1"), samples.backend("b2")))
+        self.is_over(0.0, reported_backend("b1"))
+        self.is_over(QUIET_S, reported_backend("b1"))
+        self.assertTrue(
+            self.is_over(QUIET_S + 0.1, reported_backend("b1"), samples.backend("b2"))
+        )
 
 
 class App:
@@ -113,9 +125,9 @@
         )
         self.plans.entries = ("e1",)
         self.known.list(self.app.at, "b1", "10.0.0.1:1")
-        self.speak("b1")
+        self.report("b1")
 
-    def speak(self, name, **fields):
+    def report(self, name, **fields):
         self.known.fleet.engine_reported(
             self.app.at, samples.engine_state(name, **fields)
         )
@@ -127,15 +139,15 @@
                 backend.last_received_at = self.app.at
             self.plans.make(self.app.at)
 
-    def test_nothing_is_fetched_that_an_engine_heard_later_has_a_copy_of(self):
+    def test_a_model_is_not_prefetched_if_its_copy_is_reported_later(self):
         self.run_for(0.4)
         self.known.list(self.app.at, "b2", "10.0.0.2:1")
         self.run_for(0.4)
-        self.speak("b2", on_disk=frozenset({"tutor"}))
+        self.report("b2", on_disk=frozenset({"tutor"}))
         self.run_for(3.0)
         self.assertEqual(self.load_requests, [])
 
-    def test_what_nobody_has_a_copy_of_is_fetched_soon(self):
+    def test_a_model_without_a_copy_is_prefetched_soon(self):
         self.run_for(0.8)
         self.assertEqual(self.load_requests, [])
         self.run_for(0.4)
--- a/tests/gateway/cover/test_meters.py
+++ b/tests/gateway/cover/test_meters.py
@@ -39,11 +39,11 @@
         )
         self.assertEqual(self.value("refusal_held_seconds_sum"), 0.12)
 
-    def test_a_load_counts_by_where_it_came_from(self):
+    def test_a_load_counts_by_its_source(self):
         self.meters.count(lines.LoadEnded("tutor", True, 6.4, from_store=True))
         self.assertEqual(self.value("load_seconds_sum", tier="store", held="yes"), 6.4)
 
-    def test_a_model_that_is_refused_again_and_again_shows_until_it_is_served(self):
+    def test_a_model_that_is_refused_repeatedly_counts_until_it_is_served(self):
         refused = replace(samples.refused(), model="tutor")
         with mock.patch("time.monotonic", return_value=100.0):
             self.meters.count(refused)
@@ -56,13 +56,13 @@
             )
             self.assertEqual(self.value("models_unserved", seconds="8"), 0)
 
-    def test_what_keeps_engines_from_a_load_counts_by_engine(self):
+    def test_load_obstacles_count_engines(self):
         plan = lines.PlanSnapshot(obstacles=lines.Obstacles(kept_for_adapters=3))
         self.meters.count(samples.refused(plan))
         kept = self.value("load_obstacles_total", obstacle="kept_for_adapters")
         self.assertEqual(kept, 3)
 
-    def test_hundreds_of_routes_do_not_make_hundreds_of_series(self):
+    def test_the_number_of_route_labels_is_bounded(self):
         for number in range(500):
             self.meters.count(samples.refused(route=f"r-{number}"))
         page = self.meters.page().decode()
@@ -88,10 +88,10 @@
             self.value("refusals_total", reason="overloaded", status="503"), 400
         )
 
-    def test_a_level_is_read_when_the_page_is_asked_for(self):
-        levels = [3]
-        self.meters.level("calls_under_way", "Calls", lambda: levels[0])
-        levels[0] = 8
+    def test_a_gauge_is_read_when_the_page_is_requested(self):
+        gauge = [3]
+        self.meters.level("calls_under_way", "Calls", lambda: gauge[0])
+        gauge[0] = 8
         self.assertIn(b"bambootiller_calls_under_way 8.0", self.meters.page())
 
     def test_each_kind_of_line_can_be_counted(self):
@@ -125,7 +125,7 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 200 OK\r\n"), answer)
         self.assertTrue(answer.endswith(b"\r\n\r\nup 1\n"), answer)
 
-    async def test_what_else_comes_is_answered_with_an_error(self):
+    async def test_other_requests_are_answered_with_an_error(self):
         for data, status in (
             (b"GET /other HTTP/1.1\r\n\r\n", b"404"),
             (b"POST /metrics HTTP/1.1\r\n\r\n", b"405"),
@@ -135,7 +135,7 @@
             answer = await self.ask(data)
             self.assertEqual(answer.split(b" ")[1], status, data[:40])
 
-    async def test_scrapers_that_say_nothing_do_not_pile_up(self):
+    async def test_connections_without_a_request_do_not_pile_up(self):
         """Symptom: the process runs out of descriptors.
 
         Each connection to the metrics page that sends nothing is held for ever.
@@ -148,8 +148,8 @@
         for _, writer in held:
             writer.close()
 
-    async def test_a_taken_port_costs_the_metrics_and_nothing_else(self):
-        taken = Address("127.0.0.1", self.page.port)
-        second = MetricsPage(lambda: b"", taken, "/metrics")
+    async def test_a_port_in_use_disables_only_the_metrics(self):
+        port_in_use = Address("127.0.0.1", self.page.port)
+        second = MetricsPage(lambda: b"", port_in_use, "/metrics")
         await second.start()
         await second.stop()
--- a/tests/gateway/cover/test_model_moves.py
+++ b/tests/gateway/cover/test_model_moves.py
@@ -42,7 +42,7 @@
         demands = {**BUSY, "clerk": clerk, **demands}
         return Planner(self.spec, 4).plan(NOW, backends, demands)
 
-    def test_a_model_in_the_way_is_loaded_where_it_has_a_copy(self):
+    def test_a_model_that_fills_the_engine_is_loaded_where_it_has_a_copy(self):
         """Symptom: demand moves to a model, and its calls are refused for 6 seconds.
 
         Its only copy lies at an engine that is full of busy models, so it is loaded
@@ -66,7 +66,7 @@
         self.assertFalse(plan["clerk"].from_store)
         self.assertEqual(plan["clerk"].instance, "b1")
 
-    def test_models_that_nobody_has_do_not_keep_it_from_that(self):
+    def test_models_without_a_copy_do_not_prevent_the_move(self):
         """The store's turn was left to one of these, and the move with it."""
         names = ("tutor", "poet", "clerk", "scribe", "extra", "new")
         self.spec = samples.engine(*map(samples.model, names))
@@ -77,7 +77,7 @@
             self.assertEqual(plan["clerk"].instance, "b1")
             self.assertFalse(plan["clerk"].from_store)
 
-    def test_once_it_is_held_twice_it_makes_way(self):
+    def test_once_it_has_two_holders_it_is_evicted(self):
         first = self.first(keep_values={"tutor": 0.4, "poet": 3.5})
         demands = {"tutor": Demand(3.0, 0, 2, 0.0, 2)}
         plan = self.plan(first, self.second(("scribe", "tutor")), **demands)
@@ -101,7 +101,7 @@
 
 
 class TestLongLoads(unittest.TestCase):
-    def test_a_long_load_goes_where_it_puts_fewest_models_out_of_reach(self):
+    def test_a_long_load_goes_to_the_engine_with_the_fewest_unique_copies(self):
         """Symptom: a model is asked for, and its only copy can't be used for seconds.
 
         Its engine loads another from the weight store meanwhile and takes no order,
@@ -127,11 +127,11 @@
 
 
 class TestKeepValues(unittest.TestCase):
-    def test_of_equals_the_one_with_a_copy_elsewhere_goes_first(self):
+    def test_of_equals_the_one_with_a_copy_elsewhere_is_evicted_first(self):
         alone, copied = Demand(0.0, 0, 1, 0.0, 1), Demand(0.0, 0, 1, 0.0, 2)
         self.assertGreater(alone.value_per_holder, copied.value_per_holder)
 
-    def test_where_copies_are_not_known_nothing_is_assumed(self):
+    def test_an_unknown_number_of_copies_counts_as_one(self):
         self.assertEqual(
             Demand(1.0, 0, 1).value_per_holder,
             Demand(1.0, 0, 1, 0.0, 1).value_per_holder,
--- a/tests/gateway/cover/test_obstacles.py
+++ b/tests/gateway/cover/test_obstacles.py
@@ -12,7 +12,7 @@
 
 
 class TestObstacles(unittest.TestCase):
-    def seen(self, *backends, demands=None):
+    def find_obstacles(self, *backends, demands=None):
         names = ("tutor", "poet", "coder")
         spec = samples.engine(*[samples.model(name) for name in names])
         demands = {"tutor": Demand(0.2, 1), **(demands or {})}
@@ -22,9 +22,9 @@
 
     def test_an_engine_whose_agent_is_silent_takes_no_orders(self):
         silent = engine_backend(NOW - 60.0, "b1")
-        self.assertEqual(self.seen(silent), Obstacles(no_orders=1))
+        self.assertEqual(self.find_obstacles(silent), Obstacles(no_orders=1))
 
-    def test_an_engine_full_of_models_that_are_wanted_more_has_no_room(self):
+    def test_an_engine_full_of_models_in_higher_demand_has_no_room(self):
         full = engine_backend(
             NOW,
             "b1",
@@ -32,16 +32,18 @@
             in_use={"poet": 3, "coder": 3},
             keep_values={"poet": 9.0, "coder": 9.0},
         )
-        self.assertEqual(self.seen(full), Obstacles(no_room=1))
+        self.assertEqual(self.find_obstacles(full), Obstacles(no_room=1))
 
     def test_an_engine_with_room_waits_for_the_store_alone(self):
-        self.assertEqual(self.seen(engine_backend(NOW, "b1")), Obstacles(able=1))
+        self.assertEqual(
+            self.find_obstacles(engine_backend(NOW, "b1")), Obstacles(able=1)
+        )
 
-    def test_a_model_that_the_configuration_does_not_know_has_none(self):
+    def test_a_model_missing_from_the_configuration_has_none(self):
         planner = Planner(samples.engine(), 1)
         self.assertIsNone(planner.obstacles("nobody", Demand()))
 
-    def test_a_refusal_tells_them(self):
+    def test_a_refusal_lists_them(self):
         line = samples.refused(PlanSnapshot(obstacles=Obstacles(no_room=2)))
         expected = {"no_orders": 0, "kept_for_adapters": 0, "no_room": 2, "able": 0}
         self.assertEqual(line.to_json()["plan"]["obstacles"], expected)
--- a/tests/gateway/cover/test_overload.py
+++ b/tests/gateway/cover/test_overload.py
@@ -18,7 +18,7 @@
         for _ in range(count):
             self.overload.tick(late_s)
 
-    def test_a_pause_turns_nobody_away(self):
+    def test_a_pause_rejects_nobody(self):
         """An instance that was suspended took no caller when it was back."""
         self.ticks(1, 8.0)
         self.ticks(5, 0.0)
@@ -26,7 +26,7 @@
         self.assertEqual(self.overload.share, 0.0)
         self.assertTrue(self.overload.is_ready)
 
-    def test_more_work_than_time_turns_away_more_and_more(self):
+    def test_sustained_overload_rejects_more_and_more(self):
         self.ticks(SUSTAINED_TICKS, 2 * BUSY_S)
         first = self.overload.share
         self.assertGreater(first, 0.0)
@@ -36,7 +36,7 @@
         self.assertEqual(self.overload.share, MAX_SHARE)
         self.assertFalse(self.overload.is_ready)
 
-    def test_it_ends_with_the_work(self):
+    def test_it_ends_with_the_overload(self):
         self.ticks(40, 2 * BUSY_S)
         self.ticks(40, 0.0)
         self.assertEqual(self.overload.share, 0.0)
--- a/tests/gateway/cover/test_plan_clock.py
+++ b/tests/gateway/cover/test_plan_clock.py
@@ -15,54 +15,54 @@
     def setUp(self):
         self.timers = TimerService()
         self.now = 0.0
-        self.made = []
-        self.waits = self.asked = self.work = False
+        self.plan_times = []
+        self.calls_wait = self.calls_come = self.plan_has_loads = False
         self.version = 1
         self.clock = PlanScheduler(
             self.plan,
             self.plan,
-            lambda: self.waits,
-            lambda: self.asked,
+            lambda: self.calls_wait,
+            lambda: self.calls_come,
             lambda: self.version,
         )
         self.clock.start(self.timers, 0.0)
 
     def plan(self, now):
         self.clock.plan_started(now)
-        self.made.append(now)
-        if self.work:
+        self.plan_times.append(now)
+        if self.plan_has_loads:
             self.clock.mark_not_empty()
 
     def run_for(self, seconds):
         """How many plans are made meanwhile."""
-        before, end = len(self.made), self.now + seconds
+        before, end = len(self.plan_times), self.now + seconds
         while self.timers.next_due() <= end:
             self.now = self.timers.next_due()
             self.timers.advance(self.now)
         self.now = end
-        return len(self.made) - before
+        return len(self.plan_times) - before
 
-    def test_at_rest_a_plan_is_made_once_in_a_long_while(self):
+    def test_at_rest_plans_are_made_at_the_longest_interval(self):
         self.assertEqual(self.run_for(1.0), 1)
         self.assertEqual(self.run_for(4 * UNCHANGED_PLAN_INTERVAL_S), 4)
 
-    def test_a_plan_that_is_not_empty_is_made_as_before(self):
-        self.work = True
+    def test_after_a_plan_with_loads_the_interval_is_the_idle_one(self):
+        self.plan_has_loads = True
         self.run_for(1.0)
         self.assertGreaterEqual(self.run_for(10.0), 0.8 * 10.0 / IDLE_PLAN_INTERVAL_S)
 
-    def test_while_calls_come_it_is_made_as_before(self):
+    def test_while_calls_come_the_interval_is_the_idle_one(self):
         self.run_for(1.0)
-        self.asked = True
+        self.calls_come = True
         self.assertGreaterEqual(self.run_for(10.0), 0.8 * 10.0 / IDLE_PLAN_INTERVAL_S)
 
-    def test_while_calls_wait_it_is_made_often(self):
+    def test_while_calls_wait_plans_are_made_at_the_shortest_interval(self):
         self.run_for(1.0)
-        self.waits = True
+        self.calls_wait = True
         self.clock.check_soon(self.now)
         self.assertGreaterEqual(self.run_for(1.0), 0.9 / PLAN_INTERVAL_S)
 
-    def test_a_change_is_planned_for_soon(self):
+    def test_a_change_soon_causes_a_plan(self):
         self.run_for(1.0)
         self.clock.changed(self.now)
         self.assertEqual(self.run_for(2 * PLAN_INTERVAL_S), 1)
--- a/tests/gateway/cover/test_quarantine_record.py
+++ b/tests/gateway/cover/test_quarantine_record.py
@@ -14,7 +14,7 @@
 
 
 class TestQuarantineRecord(unittest.TestCase):
-    def test_another_process_reads_what_was_written_with_its_age(self):
+    def test_another_process_reads_the_runs_with_their_ages(self):
         value = quarantine_record.encode(RUNS, now=100.0, unix_s=5000.0)
         found = quarantine_record.decode(KEY, value, now=7.0, unix_s=5020.0)
         self.assertEqual([run.lost_at for run in found], [-23.0, -18.0])
@@ -22,17 +22,17 @@
         read = [(run.fingerprint, run.incarnation, run.progressed) for run in found]
         self.assertEqual(read, same)
 
-    def test_a_clock_that_was_set_back_makes_nothing_younger_than_now(self):
+    def test_with_a_clock_set_back_no_run_is_in_the_future(self):
         value = quarantine_record.encode(RUNS, now=100.0, unix_s=5000.0)
         found = quarantine_record.decode(KEY, value, now=7.0, unix_s=4000.0)
         self.assertEqual({run.lost_at for run in found}, {7.0})
 
-    def test_old_runs_count_no_more(self):
+    def test_expired_runs_are_dropped(self):
         value = quarantine_record.encode(RUNS, now=100.0, unix_s=5000.0)
         later = 5000.0 + RETENTION_S
         self.assertEqual(quarantine_record.decode(KEY, value, 7.0, later), ())
 
-    def test_anything_else_is_refused_with_what_it_was(self):
+    def test_malformed_records_raise_value_error(self):
         for value in (b"", b"{}x", b"[1]", b'[{"instance": "b1"}]', b"\xff"):
             with self.subTest(value), self.assertRaises(ValueError):
                 quarantine_record.decode(KEY, value, 0.0, 0.0)
--- a/tests/gateway/cover/test_quotas.py
+++ b/tests/gateway/cover/test_quotas.py
@@ -17,18 +17,18 @@
 
 
 class TestLimit(unittest.TestCase):
-    TERMS = QuotaTolerance(8.0, 0.1, 500.0)
+    TOLERANCE = QuotaTolerance(8.0, 0.1, 500.0)
 
-    def test_a_window_is_within_what_is_allowed(self):
+    def test_a_full_window_stays_within_the_tolerance(self):
         for burst in (0.0, 100.0, 900.0, 10_000.0):
             quota = Quota(1000.0, burst, QuotaUnit.TOKEN)
-            limit = Limit.of(quota, self.TERMS)
-            most = limit.span_s * limit.rate_per_s + limit.depth
-            self.assertLess(most, self.TERMS.allowed(quota))
+            limit = Limit.of(quota, self.TOLERANCE)
+            max_amount = limit.span_s * limit.rate_per_s + limit.depth
+            self.assertLess(max_amount, self.TOLERANCE.allowed(quota))
             self.assertLessEqual(limit.share_depth, limit.depth)
 
-    def test_it_stores_the_burst(self):
-        limit = Limit.of(Quota(1000.0, 4000.0, QuotaUnit.TOKEN), self.TERMS)
+    def test_the_bucket_holds_the_burst(self):
+        limit = Limit.of(Quota(1000.0, 4000.0, QuotaUnit.TOKEN), self.TOLERANCE)
         self.assertGreaterEqual(limit.depth, 4000.0)
 
 
@@ -36,7 +36,7 @@
     """A customer whose rate had been lowered ran half of what it might: its burst
     stayed, and only the rate filled the bucket, which was empty all the time."""
 
-    def test_a_customer_that_stores_nothing_runs_what_the_window_allows(self):
+    def test_a_customer_with_an_empty_bucket_gets_what_a_window_allows(self):
         quota = Quota(12_685.0, 45_664.0, QuotaUnit.TOKEN)
         tolerance = QuotaTolerance(8.0, 0.1, 7400.0)
         limits = {"c1": Limit.of(quota, tolerance)}
@@ -69,7 +69,7 @@
     def take(self, now, cost):
         return self.account.take(now, LIMIT, cost)
 
-    def test_it_has_nothing_at_first(self):
+    def test_an_account_is_empty_at_first(self):
         self.assertIsNone(self.take(1000.0, 1.0))
 
     def test_a_share_fills_from_empty(self):
@@ -78,63 +78,63 @@
         self.assertIsNotNone(self.take(11.0, 50.0))
         self.assertIsNone(self.take(11.0, 1.0))
 
-    def test_it_stores_its_part_of_the_depth(self):
+    def test_a_share_holds_its_part_of_the_depth(self):
         self.grant(10.0, share=0.5)
         available = self.account.available(10.0 + SHARE_TTL_S / 2, LIMIT)
         self.assertAlmostEqual(available, 0.5 * LIMIT.depth)
 
-    def test_a_share_ends_with_what_it_stored(self):
+    def test_a_share_expires_with_its_balance(self):
         self.grant(10.0, share=0.5)
         self.assertEqual(self.account.available(10.0 + SHARE_TTL_S, LIMIT), 0.0)
         self.assertEqual(self.account.share, 0.0)
 
-    def test_it_is_reckoned_from_the_ask(self):
+    def test_a_share_expires_a_fixed_time_after_the_request(self):
         self.grant(20.0, share=0.5, asked_at=10.0)
         self.assertEqual(self.account.available(10.0 + SHARE_TTL_S, LIMIT), 0.0)
 
-    def test_an_advance_is_spent_soon_or_lost(self):
+    def test_an_advance_expires(self):
         self.grant(10.0, advance=30.0)
         self.assertIsNotNone(self.take(10.0 + LIMIT.advance_s / 2, 20.0))
         self.assertIsNone(self.take(10.0 + LIMIT.advance_s, 10.0))
 
-    def test_one_that_comes_too_late_is_lost(self):
+    def test_an_advance_that_arrives_too_late_is_lost(self):
         self.grant(12.0, advance=30.0, asked_at=10.0)
         self.assertIsNone(self.take(12.0, 1.0))
 
-    def test_a_smaller_share_cuts_what_is_stored(self):
+    def test_a_smaller_share_cuts_the_balance(self):
         self.grant(10.0, share=0.8)
         self.grant(12.0, share=0.1)
         available = self.account.available(12.0, LIMIT)
         self.assertAlmostEqual(available, 0.1 * LIMIT.depth)
 
-    def test_what_never_ran_is_given_back_once(self):
+    def test_a_charge_is_refunded_once(self):
         self.grant(10.0, share=0.5)
-        spent = self.take(11.0, 40.0)
-        self.account.refund(11.0, LIMIT, spent)
-        self.account.refund(11.0, LIMIT, spent)
+        charge = self.take(11.0, 40.0)
+        self.account.refund(11.0, LIMIT, charge)
+        self.account.refund(11.0, LIMIT, charge)
         self.assertAlmostEqual(self.account.available(11.0, LIMIT), 50.0)
 
-    def test_an_advance_is_given_back_while_it_may_be_spent(self):
+    def test_an_advance_is_refunded_until_it_expires(self):
         """A customer's calls were refused by busy engines, and what they had taken was
         lost: it ran half of what it might."""
         self.grant(10.0, advance=30.0)
         self.account.refund(10.1, LIMIT, self.take(10.0, 30.0))
-        spent = self.take(10.1, 30.0)
-        self.assertIsNotNone(spent)
-        self.account.refund(10.0 + LIMIT.advance_s, LIMIT, spent)
+        charge = self.take(10.1, 30.0)
+        self.assertIsNotNone(charge)
+        self.account.refund(10.0 + LIMIT.advance_s, LIMIT, charge)
         self.assertEqual(self.account.available(10.0 + LIMIT.advance_s, LIMIT), 0.0)
 
-    def test_given_back_after_the_bucket_was_full_it_is_nothing_more(self):
+    def test_a_refund_after_the_bucket_was_full_adds_nothing(self):
         """Twice the depth was there to be spent in a moment: a call took a part, the
         bucket filled, was emptied, and the call gave its part back."""
         self.grant(10.0, share=0.5)
-        spent = self.take(11.0, 40.0)
+        charge = self.take(11.0, 40.0)
         full = self.account.available(20.0, LIMIT)
         self.take(20.0, full)
-        self.account.refund(20.0, LIMIT, spent)
+        self.account.refund(20.0, LIMIT, charge)
         self.assertAlmostEqual(self.account.available(20.0, LIMIT), 0.0)
 
-    def test_a_second_run_counts_whatever_is_there(self):
+    def test_a_retry_is_charged_whatever_the_balance(self):
         self.grant(10.0, share=0.5)
         self.account.overdraw(10.0, LIMIT, 50.0)
         self.assertAlmostEqual(self.account.available(11.0, LIMIT), 0.0)
@@ -143,7 +143,7 @@
 class TestQuotaAllocator(unittest.TestCase):
     def setUp(self):
         self.allocator = self.begin(0.0)
-        self.numbers, self.heard = {}, {}
+        self.numbers, self.last_answered = {}, {}
 
     def begin(self, now, members=None, term=1):
         allocator = QuotaAllocator(term, now, members or {})
@@ -153,10 +153,10 @@
     def ask(self, now, entry, demand=0.0, share=0.0, wanted=0.0, process="p1"):
         key = (entry, process)
         self.numbers[key] = self.numbers.get(key, 0) + 1
-        heard = self.heard.get(key, 0)
+        last_answered = self.last_answered.get(key, 0)
         asked = {"c1": CustomerAsk(demand, wanted, wanted, share)}
         ask = QuotaAsk(
-            entry, process, self.numbers[key], self.allocator.term, heard, asked
+            entry, process, self.numbers[key], self.allocator.term, last_answered, asked
         )
         answer = self.allocator.answer(now, ask, LIMITS)
         if self.allocator.pending_record is not None:
@@ -164,7 +164,7 @@
             self.allocator.record_written(self.record)
         if answer is None:
             return None
-        self.heard[key] = answer.number
+        self.last_answered[key] = answer.number
         return answer.customers["c1"]
 
     def shared(self, now, entry, demand):
@@ -184,11 +184,11 @@
         self.assertEqual(grant.advance, 0.0)
         self.assertAlmostEqual(grant.room_in_s, 0.6)
 
-    def test_no_share_before_the_process_has_shown_that_it_runs(self):
+    def test_no_share_before_the_process_confirms_an_answer(self):
         self.assertEqual(self.ask(1.0, "e1", demand=30.0).share, 0.0)
         self.assertEqual(self.shared(1.1, "e1", 30.0), 0.3)
 
-    def test_shares_follow_demand_and_leave_a_part(self):
+    def test_shares_follow_demand_and_leave_a_reserve(self):
         first = self.shared(1.0, "e1", 300.0)
         self.assertAlmostEqual(first, MAX_SHARED_FRACTION)
         self.assertEqual(self.shared(2.0, "e2", 300.0), 0.0)
@@ -199,7 +199,7 @@
         self.ask(3.1, "e1", 300.0, share=smaller)
         self.assertAlmostEqual(self.shared(3.2, "e2", 300.0), MAX_SHARED_FRACTION / 2)
 
-    def test_a_share_that_was_granted_counts_before_it_is_confirmed(self):
+    def test_a_granted_share_counts_before_it_is_confirmed(self):
         self.ask(1.0, "e1", demand=60.0)
         granted = self.ask(1.1, "e1", demand=60.0)
         granted = self.ask(1.2, "e1", demand=60.0)
@@ -213,36 +213,36 @@
         self.assertEqual(answer.customers["c1"].share, 0.0)
         self.assertEqual(self.allocator.pending_record["e1"].incarnation, "p1")
 
-    def test_one_that_follows_counts_entries_that_it_does_not_hear(self):
+    def test_a_successor_counts_the_recorded_shares_of_silent_entries(self):
         self.allocator = self.begin(5.0, {"e1": Member("p1", {"c1": 0.6})}, term=2)
         self.assertEqual(self.ask(6.0, "e2", wanted=41.0).advance, 0.0)
         self.assertEqual(self.ask(6.0, "e2", wanted=39.0).advance, 39.0)
 
-    def test_until_a_later_process_of_the_instance_has_shown_that_it_runs(self):
+    def test_a_recorded_share_ends_once_a_later_process_confirms_an_answer(self):
         self.allocator = self.begin(5.0, {"e1": Member("p1", {"c1": 0.6})}, term=2)
         self.ask(5.0, "e1", process="p2")
         self.assertEqual(self.ask(5.5, "e2", wanted=21.0).advance, 0.0)
         self.ask(5.5, "e1", process="p2")
         self.assertEqual(self.ask(6.5, "e2", wanted=80.0).advance, 80.0)
 
-    def test_or_until_their_shares_have_ended(self):
+    def test_a_recorded_share_ends_when_it_expires(self):
         self.allocator = self.begin(5.0, {"e1": Member("p1", {"c1": 1.0})}, term=2)
         self.assertEqual(self.ask(5.0 + SHARE_TTL_S - 1, "e2", wanted=1.0).advance, 0.0)
         self.ask(5.0 + SHARE_TTL_S, "e2")
         self.assertEqual(self.ask(6.0 + SHARE_TTL_S, "e2", wanted=90.0).advance, 90.0)
 
-    def test_an_ask_that_comes_twice_is_answered_once(self):
+    def test_a_duplicate_request_is_answered_once(self):
         ask = QuotaAsk("e1", "p1", 1, 1, 0, {"c1": CustomerAsk(0.0, 10.0, 10.0)})
         self.assertIsNotNone(self.allocator.answer(1.0, ask, LIMITS))
         self.assertIsNone(self.allocator.answer(1.0, ask, LIMITS))
 
-    def test_one_of_a_process_that_has_ended_is_not(self):
+    def test_a_request_of_an_ended_process_is_not_answered(self):
         self.ask(1.0, "e1", process="p1")
         self.ask(1.1, "e1", process="p2")
         self.ask(1.2, "e1", process="p2")
         self.assertIsNone(self.ask(1.3, "e1", process="p1"))
 
-    def test_a_share_that_holds_no_call_is_not_granted(self):
+    def test_a_share_too_small_for_one_call_is_not_granted(self):
         asked = {"c1": CustomerAsk(30.0, call_cost=60.0)}
         for number in range(1, 5):
             ask = QuotaAsk("e1", "p1", number, 1, number - 1, asked)
--- a/tests/gateway/cover/test_reported_limits.py
+++ b/tests/gateway/cover/test_reported_limits.py
@@ -14,45 +14,45 @@
     def setUp(self):
         self.limits = ReportedLimits()
 
-    def say(self, per_s, at, source="", instance="i-1"):
+    def report(self, per_s, at, source="", instance="i-1"):
         return self.limits.apply(ReportedLimit(instance, per_s, at), source)
 
-    def test_the_last_word_holds(self):
-        self.assertTrue(self.say(1.9, 10.0))
-        self.assertFalse(self.say(1.9, 11.0))
-        self.assertTrue(self.say(0.5, 12.0))
+    def test_the_latest_report_holds(self):
+        self.assertTrue(self.report(1.9, 10.0))
+        self.assertFalse(self.report(1.9, 11.0))
+        self.assertTrue(self.report(0.5, 12.0))
         self.assertEqual(self.limits.in_force(), {"i-1": 0.5})
-        self.assertTrue(self.say(None, 13.0))
+        self.assertTrue(self.report(None, 13.0))
         self.assertEqual(self.limits.in_force(), {})
 
-    def test_a_call_that_was_sent_before_the_limit_was_named_ends_nothing(self):
-        self.say(1.9, 10.0)
-        self.assertFalse(self.say(None, 9.9))
+    def test_a_call_sent_before_the_limit_was_reported_does_not_end_it(self):
+        self.report(1.9, 10.0)
+        self.assertFalse(self.report(None, 9.9))
         self.assertEqual(self.limits.per_s("i-1"), 1.9)
 
-    def test_what_was_never_limited_is_no_news(self):
-        self.assertFalse(self.say(None, 10.0))
+    def test_a_backend_server_without_a_limit_causes_no_update(self):
+        self.assertFalse(self.report(None, 10.0))
         self.assertEqual(self.limits.version, 0)
 
-    def test_news_leave_out_what_the_peer_told(self):
-        self.say(1.9, 10.0)
-        self.say(0.5, 10.0, "a1", "i-2")
+    def test_updates_leave_out_what_the_peer_reported(self):
+        self.report(1.9, 10.0)
+        self.report(0.5, 10.0, "a1", "i-2")
         everything = self.limits.unsent(UpdateFilter(0, False, "a2"))
         self.assertEqual({item.instance for item in everything}, {"i-1", "i-2"})
-        for_teller = self.limits.unsent(UpdateFilter(0, False, "a1"))
-        self.assertEqual([item.instance for item in for_teller], ["i-1"])
+        for_source = self.limits.unsent(UpdateFilter(0, False, "a1"))
+        self.assertEqual([item.instance for item in for_source], ["i-1"])
         since = UpdateFilter(self.limits.version, False, "a2")
         self.assertEqual(self.limits.unsent(since), [])
 
-    def test_a_peer_with_an_earlier_word_is_told_the_later_one(self):
-        self.say(1.9, 10.0, "a1")
+    def test_a_peer_with_an_earlier_report_is_sent_the_later_one(self):
+        self.report(1.9, 10.0, "a1")
         version = self.limits.version
-        self.assertFalse(self.say(None, 9.0, "a1"))
+        self.assertFalse(self.report(None, 9.0, "a1"))
         unsent = self.limits.unsent(UpdateFilter(version, True, "a1"))
         self.assertEqual([item.per_s for item in unsent], [1.9])
 
     def test_a_limit_lasts_as_long_as_its_backend_server_is_known(self):
-        self.say(1.9, 10.0)
+        self.report(1.9, 10.0)
         later = 10.0 + 2 * RETENTION_S
         self.assertFalse(self.limits.forget(later, lambda name: True))
         self.assertTrue(self.limits.forget(later, lambda name: False))
--- a/tests/gateway/cover/test_residency.py
+++ b/tests/gateway/cover/test_residency.py
@@ -27,7 +27,7 @@
     def plan(self, backends, **demands):
         return Planner(self.spec, STORE_LOADS).plan(NOW, backends, demands)
 
-    def test_a_model_with_waiting_calls_is_asked_for_now(self):
+    def test_a_model_with_waiting_calls_is_requested_now(self):
         load = self.plan([engine_backend("b1")], tutor=Demand(0.1, 1))["tutor"]
         self.assertTrue(load.request_now)
         self.assertTrue(load.from_store)
@@ -42,7 +42,7 @@
         self.assertEqual(load.instance, "b2")
         self.assertLess(load.ready_in_s, 1.0)
 
-    def test_a_copy_behind_a_long_load_is_worth_no_waiting(self):
+    def test_a_copy_behind_a_long_load_is_not_waited_for(self):
         busy = Loading("poet", 9.0, True)
         backends = [
             engine_backend("b1"),
@@ -60,38 +60,38 @@
         plan = self.plan([engine_backend("b1", ["tutor"])], tutor=Demand(0.01, 0))
         self.assertNotIn("tutor", plan)
 
-    def test_a_load_under_way_is_in_the_plan_and_not_asked_for(self):
+    def test_a_load_under_way_is_planned_and_not_requested_again(self):
         loading = Loading("tutor", 2.0, True)
         backends = [engine_backend("b1", loading=loading), engine_backend("b2")]
         load = self.plan(backends, tutor=Demand(0.1, 1))["tutor"]
         self.assertFalse(load.request_now)
         self.assertEqual(load.ready_in_s, 2.0)
 
-    def test_the_store_is_not_asked_for_more_than_it_serves_at_full_speed(self):
+    def test_no_more_loads_are_requested_than_the_store_serves_at_full_speed(self):
         names = [f"m{n}" for n in range(8)]
         self.spec = samples.engine(*(samples.model(name) for name in names))
         backends = [engine_backend(f"b{n}") for n in range(8)]
         plan = self.plan(backends, **{name: Demand(0.1, 1) for name in names})
-        asked = [load for load in plan.values() if load.request_now]
-        self.assertEqual(len(asked), STORE_LOADS)
+        requested = [load for load in plan.values() if load.request_now]
+        self.assertEqual(len(requested), STORE_LOADS)
         late = [load.ready_in_s for load in plan.values() if not load.request_now]
         self.assertGreater(min(late), 6.0)
 
-    def test_before_any_call_models_without_a_copy_are_fetched(self):
+    def test_before_any_call_models_without_a_copy_are_prefetched(self):
         plan = self.plan([engine_backend("b1", ["tutor"])])
         self.assertEqual(set(plan), {"poet", "clerk"})
 
-    def test_before_the_first_call_the_quickest_load_is_begun_first(self):
+    def test_before_the_first_call_the_shortest_load_starts_first(self):
         """It ends sooner, and so does each load from the store after it."""
         models = [samples.model(f"m{n}", load_s=15.0 - n % 2) for n in range(20)]
         plan = Planner(samples.engine(*models), 1).plan(NOW, [engine_backend("b1")], {})
         self.assertEqual(models[int(next(iter(plan))[1:])].load_s, 14.0)
 
-    def test_while_calls_come_nothing_is_fetched_that_nobody_asks_for(self):
+    def test_while_calls_come_models_without_calls_are_not_prefetched(self):
         plan = self.plan([engine_backend("b1", ["tutor"])], tutor=Demand(0.01, 0))
         self.assertEqual(plan, {})
 
-    def test_a_much_wanted_model_gets_a_second_engine(self):
+    def test_a_model_in_high_demand_gets_a_second_engine(self):
         backends = [engine_backend("b1", ["tutor"]), engine_backend("b2")]
         load = self.plan(backends, tutor=Demand(9.0, 0))["tutor"]
         self.assertEqual(load.instance, "b2")
@@ -111,7 +111,7 @@
         backend.last_received_at = NOW - 60
         self.assertEqual(self.plan([backend], tutor=Demand(0.1, 1)), {})
 
-    def test_a_long_load_goes_nowhere_where_it_costs_more_calls_than_it_serves(self):
+    def test_no_long_load_starts_where_it_delays_more_calls_than_it_serves(self):
         """The engine is the last one that can take an order for the adapters."""
         backends = [engine_backend("b1", ["tutor"])]
         demands = {
@@ -122,7 +122,7 @@
         another = engine_backend("b2", ["tutor"])
         self.assertIn("poet", self.plan([*backends, another], **demands))
 
-    def test_a_long_load_goes_where_it_keeps_fewer_calls_from_their_adapters(self):
+    def test_a_long_load_goes_to_the_engine_with_fewer_adapter_misses(self):
         backends = [engine_backend("b1", ["tutor"]), engine_backend("b2", ["coder"])]
         for rates in ((0.1, 0.0), (0.0, 0.1)):
             tutor, coder = [Demand(3.0, 0, adapter_miss_rate=rate) for rate in rates]
@@ -147,7 +147,7 @@
         plan = self.plan(early=Demand(0.1, 1, 0, 3.0), late=Demand(0.5, 3, 0, 1.0))
         self.assertEqual(plan, ["early", "late"])
 
-    def test_a_model_that_many_calls_wait_for_goes_before_all(self):
+    def test_a_model_that_many_calls_wait_for_is_loaded_first(self):
         plan = self.plan(early=Demand(0.1, 1, 0, 3.0), hot=Demand(5.0, 9, 0, 0.5))
         self.assertEqual(plan, ["hot", "early"])
 
@@ -168,20 +168,20 @@
     def plan(self, **demands):
         return list(Planner(self.spec, STORE_LOADS).plan(NOW, self.backends, demands))
 
-    def test_they_go_before_calls_that_are_late_already(self):
+    def test_they_precede_calls_that_are_late_already(self):
         early = Demand(0.1, 1, 0, 0.2, 1, next_deadline_s=2.0)
         self.assertEqual(self.plan(late=self.late, early=early), ["early", "late"])
 
-    def test_the_one_that_would_be_late_first_is_first(self):
+    def test_the_earliest_deadline_is_first(self):
         early = Demand(0.1, 1, 0, 0.9, 1, next_deadline_s=3.0)
         soon = Demand(0.1, 1, 0, 0.1, 1, next_deadline_s=1.0)
         self.assertEqual(self.plan(early=early, soon=soon), ["soon", "early"])
 
-    def test_one_that_no_load_can_serve_in_time_keeps_its_turn(self):
+    def test_a_call_that_no_load_can_serve_in_time_gains_no_priority(self):
         early = Demand(0.1, 1, 0, 0.2, 1, next_deadline_s=0.5)
         self.assertEqual(self.plan(late=self.late, early=early), ["late", "early"])
 
-    def test_nor_does_one_overtake_that_only_the_store_can_serve(self):
+    def test_a_call_that_only_the_store_can_serve_gains_no_priority(self):
         self.backends = [engine_backend("b1", on_disk=frozenset({"late"}))]
         early = Demand(0.1, 1, 0, 0.2, 0, next_deadline_s=3.0)
         self.assertEqual(self.plan(late=self.late, early=early), ["late", "early"])
@@ -209,28 +209,28 @@
     def victims(self, in_use, values, incoming):
         return choose_victims(self.spec, self.held, 30.0, in_use, values, incoming)
 
-    def test_the_least_wanted_idle_model_goes(self):
+    def test_the_idle_model_in_least_demand_is_evicted(self):
         found = self.victims({}, {"tutor": 2.0, "poet": 0.1}, Demand(0.1, 1))
         self.assertEqual(found.models, ("poet",))
 
-    def test_a_model_with_calls_stays_while_another_is_idle(self):
+    def test_a_model_in_use_stays_while_another_is_idle(self):
         values = {"tutor": 0.2, "poet": 0.1}
         found = self.victims({"poet": 1}, values, Demand(0.1, 1))
         self.assertEqual(found.models, ("tutor",))
         self.assertFalse(found.busy)
 
-    def test_rarely_used_models_take_turns(self):
+    def test_a_rarely_used_model_is_evicted_even_while_in_use(self):
         values = {"tutor": 9.0, "poet": 0.1}
         in_use = {"tutor": 5, "poet": 1}
         found = self.victims(in_use, values, Demand(0.1, 1))
         self.assertEqual(found.models, ("poet",))
         self.assertTrue(found.busy)
 
-    def test_nothing_with_calls_goes_for_what_nobody_waits_for(self):
+    def test_no_model_in_use_is_evicted_for_one_without_waiting_calls(self):
         in_use = {"tutor": 5, "poet": 1}
         self.assertIsNone(self.victims(in_use, {"poet": 0.1}, Demand(0.1, 0)))
 
-    def test_a_model_whose_callers_are_due_back_stays_for_one_wanted_as_much(self):
+    def test_expected_retries_protect_a_model_from_one_in_similar_demand(self):
         """Symptom: callers come back when they were told to, and are refused again.
 
         Their model came in time, and was unloaded in the second before for another
@@ -238,13 +238,13 @@
         """
         due = {"tutor": Demand(1.0, 6, 1), "poet": Demand(900.0, 0, 1)}
         values = keep_values(("tutor", "poet"), due)
-        rival, merge_max = Demand(1.3, 8), Demand(1.3, 30)
+        rival, stronger = Demand(1.3, 8), Demand(1.3, 30)
         holdings = {"tutor": frozenset(), "poet": frozenset()}
-        for incoming, goes in ((rival, False), (merge_max, True)):
+        for incoming, goes in ((rival, False), (stronger, True)):
             victims = choose_victims(self.spec, holdings, 20.0, {}, values, incoming)
             self.assertEqual(victims is not None, goes, incoming)
 
-    def test_a_busy_model_without_calls_for_a_moment_stays(self):
+    def test_a_busy_model_stays_in_a_moment_without_calls(self):
         """Symptom: a model with eight calls a second is unloaded for a single caller,
         and loaded again two seconds later.
 
@@ -258,7 +258,7 @@
                 found = self.victims(in_use, values, Demand(0.2, 2))
                 self.assertEqual(found.models, ("poet",))
 
-    def test_no_model_makes_way_for_one_that_is_wanted_far_less(self):
+    def test_no_model_is_evicted_for_one_in_far_lower_demand(self):
         values = {"tutor": 50.0, "poet": 50.0}
         self.assertIsNone(self.victims({}, values, Demand(0.1, 1)))
 
@@ -318,10 +318,10 @@
         load = self.plan(running=4)["tutor"]
         self.assertEqual((load.instance, load.request_now), ("b3", True))
 
-    def test_with_room_at_its_holders_it_stays_as_it_is(self):
+    def test_while_its_holders_have_room_no_engine_is_added(self):
         self.assertEqual(self.plan(running=2), {})
 
-    def test_a_model_that_nobody_holds_or_waits_for_is_not_crowded(self):
+    def test_a_model_without_holders_and_waiting_calls_gets_no_engine(self):
         backends = [engine_backend("b3", on_disk=frozenset({"tutor"}))]
         demands = {"tutor": Demand(9.0, 0, copies=1)}
         self.assertEqual(
@@ -350,13 +350,13 @@
             )
         return Planner(spec, STORE_LOADS).plan(NOW, backends, {})
 
-    def test_a_model_with_few_holders_stays_where_it_is(self):
+    def test_a_model_with_few_holders_is_not_evicted(self):
         self.assertEqual(self.plan(13.2, holders=2), {})
 
-    def test_one_of_three_holders_makes_way(self):
+    def test_one_of_three_holders_may_evict_it(self):
         self.assertIn("poet", self.plan(13.2, holders=3))
 
-    def test_a_short_load_may_take_the_place_of_a_model_held_once(self):
+    def test_a_short_load_may_evict_a_model_with_one_holder(self):
         self.assertIn("poet", self.plan(6.0, holders=1))
 
 
@@ -382,12 +382,12 @@
         ]
         return Planner(spec, STORE_LOADS).plan(NOW, backends, demands)
 
-    def test_they_make_no_way_for_a_model_that_nobody_asks_for(self):
+    def test_no_holder_evicts_it_for_a_model_without_calls(self):
         for holders in (2, 3, 5):
             with self.subTest(holders=holders):
                 self.assertEqual(self.plan(holders), {})
 
-    def test_they_make_way_for_one_that_is_waited_for(self):
+    def test_a_holder_evicts_it_for_a_model_with_waiting_calls(self):
         self.assertIn("poet", self.plan(2, poet=Demand(0.1, 1)))
 
 
@@ -415,14 +415,14 @@
         ]
         return Planner(self.spec, STORE_LOADS).plan(NOW, backends, self.demands)
 
-    def test_a_second_engine_goes_before_a_single_waiting_call(self):
+    def test_a_second_engine_precedes_a_single_waiting_call(self):
         plan = self.plan()
         self.assertEqual(
             (plan["tutor"].instance, plan["tutor"].request_now), ("b2", True)
         )
         self.assertFalse(plan["poet"].request_now)
 
-    def test_it_does_not_go_before_a_model_that_many_wait_for(self):
+    def test_it_does_not_precede_a_model_with_many_waiting_calls(self):
         self.demands["poet"] = Demand(0.2, 6, copies=1, oldest_s=0.5)
         plan = self.plan()
         self.assertTrue(plan["poet"].request_now)
--- a/tests/gateway/cover/test_retry_prediction.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -13,9 +13,9 @@
 from tests.gateway.common import samples
 
 
-def call(given_s, now=0.0, name="/a/", **fields):
+def call(caller_timeout_s, now=0.0, name="/a/", **fields):
     route = samples.route(prefix=name, **fields)
-    return samples.call(route, now=now, deadline=given_s)
+    return samples.call(route, now=now, deadline=caller_timeout_s)
 
 
 class TestRetryPredictor(unittest.TestCase):
@@ -23,19 +23,19 @@
         self.retry_predictor = RetryPredictor()
         self.retry_predictor.asked(call(30.0))
 
-    def expected(self, given_s, retry_after_s, held_s=0.0):
+    def expected(self, caller_timeout_s, retry_after_s, held_s=0.0):
         return self.retry_predictor.expected_retry_in_s(
-            call(given_s), held_s, retry_after_s
+            call(caller_timeout_s), held_s, retry_after_s
         )
 
-    def test_a_caller_is_back_when_it_was_told_to_be(self):
+    def test_a_caller_is_expected_at_the_time_it_was_given(self):
         self.assertEqual(self.expected(30.0, retry_after_s=4.0), 4.0)
 
-    def test_but_stays_away_for_a_third_of_its_time_at_most(self):
+    def test_the_delay_is_at_most_a_third_of_the_time_left(self):
         self.assertEqual(self.expected(30.0, retry_after_s=60.0), 10.0)
         self.assertEqual(self.expected(30.0, retry_after_s=60.0, held_s=12.0), 6.0)
 
-    def test_one_that_has_been_back_is_not_expected_again(self):
+    def test_a_caller_that_has_retried_is_not_expected_again(self):
         self.assertIsNone(self.expected(20.0, retry_after_s=4.0))
 
     def test_callers_of_a_route_whose_timeout_is_shortened_are_expected(self):
@@ -44,7 +44,7 @@
         self.retry_predictor.asked(short)
         self.assertEqual(self.retry_predictor.expected_retry_in_s(short, 0.0, 3.0), 3.0)
 
-    def test_routes_differ_in_the_time_of_their_callers(self):
+    def test_caller_timeouts_are_learnt_per_route(self):
         short = call(10.0, name="/b/")
         self.retry_predictor.asked(short)
         self.assertEqual(self.retry_predictor.expected_retry_in_s(short, 0.0, 2.0), 2.0)
@@ -58,18 +58,18 @@
     def callers(self, now):
         return self.demand.demands(now, {}, {})["tutor"].callers
 
-    def test_those_who_wait_count_until_they_go(self):
+    def test_waiting_callers_count_until_they_leave(self):
         self.demand.begin_waiting(0.0, "tutor", 1.5)
         self.assertEqual(self.callers(9.0), 1.5)
         self.demand.end_waiting(0.0, "tutor", 1.5)
         self.assertEqual(self.callers(9.0), 0.0)
 
-    def test_refused_ones_count_until_they_should_be_back(self):
+    def test_refused_callers_count_until_their_retry_is_due(self):
         self.demand.refused(0.0, "tutor", 60.0, 2.0, returns_in_s=10.0)
         self.assertEqual(self.callers(9.9), 2.0)
         self.assertEqual(self.callers(10.1 + RETURN_SLACK_S), 0.0)
 
-    def test_those_who_are_not_expected_do_not_count(self):
+    def test_refused_callers_that_will_not_retry_do_not_count(self):
         self.demand.refused(0.0, "tutor", 60.0, 2.0)
         self.assertEqual(self.callers(0.5), 0.0)
 
@@ -77,7 +77,7 @@
 class TestRefusedCalls(unittest.IsolatedAsyncioTestCase):
     """What the entry that refuses a call counts on."""
 
-    async def callers(self, *given_s):
+    async def callers(self, *caller_timeout_s):
         """Those counted after one call each with so much time has been refused."""
         demand, context = DemandTracker(), mock.Mock()
         context.clock.return_value = 5.0
@@ -93,7 +93,7 @@
         context.engines.plans.demand.return_value = demand
         state = context.service.return_value
         state.levels, state.retry_predictor = ServiceLevels(), RetryPredictor()
-        for seconds in given_s:
+        for seconds in caller_timeout_s:
             call = samples.call(
                 now=5.0, deadline=seconds, ask=samples.ask("tutor"), service="llm"
             )
@@ -103,8 +103,8 @@
                 await placement.place()
         return demand.demands(6.0, {}, {})["tutor"].callers
 
-    async def test_it_expects_the_caller_of_a_first_try(self):
+    async def test_the_caller_of_a_first_attempt_is_expected(self):
         self.assertEqual(await self.callers(30.0), 1.0)
 
-    async def test_it_expects_nobody_after_a_second_try(self):
+    async def test_no_caller_is_expected_after_a_second_attempt(self):
         self.assertEqual(await self.callers(30.0, 20.0), 1.0)
--- a/tests/gateway/cover/test_running_clock.py
+++ b/tests/gateway/cover/test_running_clock.py
@@ -20,14 +20,14 @@
             self.now += TICK_S
             self.running.tick(self.now)
 
-    def test_it_goes_with_the_clock_while_the_process_runs(self):
+    def test_it_follows_the_clock_while_the_process_runs(self):
         began = self.running.running_time(self.now)
         self.run_for(5.0)
         self.assertAlmostEqual(
             self.running.running_time(self.now) - began, self.now - 100.0
         )
 
-    def test_a_standstill_does_not_count_whoever_asks_first(self):
+    def test_a_stall_does_not_count_whether_read_before_or_after_the_tick(self):
         self.run_for(1.0)
         began = self.running.running_time(self.now)
         self.now += 3.0
@@ -40,7 +40,7 @@
             self.running.running_time(self.now) - began, TICK_S + TICK_TOLERANCE_S
         )
 
-    def test_a_look_that_is_a_little_late_is_no_standstill(self):
+    def test_a_tick_that_is_a_little_late_is_no_stall(self):
         self.now += TICK_S + TICK_TOLERANCE_S / 2
         self.assertEqual(self.running.tick(self.now), 0.0)
 
--- a/tests/gateway/cover/test_selection.py
+++ b/tests/gateway/cover/test_selection.py
@@ -43,12 +43,12 @@
     def test_calls_gather_at_the_first_holder(self):
         self.assertIs(self.choose(), self.first)
 
-    def test_one_more_goes_elsewhere_while_prefills_are_pending_there(self):
+    def test_a_call_goes_elsewhere_while_prefills_are_pending(self):
         for _ in range(4):
             self.first.prefill_queued()
         self.assertIs(self.choose(), self.next)
 
-    def test_it_returns_once_they_are_prefilled(self):
+    def test_calls_return_once_the_prefills_are_done(self):
         for _ in range(4):
             self.first.prefill_queued()
         for _ in range(4):
@@ -61,7 +61,7 @@
         )
         self.assertIs(self.choose(), self.next)
 
-    def test_old_figures_of_an_engine_do_not(self):
+    def test_outdated_figures_of_an_engine_do_not_count(self):
         self.first.engine = samples.engine_state(
             self.first.instance, ["tutor"], queued=4
         )
--- a/tests/gateway/cover/test_service_levels.py
+++ b/tests/gateway/cover/test_service_levels.py
@@ -30,14 +30,14 @@
 
 
 class TestServiceLevels(unittest.TestCase):
-    def test_a_single_level_counts_its_calls(self):
+    def test_calls_of_a_single_level_have_weight_one(self):
         self.assertEqual(ServiceLevels().weigh(0.0, RARE), 1.0)
 
-    def test_a_level_counts_by_the_root_of_how_much_less_it_is_used(self):
+    def test_the_weight_grows_with_the_square_root_of_the_inverse_rate(self):
         found = weights({FREQUENT: 40.0, RARE: 10.0})
         self.assertAlmostEqual(found[RARE] / found[FREQUENT], 2.0, delta=0.1)
 
-    def test_a_single_caller_of_a_level_does_not_determine_the_loads(self):
+    def test_a_single_caller_of_a_level_has_a_bounded_weight(self):
         found = weights({FREQUENT: 300.0, RARE: 0.05})
         self.assertEqual(found[RARE], MAX_WEIGHT)
         self.assertGreaterEqual(found[FREQUENT], MIN_WEIGHT)
@@ -48,7 +48,7 @@
         calls = samples.call(first), samples.call(second)
         self.assertEqual([level_of(call) for call in calls], [RARE, RARE])
 
-    def test_a_customers_priority_goes_before_its_routes(self):
+    def test_a_customers_priority_overrides_its_routes(self):
         first = samples.route(CallKind.STREAM, "/a/", priority=7, target_s=2.0)
         call = samples.call(first, customer=Customer("c1", priority=2))
         self.assertEqual(level_of(call), RARE)
@@ -72,7 +72,7 @@
         demand_tracker.end_waiting(1.0, "critic", 6.0)
         self.assertFalse(demand_tracker.has_waiting_calls)
 
-    def test_a_waiting_call_counts_whatever_its_weight(self):
+    def test_a_waiting_call_counts_as_one_at_least(self):
         demand_tracker = DemandTracker()
         demand_tracker.asked(0.0, "tutor", 0.4)
         demand_tracker.begin_waiting(0.0, "tutor", 0.4)
--- a/tests/gateway/cover/test_silence.py
+++ b/tests/gateway/cover/test_silence.py
@@ -12,27 +12,27 @@
 
     def __init__(self):
         self.last_received_at = time.monotonic()
-        self.told = []
+        self.signals = []
 
     def signal_silence(self, seconds):
-        self.told.append(seconds)
+        self.signals.append(seconds)
 
 
 class TestSilenceDetector(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.conn = Connection()
 
-    async def test_silence_is_told_once(self):
+    async def test_silence_is_signalled_once(self):
         SilenceDetector(self.conn, 0.02, time.monotonic)
         await asyncio.sleep(0.1)
-        self.assertEqual(len(self.conn.told), 1)
+        self.assertEqual(len(self.conn.signals), 1)
 
-    async def test_nothing_is_told_once_it_has_stopped(self):
+    async def test_nothing_is_signalled_after_it_has_stopped(self):
         """The next call on the connection was told of silence that nobody watched for,
         and its caller got no answer: a watch set anew had left its first timer."""
-        watch = SilenceDetector(self.conn, 0.02, time.monotonic)
-        watch.recheck_in(0.03)
-        watch.restart()
-        watch.stop()
+        detector = SilenceDetector(self.conn, 0.02, time.monotonic)
+        detector.recheck_in(0.03)
+        detector.restart()
+        detector.stop()
         await asyncio.sleep(0.1)
-        self.assertEqual(self.conn.told, [])
+        self.assertEqual(self.conn.signals, [])
--- a/tests/gateway/cover/test_store_concurrency.py
+++ b/tests/gateway/cover/test_store_concurrency.py
@@ -20,30 +20,30 @@
 
 
 class SharedBandwidthStore:
-    """Loads that share a store which serves ``full`` of them at full speed."""
+    """Loads that share a store which serves ``full_speed_loads`` of them at full speed."""
 
-    def __init__(self, full):
-        self.full = full
+    def __init__(self, full_speed_loads):
+        self.full_speed_loads = full_speed_loads
         self.now = 0.0
         self.concurrency = StoreConcurrency()
         self.left = {}
         self.spec = samples.engine(samples.model("tutor"))
 
-    def run(self, seconds, at_once, frozen=()):
+    def run(self, seconds, concurrent, stalled=()):
         for _ in range(round(seconds / STEP_S)):
-            self.step(at_once, frozen)
+            self.step(concurrent, stalled)
 
-    def step(self, at_once, frozen):
-        for number in range(at_once):
+    def step(self, concurrent, stalled):
+        for number in range(concurrent):
             self.left.setdefault(f"b{number}", LOAD_S)
-        pace = min(1.0, self.full / len(self.left)) * STEP_S
+        progress = min(1.0, self.full_speed_loads / len(self.left)) * STEP_S
         self.now += STEP_S
         for name in list(self.left):
-            self.left[name] -= 0.0 if name in frozen else pace
+            self.left[name] -= 0.0 if name in stalled else progress
             if self.left[name] <= 0:
                 del self.left[name]
         backends = []
-        for number in range(at_once):
+        for number in range(concurrent):
             name = f"b{number}"
             loading = Loading("tutor", 1.0, True) if name in self.left else None
             state = samples.engine_state(name, loading=loading)
@@ -54,8 +54,8 @@
 class FixedDurationStore:
     """A store whose loads take longer by how many are under way as they begin."""
 
-    def __init__(self, full, loads, load_s=LOAD_S):
-        self.full = full
+    def __init__(self, full_speed_loads, loads, load_s=LOAD_S):
+        self.full_speed_loads = full_speed_loads
         self.load_s = load_s
         self.now = 0.0
         self.concurrency = StoreConcurrency(loads)
@@ -64,10 +64,10 @@
         self.silent = {}
         self.spec = samples.engine(samples.model("tutor", load_s=load_s))
 
-    def begin(self, name):
+    def start_load(self, name):
         self.names.append(name)
-        stretch = max(1.0, (len(self.ends) + 1) / self.full)
-        self.ends[name] = self.now + stretch * self.load_s
+        slowdown = max(1.0, (len(self.ends) + 1) / self.full_speed_loads)
+        self.ends[name] = self.now + slowdown * self.load_s
 
     def run(self, seconds):
         for _ in range(round(seconds / STEP_S)):
@@ -87,57 +87,57 @@
 
 
 class TestLoadsSlowedByEarlierLoads(unittest.TestCase):
-    def test_the_first_of_four_says_nothing_of_the_others(self):
+    def test_the_first_of_four_to_end_proves_nothing_about_the_others(self):
         """Symptom: a store that serves one load is taken to serve four for ever.
 
         Four begin together. The first ends in its stated time while the others are
         under way, which was taken to show that four are served at full speed.
         """
-        store = FixedDurationStore(full=1, loads=4)
+        store = FixedDurationStore(full_speed_loads=1, loads=4)
         for number in range(4):
-            store.begin(f"b{number}")
+            store.start_load(f"b{number}")
         store.run(1.4 * LOAD_S)
         self.assertEqual(store.concurrency.loads, 1)
         self.assertFalse(store.concurrency.allows_probe)
 
-    def test_all_of_four_at_full_speed_show_that_four_are_served(self):
-        store = FixedDurationStore(full=4, loads=1)
+    def test_four_loads_at_full_speed_raise_the_estimate_to_four(self):
+        store = FixedDurationStore(full_speed_loads=4, loads=1)
         for number in range(4):
-            store.begin(f"b{number}")
+            store.start_load(f"b{number}")
         store.run(1.1 * LOAD_S)
         self.assertEqual(store.concurrency.loads, 4)
 
-    def test_one_more_is_tried_until_the_store_is_seen_to_serve_no_more(self):
-        store = FixedDurationStore(full=1, loads=1)
+    def test_a_probe_is_allowed_until_one_has_shown_the_limit(self):
+        store = FixedDurationStore(full_speed_loads=1, loads=1)
         self.assertTrue(store.concurrency.allows_probe)
-        store.begin("b0")
-        store.begin("b1")
+        store.start_load("b0")
+        store.start_load("b1")
         store.run(1.3 * LOAD_S)
         self.assertEqual(
             (store.concurrency.loads, store.concurrency.allows_probe), (1, False)
         )
 
-    def test_while_one_is_late_no_further_one_is_tried(self):
+    def test_no_probe_is_allowed_while_a_load_is_late(self):
         """Symptom: the store serves one load, and three of them are under way.
 
         Two begin together to see whether it serves them at once. One ends in time; the
         other is late by then, and yet a third was begun beside it.
         """
-        store = FixedDurationStore(full=1, loads=1)
-        store.begin("b0")
-        store.begin("b1")
+        store = FixedDurationStore(full_speed_loads=1, loads=1)
+        store.start_load("b0")
+        store.start_load("b1")
         store.run(1.02 * LOAD_S)
         self.assertEqual(len(store.ends), 1)
         self.assertFalse(store.concurrency.allows_probe)
 
-    def test_one_that_was_lost_with_its_engine_is_not_tried_again_at_once(self):
+    def test_a_probe_lost_with_its_engine_is_not_repeated_at_once(self):
         """Symptom: each turn of the store was given to one load more than it serves.
 
         The engine of the one that was tried went before it had shown anything.
         """
-        store = FixedDurationStore(full=1, loads=1)
-        store.begin("b0")
-        store.begin("b1")
+        store = FixedDurationStore(full_speed_loads=1, loads=1)
+        store.start_load("b0")
+        store.start_load("b1")
         store.run(0.8 * LOAD_S)
         store.names.remove("b1")
         del store.ends["b1"]
@@ -146,30 +146,30 @@
         store.run(PROBE_RETRY_S)
         self.assertTrue(store.concurrency.allows_probe)
 
-    def test_until_the_one_that_is_tried_shows_something_no_other_is_tried(self):
+    def test_no_further_probe_is_allowed_before_the_last_has_a_result(self):
         """The load before it had ended, it wasn't late yet, and another was tried."""
-        store = FixedDurationStore(full=1, loads=1)
-        store.begin("b0")
+        store = FixedDurationStore(full_speed_loads=1, loads=1)
+        store.start_load("b0")
         store.run(0.1 * LOAD_S)
-        store.begin("b1")
+        store.start_load("b1")
         store.run(0.1 * LOAD_S)
         self.assertFalse(store.concurrency.allows_probe)
         store.run(0.82 * LOAD_S)
         self.assertEqual(list(store.ends), ["b1"])
         self.assertFalse(store.concurrency.allows_probe)
 
-    def test_the_end_of_a_load_is_foreseen(self):
-        store = FixedDurationStore(full=1, loads=1)
-        store.begin("b0")
+    def test_the_end_of_a_load_is_predicted(self):
+        store = FixedDurationStore(full_speed_loads=1, loads=1)
+        store.start_load("b0")
         store.run(1.0)
-        store.begin("b1")
+        store.start_load("b1")
         store.run(1.0)
         left_s = store.concurrency.left_s(
             store.now, Incarnation("b1"), Loading("tutor", 5.0, True)
         )
         self.assertAlmostEqual(left_s, store.ends["b1"] - store.now, delta=0.2)
 
-    def test_long_loads_are_begun_with_care(self):
+    def test_a_service_with_long_loads_begins_with_a_concurrency_of_one(self):
         short = samples.engine(samples.model("tutor", load_s=6.0))
         long = samples.engine(samples.model("tutor", load_s=13.2))
         self.assertEqual(initial_loads(short), ASSUMED_LOADS)
@@ -186,22 +186,22 @@
     """
 
     def setUp(self):
-        self.store = FixedDurationStore(full=1, loads=1)
-        self.store.begin("b0")
-        self.store.begin("b1")
+        self.store = FixedDurationStore(full_speed_loads=1, loads=1)
+        self.store.start_load("b0")
+        self.store.start_load("b1")
 
-    def unheard(self, name, from_s, to_s):
+    def silence_agent(self, name, from_s, to_s):
         self.store.run(from_s - self.store.now)
         self.store.silent[name] = self.store.now - 60
         self.store.run(to_s - self.store.now)
 
-    def test_it_is_not_taken_for_one_at_full_speed(self):
-        self.unheard("b1", 0.9 * LOAD_S, 1.2 * LOAD_S)
+    def test_a_load_that_is_not_reported_is_no_load_at_full_speed(self):
+        self.silence_agent("b1", 0.9 * LOAD_S, 1.2 * LOAD_S)
         self.assertEqual(self.store.concurrency.loads, 1)
         self.assertFalse(self.store.concurrency.allows_probe)
 
-    def test_it_is_not_taken_for_one_that_begins_when_it_is_heard_again(self):
-        self.unheard("b1", 1.3 * LOAD_S, 1.5 * LOAD_S)
+    def test_a_load_that_is_reported_again_does_not_count_as_new(self):
+        self.silence_agent("b1", 1.3 * LOAD_S, 1.5 * LOAD_S)
         del self.store.silent["b1"]
         self.store.run(0.1)
         left_s = self.store.concurrency.left_s(
@@ -209,16 +209,16 @@
         )
         self.assertLess(left_s, self.store.ends["b1"] - self.store.now + 1.0)
 
-    def test_the_store_serves_it_all_the_same(self):
-        self.unheard("b1", 0.5 * LOAD_S, 1.2 * LOAD_S)
+    def test_a_load_that_is_not_reported_still_occupies_the_store(self):
+        self.silence_agent("b1", 0.5 * LOAD_S, 1.2 * LOAD_S)
         (left_s,) = self.store.concurrency.other_load_ends(self.store.now, known=["b0"])
         self.assertAlmostEqual(left_s, self.store.ends["b1"] - self.store.now, delta=1)
 
-    def test_it_is_over_with_its_time(self):
-        self.unheard("b1", 0.5 * LOAD_S, 2.5 * LOAD_S)
+    def test_a_load_that_is_not_reported_expires(self):
+        self.silence_agent("b1", 0.5 * LOAD_S, 2.5 * LOAD_S)
         self.assertEqual(self.store.concurrency.other_load_ends(self.store.now, ()), [])
 
-    def test_it_is_over_where_its_engine_is_gone(self):
+    def test_a_load_ends_with_its_engine(self):
         self.store.run(0.5 * LOAD_S)
         self.store.names.remove("b1")
         self.store.run(STEP_S)
@@ -226,7 +226,7 @@
             self.store.concurrency.other_load_ends(self.store.now, ["b0"]), []
         )
 
-    def test_one_that_is_late_when_it_is_first_seen_has_not_just_begun(self):
+    def test_a_load_that_is_late_when_first_reported_did_not_just_start(self):
         late = StoreConcurrency(1)
         loading = Loading("tutor", OVERRUN_FRACTION * LOAD_S, True)
         state = samples.engine_state("b1", loading=loading)
@@ -235,7 +235,7 @@
             late.observe(now, [backend], self.store.spec)
         self.assertFalse(late.allows_probe)
 
-    def test_a_plan_waits_for_it(self):
+    def test_a_plan_waits_for_a_load_that_is_not_reported(self):
         spec = samples.engine(samples.model("tutor"), samples.model("poet"))
         backend = samples.backend("b0", 5.0, samples.engine_state("b0"), service="llm")
         demands = {"poet": Demand(0.1, 1)}
@@ -244,47 +244,47 @@
 
 
 class TestStoreConcurrency(unittest.TestCase):
-    def test_at_full_speed_the_assumption_stays(self):
-        store = SharedBandwidthStore(full=4)
-        store.run(30.0, at_once=4)
+    def test_at_full_speed_the_initial_estimate_stays(self):
+        store = SharedBandwidthStore(full_speed_loads=4)
+        store.run(30.0, concurrent=4)
         self.assertEqual(store.concurrency.loads, ASSUMED_LOADS)
 
-    def test_a_store_for_one_is_found_out(self):
+    def test_a_concurrency_of_one_is_learnt(self):
         """Symptom: every cold start takes four times as long as the model's load time.
 
         The store serves one load at full speed, and four are always under way.
         """
-        store = SharedBandwidthStore(full=1)
-        store.run(4.1 * LOAD_S, at_once=4)
+        store = SharedBandwidthStore(full_speed_loads=1)
+        store.run(4.1 * LOAD_S, concurrent=4)
         self.assertEqual(store.concurrency.loads, 1)
 
-    def test_it_shows_before_the_first_load_ends(self):
-        store = SharedBandwidthStore(full=1)
-        store.run(2.1 * LOAD_S, at_once=4)
+    def test_a_low_concurrency_is_learnt_before_the_first_load_ends(self):
+        store = SharedBandwidthStore(full_speed_loads=1)
+        store.run(2.1 * LOAD_S, concurrent=4)
         self.assertLessEqual(store.concurrency.loads, 2)
 
-    def test_a_store_for_more_is_found_out_when_more_are_needed(self):
-        store = SharedBandwidthStore(full=8)
-        store.run(2 * LOAD_S, at_once=6)
+    def test_a_higher_concurrency_is_learnt_when_more_loads_run(self):
+        store = SharedBandwidthStore(full_speed_loads=8)
+        store.run(2 * LOAD_S, concurrent=6)
         self.assertEqual(store.concurrency.loads, 6)
 
-    def test_two_more_for_a_moment_do_not_spoil_the_estimate(self):
-        store = SharedBandwidthStore(full=4)
-        store.run(20.0, at_once=6)
+    def test_two_loads_beyond_the_concurrency_do_not_change_the_estimate(self):
+        store = SharedBandwidthStore(full_speed_loads=4)
+        store.run(20.0, concurrent=6)
         self.assertEqual(store.concurrency.loads, 4)
 
-    def test_one_engine_that_stands_still_says_nothing_of_the_store(self):
-        store = SharedBandwidthStore(full=4)
-        store.run(30.0, at_once=3, frozen=("b0",))
+    def test_one_stalled_engine_does_not_change_the_estimate(self):
+        store = SharedBandwidthStore(full_speed_loads=4)
+        store.run(30.0, concurrent=3, stalled=("b0",))
         self.assertEqual(store.concurrency.loads, ASSUMED_LOADS)
 
-    def test_the_plan_keeps_to_it(self):
+    def test_a_plan_starts_no_more_loads_than_estimated(self):
         spec = samples.engine(*(samples.model(f"m{number}") for number in range(6)))
         states = [
             samples.backend(f"b{n}", 5.0, samples.engine_state(f"b{n}"), service="llm")
             for n in range(6)
         ]
         demands = {f"m{number}": Demand(0.1, 1) for number in range(6)}
-        for most in (1, 3):
-            plan = Planner(spec, most).plan(5.0, states, demands)
-            self.assertEqual(sum(load.request_now for load in plan.values()), most)
+        for max_loads in (1, 3):
+            plan = Planner(spec, max_loads).plan(5.0, states, demands)
+            self.assertEqual(sum(load.request_now for load in plan.values()), max_loads)
--- a/tests/gateway/cover/test_store_load_planning.py
+++ b/tests/gateway/cover/test_store_load_planning.py
@@ -25,7 +25,7 @@
     engine, and each engine that was planned to took no other order.
     """
 
-    def test_they_keep_no_engine_from_loading_a_copy(self):
+    def test_they_block_no_engine_from_loading_a_copy(self):
         names = [f"m{number}" for number in range(4)]
         spec = samples.engine(*map(samples.model, names), samples.model("poet"))
         loading = Loading("m0", 5.0, True)
@@ -53,7 +53,7 @@
         names = ("tutor", "poet", "clerk", "critic")
         self.spec = samples.engine(*map(samples.model, names))
 
-    def begun(self, left_s, demands=None, tries=True):
+    def started_models(self, left_s, demands=None, probe_allowed=True):
         """The models that a plan begins, with loads under way of so much left."""
         loading = ("tutor", "poet")
         backends = [
@@ -63,40 +63,40 @@
         backends += [engine_backend(f"b{n}") for n in range(6)]
         if demands is None:
             demands = {"clerk": Demand(0.5, 9), "critic": Demand(0.1, 1)}
-        planner = Planner(self.spec, 1, allows_probe=tries)
+        planner = Planner(self.spec, 1, allows_probe=probe_allowed)
         plan = planner.plan(NOW, backends, demands)
         return [load.model for load in plan.values() if load.request_now]
 
-    def test_it_is_tried_where_its_turn_is_far(self):
-        self.assertEqual(self.begun([5.0]), ["clerk"])
+    def test_a_probe_starts_where_the_queue_is_long(self):
+        self.assertEqual(self.started_models([5.0]), ["clerk"])
 
-    def test_it_waits_where_its_turn_is_near(self):
-        self.assertEqual(self.begun([1.0]), [])
+    def test_no_probe_starts_where_the_store_is_free_soon(self):
+        self.assertEqual(self.started_models([1.0]), [])
 
-    def test_it_waits_beside_one_that_is_tried(self):
-        self.assertEqual(self.begun([5.0, 6.0]), [])
+    def test_no_probe_starts_beside_another(self):
+        self.assertEqual(self.started_models([5.0, 6.0]), [])
 
-    def test_it_waits_once_the_store_is_known(self):
-        self.assertEqual(self.begun([5.0], tries=False), [])
+    def test_no_probe_starts_once_the_concurrency_is_known(self):
+        self.assertEqual(self.started_models([5.0], probe_allowed=False), [])
 
-    def test_it_is_not_tried_for_callers_who_have_left(self):
+    def test_no_probe_starts_for_callers_who_have_left(self):
         """It kept an engine for 26 s, and was over after the last of them had gone."""
         demands = {"clerk": Demand(0.5, 0, unserved=9.0, callers=1.0)}
-        self.assertEqual(self.begun([5.0], demands), [])
+        self.assertEqual(self.started_models([5.0], demands), [])
         demands = {"clerk": Demand(0.5, 0, unserved=9.0, callers=8.0)}
-        self.assertEqual(self.begun([5.0], demands), ["clerk"])
+        self.assertEqual(self.started_models([5.0], demands), ["clerk"])
 
-    def test_it_is_tried_where_the_queue_is_long_for_good(self):
+    def test_a_probe_starts_where_calls_stay_unserved_for_long(self):
         """A store that serves several would never be known to where each model has few
         callers."""
         few = {"unserved": 2.0, "callers": 1.0}
         demands = {"clerk": Demand(0.1, 0, unserved_s=20.0, **few)}
-        self.assertEqual(self.begun([5.0], demands), [])
+        self.assertEqual(self.started_models([5.0], demands), [])
         demands = {"clerk": Demand(0.1, 0, unserved_s=25.0, **few)}
-        self.assertEqual(self.begun([5.0], demands), ["clerk"])
+        self.assertEqual(self.started_models([5.0], demands), ["clerk"])
 
-    def test_it_is_not_tried_with_what_nobody_asks_for(self):
-        self.assertEqual(self.begun([5.0], demands={}), [])
+    def test_no_probe_starts_for_models_without_calls(self):
+        self.assertEqual(self.started_models([5.0], demands={}), [])
 
 
 class TestStoreLoadsOfModelsWithoutACopy(unittest.TestCase):
@@ -124,36 +124,40 @@
             *(engine_backend(f"b{number}") for number in range(2, 6)),
         ]
 
-    def begun(self, store_loads=1, **demands):
+    def started_models(self, store_loads=1, **demands):
         demands = {name: Demand(9.0, 0, 1) for name in ("much", "used")} | demands
         plan = Planner(self.spec, store_loads).plan(NOW, self.backends, demands)
         self.assertIn("tutor", plan)
         return [load.model for load in plan.values() if load.request_now]
 
-    def test_the_one_without_a_copy_goes_first(self):
+    def test_the_model_without_a_copy_is_loaded_first(self):
         self.assertEqual(
-            self.begun(tutor=Demand(2.0, 9), poet=Demand(0.2, 1)), ["poet"]
+            self.started_models(tutor=Demand(2.0, 9), poet=Demand(0.2, 1)), ["poet"]
         )
 
-    def test_one_whose_engine_never_has_room_is_not_passed_over_for_ever(self):
+    def test_a_model_whose_copy_is_on_a_full_engine_does_not_starve(self):
         self.backends[0].engine.keep_values.update(much=99.0, used=99.0)
         tutor = Demand(2.0, 9, unserved=9.0, unserved_s=8.0)
-        self.assertEqual(self.begun(tutor=tutor, poet=Demand(0.2, 1)), ["tutor"])
+        self.assertEqual(
+            self.started_models(tutor=tutor, poet=Demand(0.2, 1)), ["tutor"]
+        )
 
-    def test_one_that_fits_no_engine_has_no_turn(self):
+    def test_a_model_that_fits_no_engine_blocks_no_other(self):
         """Models with a copy left their turn to it for ever."""
         models = [*self.spec.models.values(), samples.model("huge", size_mb=500.0)]
         self.spec = samples.engine(*models)
         self.assertEqual(
-            self.begun(tutor=Demand(2.0, 9), huge=Demand(0.1, 1)), ["tutor"]
+            self.started_models(tutor=Demand(2.0, 9), huge=Demand(0.1, 1)), ["tutor"]
         )
 
-    def test_a_store_for_both_serves_both(self):
-        begun = self.begun(2, tutor=Demand(2.0, 9), poet=Demand(0.2, 1))
-        self.assertEqual(begun, ["tutor", "poet"])
+    def test_a_store_with_a_concurrency_of_two_serves_both(self):
+        started_models = self.started_models(
+            2, tutor=Demand(2.0, 9), poet=Demand(0.2, 1)
+        )
+        self.assertEqual(started_models, ["tutor", "poet"])
 
     def test_where_all_have_a_copy_the_store_is_used(self):
-        self.assertEqual(self.begun(tutor=Demand(2.0, 9)), ["tutor"])
+        self.assertEqual(self.started_models(tutor=Demand(2.0, 9)), ["tutor"])
 
 
 class TestCopiesBehindALongLoad(unittest.TestCase):
@@ -175,7 +179,7 @@
         spec = samples.engine(*models)
         return Planner(spec, store_loads).plan(NOW, backends, demands)["tutor"]
 
-    def test_they_are_planned_where_they_lie(self):
+    def test_the_load_is_planned_where_the_copy_is(self):
         load = self.plan(16.0, others=5)
         self.assertEqual((load.instance, load.from_store), ("b1", False))
         self.assertLess(load.ready_in_s, 18.0)
@@ -203,20 +207,20 @@
     def plan(self):
         return Planner(self.spec, 1).plan(NOW, self.backends, self.demands)
 
-    def test_engines_are_compared_for_the_next_of_them_alone(self):
+    def test_engines_are_compared_for_the_next_model_alone(self):
         with mock.patch.object(
             LoadTarget, "victims", autospec=True, side_effect=LoadTarget.victims
-        ) as asked:
+        ) as evaluated:
             self.plan()
-        self.assertLessEqual(asked.call_count, self.ENGINES + self.MODELS)
+        self.assertLessEqual(evaluated.call_count, self.ENGINES + self.MODELS)
 
-    def test_each_is_told_when_its_turn_comes(self):
+    def test_each_model_has_an_end_by_its_place_in_the_queue(self):
         ready = sorted(load.ready_in_s for load in self.plan().values())
         self.assertEqual(len(ready), self.MODELS)
-        for turn, ready_in_s in enumerate(ready, start=1):
-            self.assertAlmostEqual(ready_in_s, 6.0 * turn, delta=0.1)
+        for position, ready_in_s in enumerate(ready, start=1):
+            self.assertAlmostEqual(ready_in_s, 6.0 * position, delta=0.1)
 
-    def test_one_that_no_engine_makes_room_for_is_not_planned(self):
+    def test_a_model_that_no_engine_has_room_for_is_not_planned(self):
         held = [("much", "used")] * self.ENGINES
         self.backends = [
             engine_backend(
@@ -254,13 +258,13 @@
         load = self.plan(5.5, on_disk=frozenset({"tutor"}))
         self.assertEqual((load.instance, load.request_now), ("b2", True))
 
-    def test_one_that_is_hardly_sooner_is_not(self):
+    def test_a_copy_that_is_hardly_sooner_is_not_loaded(self):
         self.assertEqual(self.plan(2.0, on_disk=frozenset({"tutor"})).instance, "b1")
 
-    def test_nor_is_a_second_load_from_the_store(self):
+    def test_no_second_load_from_the_store_starts(self):
         self.assertEqual(self.plan(30.0).instance, "b1")
 
-    def test_nor_one_for_few_calls(self):
+    def test_no_copy_is_loaded_for_few_calls(self):
         load = self.plan(5.5, waiting=1, on_disk=frozenset({"tutor"}))
         self.assertEqual(load.instance, "b1")
 
@@ -287,5 +291,5 @@
     def test_a_lone_engine_loads_too(self):
         self.assertEqual(self.plan(1, m0=Demand(0.1, 1)), 1)
 
-    def test_before_any_call_all_may(self):
+    def test_before_any_call_all_engines_may_load_from_the_store(self):
         self.assertEqual(self.plan(6), STORE_LOADS)
--- a/tests/gateway/cover/test_store_queue.py
+++ b/tests/gateway/cover/test_store_queue.py
@@ -12,7 +12,7 @@
 
 
 class TestStoreQueue(unittest.TestCase):
-    def test_loads_begin_at_once_up_to_what_the_store_serves(self):
+    def test_loads_start_at_once_up_to_the_stores_concurrency(self):
         queue = StoreQueue(2, [])
         self.assertEqual(queue.add(LOAD_S), (0.0, LOAD_S))
         self.assertEqual(queue.add(LOAD_S), (0.0, LOAD_S))
@@ -22,13 +22,13 @@
         queue = StoreQueue(2, [5.0, 1.5])
         self.assertEqual(queue.add(LOAD_S), (1.5, 1.5 + LOAD_S))
 
-    def test_a_crowding_load_begins_beyond_that_if_it_is_sooner(self):
+    def test_an_oversubscribing_load_starts_at_once_if_it_ends_sooner(self):
         queue = StoreQueue(4, [6.0, 6.0, 6.0, 6.0])
         self.assertEqual(
             queue.add(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE), (0.0, 7.5)
         )
 
-    def test_a_crowding_load_waits_where_beginning_now_brings_nothing(self):
+    def test_an_oversubscribing_load_waits_where_it_would_not_end_sooner(self):
         """Symptom: a much-awaited model takes five times its load time.
 
         The store served one load at a time. Four were under way, and the fifth began
@@ -40,32 +40,32 @@
             queue.add(13.0, Oversubscription.MAY_OVERSUBSCRIBE), (13.0, 26.0)
         )
 
-    def test_loads_that_wait_slow_no_crowding_load(self):
+    def test_queued_loads_do_not_slow_an_oversubscribing_load(self):
         queue = StoreQueue(4, [6.0, 6.0, 6.0, 6.0])
         queue.add(LOAD_S)
         self.assertEqual(
             queue.add(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE), (0.0, 7.5)
         )
 
-    def test_a_crowding_load_waits_where_it_would_be_slowed_much(self):
+    def test_an_oversubscribing_load_waits_where_it_would_be_slowed_much(self):
         queue = StoreQueue(4, [20.0] * 6)
-        begins, _ = queue.add(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE)
-        self.assertEqual(begins, 20.0)
+        starts_in_s, _ = queue.add(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE)
+        self.assertEqual(starts_in_s, 20.0)
 
-    def test_waiting_loads_take_their_turns(self):
+    def test_queued_loads_start_one_after_the_other(self):
         queue = StoreQueue(1, [5.0])
         self.assertEqual(queue.add(13.0), (5.0, 18.0))
         self.assertEqual(queue.add(13.0), (18.0, 31.0))
 
 
 class TestStartReason(unittest.TestCase):
-    def test_it_is_told(self):
-        crowded = StoreQueue(4, [6.0] * 4)
+    def test_each_reason_is_reported(self):
+        full = StoreQueue(4, [6.0] * 4)
         allow_probe = StoreQueue(1, [6.0], allow_probe=True)
         self.assertIs(StoreQueue(1, []).start_reason(LOAD_S), StartReason.FREE)
         self.assertIs(StoreQueue(1, [6.0]).start_reason(LOAD_S), StartReason.QUEUED)
         self.assertIs(
-            crowded.start_reason(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE),
+            full.start_reason(LOAD_S, Oversubscription.MAY_OVERSUBSCRIBE),
             StartReason.OVERSUBSCRIBED,
         )
         self.assertIs(allow_probe.start_reason(LOAD_S), StartReason.QUEUED)
@@ -83,7 +83,7 @@
     for.
     """
 
-    def test_it_is_tried_beside_loads_that_have_begun(self):
+    def test_a_probe_starts_only_beside_loads_under_way(self):
         queue = StoreQueue(1, [], allow_probe=True)
         queue.add(13.0)
         self.assertIs(
@@ -94,13 +94,13 @@
             queue.start_reason(13.0, Oversubscription.MAY_PROBE), StartReason.PROBE
         )
 
-    def test_it_is_tried_for_what_would_have_the_next_turn(self):
+    def test_a_load_that_must_queue_is_no_probe(self):
         queue = StoreQueue(1, [13.0], allow_probe=True)
         self.assertIs(
             queue.start_reason(13.0, Oversubscription.MUST_QUEUE), StartReason.QUEUED
         )
 
-    def test_it_is_tried_beside_one_that_has_just_begun(self):
+    def test_no_probe_starts_long_after_the_load_under_way(self):
         """Begun 6 s later, it took the store's time of both to 37 s instead of 30."""
         queue = StoreQueue(1, [9.0], allow_probe=True)
         self.assertIs(
--- a/tests/gateway/cover/test_timeline.py
+++ b/tests/gateway/cover/test_timeline.py
@@ -31,7 +31,7 @@
 
 
 class TestReadLines(unittest.TestCase):
-    def test_what_is_no_line_of_a_log_is_passed_over(self):
+    def test_text_that_is_no_log_line_is_skipped(self):
         good = json.dumps(line("e", 1.0, "started"))
         text = ["", "nonsense", "{broken", '{"ready": true}', "[1]", f"12.3 e {good}"]
         self.assertEqual([item["event"] for item in read_lines(text)], ["started"])
@@ -44,7 +44,7 @@
     def test_a_request_that_no_line_names_has_no_timeline(self):
         self.assertIsNone(build_timeline([line("e", 1.0, "started")], "r-9"))
 
-    def test_orders_for_its_model_belong_to_it_and_others_do_not(self):
+    def test_orders_for_its_model_are_included_and_others_are_not(self):
         lines = [
             order(4.0),
             order(4.1, model="critic"),
@@ -83,7 +83,7 @@
         found = [step.at_s for step in timeline.steps if step.line["event"] == "order"]
         self.assertEqual(found, [-1.0, -0.5])
 
-    def test_processes_without_a_common_event_are_named(self):
+    def test_processes_without_a_common_event_are_listed(self):
         timeline = build_timeline([refused(5.0), order(4.0)], "r-1")
         self.assertEqual(timeline.unaligned, ("agent",))
 
--- a/tests/gateway/cover/test_turn_holder.py
+++ b/tests/gateway/cover/test_turn_holder.py
@@ -68,7 +68,7 @@
         self.app, self.events = App(instance), Events()
         self.gate = StorePermitGate()
         self.book = OrderBook(ENGINE, self.gate)
-        self.turn = StorePermitHolder(
+        self.holder = StorePermitHolder(
             self.app, kv, SERVICE, self.gate, self.events, lambda: None, self.app.now
         )
         self.book.reported(self.app.at, report(instance))
@@ -80,13 +80,13 @@
         )
         order = self.book.next_order(self.app.at)
         if order is None:
-            self.turn.acquire(self.app.at)
+            self.holder.acquire(self.app.at)
             await self.app.settle()
             order = self.book.next_order(self.app.at)
         return order
 
     async def release_if_unused(self, load_in_progress=False):
-        self.turn.release_if_unused(self.app.at, load_in_progress)
+        self.holder.release_if_unused(self.app.at, load_in_progress)
         await self.app.settle()
 
 
@@ -99,18 +99,18 @@
     def held(self):
         return [key for key in self.kv.records if key.startswith(prefix_of(SERVICE))]
 
-    async def test_one_agent_has_the_one_turn(self):
+    async def test_one_agent_holds_the_only_permit(self):
         self.assertEqual((await self.first.request_load()).kind, OrderKind.LOAD)
         self.assertIsNone(await self.second.request_load("m2"))
         self.assertEqual(self.second.events.lines[-1].holders, ("a1",))
 
-    async def test_as_many_loads_begin_as_there_are_turns(self):
+    async def test_as_many_loads_start_as_there_are_permits(self):
         third = Agent(self.kv, "a3")
         for agent in (self.first, self.second):
             self.assertIsNotNone(await agent.request_load(store_permits=2))
         self.assertIsNone(await third.request_load(store_permits=2))
 
-    async def test_two_that_seek_at_once_do_not_both_have_it(self):
+    async def test_of_concurrent_attempts_one_gets_the_permit(self):
         begun = []
         others = [Agent(self.kv, f"b{number}") for number in range(4)]
         for agent in others:
@@ -118,61 +118,61 @@
         orders = await asyncio.gather(*begun)
         self.assertEqual(len([order for order in orders if order is not None]), 1)
 
-    async def test_the_next_one_has_it_when_the_load_is_over(self):
+    async def test_the_permit_is_free_after_the_load(self):
         await self.first.request_load()
-        self.first.turn.load_ended()
+        self.first.holder.load_ended()
         await self.first.app.settle()
         self.assertIsNotNone(await self.second.request_load("m2"))
 
-    async def test_a_load_from_a_copy_takes_none(self):
+    async def test_a_load_from_a_copy_needs_no_permit(self):
         copied = report("a1", on_disk=frozenset({"m1"}))
         self.first.book.reported(self.first.app.at, copied)
         self.assertIsNotNone(await self.first.request_load())
         self.assertEqual(self.held(), [])
 
-    async def test_it_is_kept_while_the_load_goes_on(self):
+    async def test_the_permit_is_held_while_the_load_runs(self):
         await self.first.request_load()
         self.first.app.at += START_TIMEOUT_S + 20.0
         await self.first.release_if_unused(load_in_progress=True)
         self.assertEqual(len(self.held()), 1)
 
-    async def test_its_lease_is_renewed_while_it_is_held(self):
+    async def test_the_lease_is_renewed_while_the_permit_is_held(self):
         """The lease was as long as a load, and began anew when the service was back:
         the turn of an agent that was gone kept all others from the store for 7 s."""
         self.enterContext(mock.patch.object(store_permit_holder, "RENEW_S", 0.01))
         await self.first.request_load()
         await asyncio.sleep(0.05)
         self.assertTrue(self.kv.kept)
-        self.first.turn.load_ended()
+        self.first.holder.load_ended()
         await self.first.app.settle()
         await asyncio.gather(*self.first.app.renewals)
         self.assertLess(store_permit_holder.LEASE_TTL_S, 13.0)
 
-    async def test_it_is_given_back_if_the_load_does_not_begin(self):
+    async def test_the_permit_is_released_if_the_load_does_not_start(self):
         await self.first.request_load()
         self.first.app.at += START_TIMEOUT_S + 0.1
         await self.first.release_if_unused()
         self.assertEqual(self.held(), [])
 
-    def seeks(self, agent, model="m1"):
+    def begin_acquiring(self, agent, model="m1"):
         """The agent begins to seek a turn, and isn't waited for."""
         agent.book.load_requested(agent.app.at, LoadRequest(model))
         agent.book.next_order(agent.app.at)
-        agent.turn.acquire(agent.app.at)
+        agent.holder.acquire(agent.app.at)
 
-    async def test_a_load_begins_without_one_while_the_service_is_away(self):
+    async def test_a_load_starts_without_a_permit_during_an_outage(self):
         self.kv.down = True
-        self.seeks(self.first)
+        self.begin_acquiring(self.first)
         self.first.app.at += ACQUIRE_TIMEOUT_S / 2
-        self.seeks(self.first)
+        self.begin_acquiring(self.first)
         self.assertFalse(self.first.gate.is_open)
         self.first.app.at += ACQUIRE_TIMEOUT_S
-        self.seeks(self.first)
+        self.begin_acquiring(self.first)
         self.assertTrue(self.first.gate.is_open)
         self.assertEqual(self.first.events.lines[-1].outcome, "without")
         await self.first.app.settle()
 
-    def steps(self, agent, seconds):
+    def run_steps(self, agent, seconds):
         """The agent's steps of so long, while nobody wishes; returns the first
         order."""
         for _ in range(round(seconds / 0.2)):
@@ -180,31 +180,31 @@
             order = agent.book.next_order(agent.app.at)
             if order is not None:
                 return order
-            agent.turn.acquire(agent.app.at)
+            agent.holder.acquire(agent.app.at)
         return None
 
-    async def test_a_load_begins_without_one_though_the_load_request_is_not_repeated(
+    async def test_it_does_so_though_the_load_request_is_not_repeated(
         self,
     ):
         """The entry is told of the load as one to come, and wishes no more; the store
         was idle until the service was back."""
         self.kv.down = True
-        self.seeks(self.first)
-        self.assertIsNotNone(self.steps(self.first, ACQUIRE_TIMEOUT_S + 1.0))
+        self.begin_acquiring(self.first)
+        self.assertIsNotNone(self.run_steps(self.first, ACQUIRE_TIMEOUT_S + 1.0))
         await self.first.app.settle()
 
-    async def test_a_load_begins_without_one_while_the_last_is_not_given_back(self):
+    async def test_a_load_starts_without_a_permit_while_the_last_is_unreleased(self):
         await self.first.request_load()
         self.kv.down = True
-        self.first.turn.load_ended()
+        self.first.holder.load_ended()
         for _ in range(round((ACQUIRE_TIMEOUT_S + 1.0) / 0.2)):
             self.first.app.at += 0.2
-            self.seeks(self.first, "m2")
+            self.begin_acquiring(self.first, "m2")
         self.assertTrue(self.first.gate.is_open)
         self.kv.down = False
         await self.first.app.settle()
 
-    async def test_a_turn_whose_lease_has_ended_is_taken_anew(self):
+    async def test_a_permit_whose_lease_expired_is_acquired_again(self):
         self.enterContext(mock.patch.object(store_permit_holder, "RENEW_S", 0.01))
         await self.first.request_load()
         (key,) = self.held()
@@ -212,11 +212,11 @@
         self.kv.lapsed.add(self.kv.leases)
         await asyncio.sleep(0.05)
         self.assertEqual(self.held(), [key])
-        self.first.turn.load_ended()
+        self.first.holder.load_ended()
         await self.first.app.settle()
         self.assertEqual(self.held(), [])
 
-    async def test_a_try_that_is_late_does_not_remove_the_next_turn(self):
+    async def test_a_late_attempt_does_not_remove_the_next_permit(self):
         answers = asyncio.Event()
         read = self.kv.get_prefix
 
@@ -225,31 +225,31 @@
             return await read(prefix)
 
         self.kv.get_prefix = late
-        self.seeks(self.first)
-        late_try = self.first.app.tasks.pop()
+        self.begin_acquiring(self.first)
+        late_attempt = self.first.app.tasks.pop()
         await asyncio.sleep(0)
         self.kv.get_prefix = read
-        self.steps(self.first, ACQUIRE_TIMEOUT_S + 1.0)
-        self.first.turn.load_ended()
+        self.run_steps(self.first, ACQUIRE_TIMEOUT_S + 1.0)
+        self.first.holder.load_ended()
         await self.first.app.settle()
         self.assertIsNotNone(await self.first.request_load("m2"))
         answers.set()
-        await late_try
+        await late_attempt
         self.assertEqual(len(self.held()), 1)
 
-    async def test_one_read_that_fails_gives_no_turn(self):
+    async def test_one_failed_read_does_not_open_the_gate(self):
         """A load began beside one that visibly held the turn."""
         await self.second.request_load()
         self.kv.down = True
-        self.seeks(self.first)
+        self.begin_acquiring(self.first)
         await asyncio.sleep(0)
         self.kv.down = False
         await self.first.app.settle()
         self.assertFalse(self.first.gate.is_open)
 
-    async def test_while_it_is_sought_the_load_is_told_as_one_to_come(self):
+    async def test_while_a_permit_is_acquired_the_load_is_reported(self):
         """The entry asked another agent meanwhile, and two sought."""
-        self.seeks(self.first)
+        self.begin_acquiring(self.first)
         loading = self.first.book.state(self.first.app.at).loading
         self.assertEqual((loading.model, loading.from_store), ("m1", True))
         await self.first.app.settle()
@@ -257,48 +257,48 @@
     async def test_a_write_whose_answer_is_lost_is_found_again(self):
         self.kv.faults.append(Fault.LOST_AFTER)
         self.assertIsNotNone(await self.first.request_load())
-        self.first.turn.load_ended()
+        self.first.holder.load_ended()
         await self.first.app.settle()
         self.assertEqual(self.held(), [])
 
-    async def test_a_turn_written_late_is_removed_after_a_load_without_one(self):
+    async def test_a_permit_written_late_is_removed_after_a_load_without_one(self):
         """Nobody knew of it, and no load from the store began until its lease ended."""
         self.kv.faults.append(Fault.LOST_AFTER)
-        self.seeks(self.first)
+        self.begin_acquiring(self.first)
         await asyncio.sleep(0)
         self.first.app.at += ACQUIRE_TIMEOUT_S + 0.1
-        self.seeks(self.first)
+        self.begin_acquiring(self.first)
         self.first.app.at += START_TIMEOUT_S + 0.1
         await self.first.release_if_unused()
         self.assertEqual(self.held(), [])
 
-    async def test_it_is_given_back_once_the_service_answers(self):
+    async def test_the_permit_is_released_once_the_service_answers(self):
         await self.first.request_load()
         self.kv.faults.append(Fault.DOWN)
-        self.first.turn.load_ended()
+        self.first.holder.load_ended()
         await self.first.app.settle()
         self.assertEqual(self.held(), [])
 
-    async def test_a_late_removal_does_not_take_the_next_turn_away(self):
+    async def test_a_late_removal_does_not_remove_the_next_permit(self):
         """The agent found its own key still there, and took it for its next load."""
         await self.first.request_load()
         self.kv.faults.append(Fault.DELAYED)
-        self.first.turn.load_ended()
+        self.first.holder.load_ended()
         await self.first.app.settle()
         self.assertIsNotNone(await self.first.request_load("m2"))
         self.kv.land_delayed()
         self.assertEqual(len(self.held()), 1)
 
-    async def test_a_new_process_takes_over_the_turn_of_the_one_before(self):
+    async def test_a_new_process_takes_over_its_predecessors_permit(self):
         await self.first.request_load()
         successor = Agent(self.kv, "a1")
-        await successor.turn.recover()
+        await successor.holder.recover()
         self.assertTrue(successor.gate.is_open)
         successor.app.at += START_TIMEOUT_S + 0.1
         await successor.release_if_unused()
         self.assertEqual(self.held(), [])
 
-    async def test_a_key_that_cannot_be_read_is_taken_all_the_same(self):
+    async def test_an_unreadable_permit_counts_as_held(self):
         await self.first.request_load()
         (key,) = self.held()
         record = self.kv.records[key]
@@ -307,7 +307,7 @@
 
 
 class TestOrdersWithoutAGate(unittest.TestCase):
-    def test_a_load_from_the_store_draws_on_it_until_it_is_over(self):
+    def test_a_load_from_the_store_uses_it_until_it_is_over(self):
         book = OrderBook(ENGINE)
         book.reported(1.0, report("b1"))
         book.load_requested(1.0, LoadRequest("m1"))
--- a/tests/gateway/cover/test_unserved.py
+++ b/tests/gateway/cover/test_unserved.py
@@ -20,13 +20,13 @@
         self.assertEqual(self.unserved.count(9.0, older_than_s=8.5), 0)
         self.assertEqual(self.unserved.oldest_s(10.0), 9.0)
 
-    def test_an_answer_ends_it_for_its_adapter_alone(self):
+    def test_an_answer_clears_its_adapter_alone(self):
         self.unserved.refused(1.0, "tutor", "")
         self.unserved.refused(1.0, "tutor", "physics")
         self.unserved.served("tutor", "")
         self.assertEqual(self.unserved.count(20.0, older_than_s=8.0), 1)
 
-    def test_what_nobody_asks_for_any_more_does_not_count(self):
+    def test_models_without_recent_calls_do_not_count(self):
         self.unserved.refused(1.0, "tutor", "")
         later = 2.0 + RECENT_CALL_S
         self.assertEqual(self.unserved.count(later, older_than_s=8.0), 0)
@@ -34,7 +34,7 @@
         self.unserved.refused(later, "tutor", "")
         self.assertEqual(self.unserved.oldest_s(later), 0.0)
 
-    def test_what_was_asked_for_last_is_kept(self):
+    def test_the_number_of_tracked_models_is_bounded(self):
         for number in range(MAX_TRACKED + 5):
             self.unserved.refused(1.0, f"m{number}", "")
         self.assertEqual(self.unserved.count(20.0, older_than_s=8.0), MAX_TRACKED)
