--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Preparing:
+class _PendingLoad:
     """A load for which other models are being unloaded."""
 
     request: LoadRequest
@@ -96,7 +96,7 @@
         self._needs_report = True
         self._load: _Load | None = None
         self._unloading: str | None = None
-        self._preparing: _Preparing | None = None
+        self._pending_load: _PendingLoad | None = None
         self._entry_reports = EntryReports()
         self._late_orders = LateOrders()
         self._wrong_instance_until = float("-inf")
@@ -177,7 +177,7 @@
         new start, which refuses it only if the instance name or the order count
         differs.
         """
-        self._load = self._unloading = self._unconfirmed = self._preparing = None
+        self._load = self._unloading = self._unconfirmed = self._pending_load = None
         self._entry_reports.engine_restarted()
         self._late_orders.engine_restarted()
         self._wrong_instance_until = float("-inf")
@@ -207,11 +207,11 @@
             # orders, including those for adapters.
             return None
         load_requests = self._entry_reports.load_requests()
-        if self._preparing is not None:
-            order = self._order_for_model(now, self._preparing.request)
+        if self._pending_load is not None:
+            order = self._order_for_model(now, self._pending_load.request)
             if order is not None:
                 return order
-            self._preparing = None
+            self._pending_load = None
         for request in load_requests:
             order = self._order_for_adapter(now, request) if request.adapter else None
             if order is not None:
@@ -229,12 +229,10 @@
             return self._load.from_store
         if self._report is None:
             return False
-        order, preparing = self._unconfirmed, self._preparing
+        order, pending = self._unconfirmed, self._pending_load
         if order is not None and order.kind is OrderKind.LOAD and not order.adapter:
             return not self._report.has_copy(order.model)
-        return preparing is not None and not self._report.has_copy(
-            preparing.request.model
-        )
+        return pending is not None and not self._report.has_copy(pending.request.model)
 
     def order_sent(self, order: EngineOrder) -> None:
         """Record that the order is being sent; it may take effect until it is
@@ -286,7 +284,7 @@
         return EngineState(
             instance=report.instance,
             holdings=holdings,
-            loading=self._reported_loading(now),
+            loading=self._advertised_load(now),
             busy=report.busy,
             in_memory=report.in_memory,
             on_disk=report.on_disk,
@@ -308,8 +306,11 @@
         spec = self._engine.models.get(order.model)
         if spec is None:
             return
-        if self._preparing is not None and self._preparing.request.model == order.model:
-            self._preparing = None
+        if (
+            self._pending_load is not None
+            and self._pending_load.request.model == order.model
+        ):
+            self._pending_load = None
         seconds, from_store = self._load_time(spec)
         self._load = _Load(order.model, now, seconds, from_store)
 
@@ -337,7 +338,7 @@
                 self._unloading = None
         return ended
 
-    def _reported_loading(self, now: float) -> Loading | None:
+    def _advertised_load(self, now: float) -> Loading | None:
         load = self._load
         if load is None:
             return self._upcoming_load(now) or self._acquiring_load()
@@ -349,12 +350,12 @@
         """The load that models are being unloaded for. It is advertised as already
         started; otherwise entries would have the model loaded at another engine
         meanwhile."""
-        preparing = self._preparing
-        spec = preparing and self._engine.models.get(preparing.request.model)
+        pending = self._pending_load
+        spec = pending and self._engine.models.get(pending.request.model)
         if not spec:
             return None
         seconds, from_store = self._load_time(spec)
-        left_s = max(0.0, preparing.since + CALL_DURATION_S - now) + seconds
+        left_s = max(0.0, pending.since + CALL_DURATION_S - now) + seconds
         return Loading(spec.name, left_s, from_store)
 
     def _acquiring_load(self) -> Loading | None:
@@ -434,8 +435,8 @@
         )
         if victims is None or not self._may_load(spec, request):
             return None
-        if self._preparing is None:
-            self._preparing = _Preparing(request, now)
+        if self._pending_load is None:
+            self._pending_load = _PendingLoad(request, now)
         return self._order(now, OrderKind.UNLOAD, victims.models[0], "", request.model)
 
     def _may_load(self, spec: ModelSpec, request: LoadRequest) -> bool:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -388,8 +388,9 @@
     def _best_option(
         self, spec: ModelSpec, demand: Demand, store_wait_s: float
     ) -> _Option | None:
-        """The engine where a load of the model is expected to end first; a load from
-        the weight store starts after ``store_wait_s``."""
+        """The engine where a load of the model ends first, counting what it costs other
+        models and calls as seconds; a load from the weight store starts after
+        ``store_wait_s``."""
         best: _Option | None = None
         best_cost_s = float("inf")
         # Engines with a copy come first: a load from a copy rules most other engines
