--- a/tests/gateway/cover/test_initial_discovery.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -117,31 +117,31 @@
     """
 
     def setUp(self):
-        self.app, self.known, self.load_requests = App(), FakeKnowledge(), []
+        self.app, self.knowledge, self.load_requests = App(), FakeKnowledge(), []
         self.plans = EnginePlans(
             self.app,
-            self.known,
+            self.knowledge,
             lambda backend, load_request: self.load_requests.append(load_request.model),
         )
         self.plans.entries = ("e1",)
-        self.known.list(self.app.at, "b1", "10.0.0.1:1")
+        self.knowledge.list(self.app.at, "b1", "10.0.0.1:1")
         self.report("b1")
 
     def report(self, name, **fields):
-        self.known.fleet.engine_reported(
+        self.knowledge.fleet.engine_reported(
             self.app.at, samples.engine_state(name, **fields)
         )
 
     def run_for(self, seconds):
         for _ in range(round(seconds / STEP_S)):
             self.app.at += STEP_S
-            for backend in self.known.fleet:
+            for backend in self.knowledge.fleet:
                 backend.last_received_at = self.app.at
             self.plans.make(self.app.at)
 
     def test_a_model_is_not_prefetched_if_its_copy_is_reported_later(self):
         self.run_for(0.4)
-        self.known.list(self.app.at, "b2", "10.0.0.2:1")
+        self.knowledge.list(self.app.at, "b2", "10.0.0.2:1")
         self.run_for(0.4)
         self.report("b2", on_disk=frozenset({"tutor"}))
         self.run_for(3.0)
--- a/tests/gateway/cover/test_plan_clock.py
+++ b/tests/gateway/cover/test_plan_scheduler.py
@@ -11,27 +11,27 @@
 from bambootiller_core.timers import TimerService
 
 
-class TestPlanClock(unittest.TestCase):
+class TestPlanScheduler(unittest.TestCase):
     def setUp(self):
         self.timers = TimerService()
         self.now = 0.0
         self.plan_times = []
         self.calls_wait = self.calls_come = self.plan_has_loads = False
         self.version = 1
-        self.clock = PlanScheduler(
+        self.scheduler = PlanScheduler(
             self.plan,
             self.plan,
             lambda: self.calls_wait,
             lambda: self.calls_come,
             lambda: self.version,
         )
-        self.clock.start(self.timers, 0.0)
+        self.scheduler.start(self.timers, 0.0)
 
     def plan(self, now):
-        self.clock.plan_started(now)
+        self.scheduler.plan_started(now)
         self.plan_times.append(now)
         if self.plan_has_loads:
-            self.clock.mark_not_empty()
+            self.scheduler.mark_not_empty()
 
     def run_for(self, seconds):
         """How many plans are made meanwhile."""
@@ -59,12 +59,12 @@
     def test_while_calls_wait_plans_are_made_at_the_shortest_interval(self):
         self.run_for(1.0)
         self.calls_wait = True
-        self.clock.check_soon(self.now)
+        self.scheduler.check_soon(self.now)
         self.assertGreaterEqual(self.run_for(1.0), 0.9 / PLAN_INTERVAL_S)
 
     def test_a_change_soon_causes_a_plan(self):
         self.run_for(1.0)
-        self.clock.changed(self.now)
+        self.scheduler.changed(self.now)
         self.assertEqual(self.run_for(2 * PLAN_INTERVAL_S), 1)
         self.version = 2
         self.assertEqual(self.run_for(2 * IDLE_PLAN_INTERVAL_S), 1)
--- a/tests/gateway/cover/test_turn_holder.py
+++ b/tests/gateway/cover/test_store_permit_holder.py
@@ -90,7 +90,7 @@
         await self.app.settle()
 
 
-class TestTurnHolder(unittest.IsolatedAsyncioTestCase):
+class TestStorePermitHolder(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.enterContext(mock.patch.object(store_permit_holder, "RETRY_S", 0.01))
         self.kv = FakeKeyValue()
