--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -341,11 +341,11 @@
         held = self._backends.get(instance)
         if held is None:
             return
-        lapsed = (
+        expired = (
             now - self._store_returned_at < EXPIRY_GRACE_S
             and not held.registration.leaving
         )
-        if lapsed or not held.listed:
+        if expired or not held.listed:
             if held.missing_since is None:
                 held.missing_since = now
             return
@@ -364,15 +364,15 @@
     def sweep(self, now: float) -> list[str]:
         """Drop backend servers that are still missing :data:`EXPIRY_GRACE_S` after the
         store's return; return their names."""
-        gone = [
+        missing = [
             backend.instance
             for backend in self._backends.values()
             if backend.missing_since is not None
             and self._is_still_missing(now, backend)
         ]
-        for instance in gone:
+        for instance in missing:
             self._drop(instance)
-        return gone
+        return missing
 
     def _is_still_missing(self, now: float, backend: Backend) -> bool:
         since = self._store_returned_at
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
@@ -82,4 +82,4 @@
     names = rendezvous.ranked(
         call.ask.model, [backend.instance for backend in eligible]
     )
-    return {name: place for place, name in enumerate(names)}
+    return {name: rank for rank, name in enumerate(names)}
