--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -13,7 +13,7 @@
 from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.exchange import (
     Exchanger,
-    Outgoing,
+    PeerStream,
     ResidencyServicer,
     Update,
 )
@@ -97,18 +97,18 @@
             app.instance, self._gateway_state, events, app.channels, running_time
         )
         self._quarantine = Quarantine(
-            self._gateway_state, events, app.now, self._exchanger.poke
+            self._gateway_state, events, app.now, self._exchanger.send_now
         )
         self._updates = AgentUpdates(
             self._exchanger, events, app.now, self._load_requested, self._quarantine
         )
-        self._server_limits = ServerLimits(events, app.now, self._exchanger.poke)
+        self._server_limits = ServerLimits(events, app.now, self._exchanger.send_now)
         self._quotas = AllocatorElection(
             app,
             platform.kv,
             events,
             lambda: platform.bounds.quota,
-            self._exchanger.poke,
+            self._exchanger.send_now,
             lambda: self._updates.has_live_entry(),
             self._server_limits,
         )
@@ -176,15 +176,15 @@
         servicer = ResidencyServicer(self._exchanger, self._fill, self._received)
         api.add_ResidencyServicer_to_server(servicer, server)
 
-    def _fill(self, update: Update, outgoing: Outgoing) -> None:
-        self._updates.fill(update, outgoing)
-        self._server_limits.fill(update, outgoing, own=False)
-        self._quotas.fill(update, outgoing)
+    def _fill(self, update: Update, peer_stream: PeerStream) -> None:
+        self._updates.fill(update, peer_stream)
+        self._server_limits.fill(update, peer_stream, own=False)
+        self._quotas.fill(update, peer_stream)
 
-    def _received(self, update: Update, outgoing: Outgoing) -> None:
-        self._updates.received(update, outgoing)
-        self._server_limits.take(update, outgoing)
-        self._quotas.received(update, outgoing)
+    def _received(self, update: Update, peer_stream: PeerStream) -> None:
+        self._updates.received(update, peer_stream)
+        self._server_limits.take(update, peer_stream)
+        self._quotas.received(update, peer_stream)
 
     def _load_requested(self) -> None:
         """An entry wants a load; see to it now."""
@@ -264,7 +264,7 @@
     async def _manage_engine(self) -> None:
         while True:
             pause = await self._step()
-            self._updates.tell()
+            self._updates.send_changes()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause):
                     await self._wake.wait()
@@ -383,7 +383,7 @@
     async def _send_order(self, order: EngineOrder, instance: str) -> None:
         book = self._book
         book.order_sent(order)
-        self._updates.tell()
+        self._updates.send_changes()
         decided = self._app.now()
         demand = book.demands().get(order.wanted_for or order.model, Demand())
         requested_by = book.requested_by(order)
--- a/packages/bambootiller/src/bambootiller/gateway/agent_updates.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent_updates.py
@@ -11,7 +11,12 @@
 
 from bambootiller.gateway import message_codec
 from bambootiller.gateway.event_log import EventLog
-from bambootiller.gateway.exchange import UPDATE_INTERVAL_S, Exchanger, Outgoing, Update
+from bambootiller.gateway.exchange import (
+    UPDATE_INTERVAL_S,
+    Exchanger,
+    PeerStream,
+    Update,
+)
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller_core.gateway.demand_collection import planners
 from bambootiller_core.gateway.engine_state import EngineState
@@ -92,9 +97,9 @@
         repeat it."""
         self._book = book
         now = self._clock()
-        for outgoing in self._exchanger.streams():
-            if now - outgoing.last_received_at < ENTRY_TIMEOUT_S:
-                self._refresh_entry(outgoing, is_new=True)
+        for peer_stream in self._exchanger.streams():
+            if now - peer_stream.last_received_at < ENTRY_TIMEOUT_S:
+                self._refresh_entry(peer_stream, is_new=True)
 
     def set_can_order(self, orders: bool) -> None:
         """Whether there is a fencing token."""
@@ -106,7 +111,7 @@
         self._engine_silent = not answers
         self._send_new_report()
 
-    def tell(self) -> None:
+    def send_changes(self) -> None:
         """Tell at once what entries decide on, and other figures after a while.
 
         What takes away from what the engine offers is told to all. What adds to it is
@@ -142,50 +147,50 @@
         self._sent, self._cached_report = state, None
         self._partially_sent = True
         responsible = planners(tuple(sorted(self._entries)))
-        for outgoing in self._exchanger.streams():
-            entry = outgoing.peer
+        for peer_stream in self._exchanger.streams():
+            entry = peer_stream.peer
             since_request_s = now - self._load_requested_at.get(entry, float("-inf"))
             if (
                 entry in responsible
                 or since_request_s < PROMPT_UPDATE_S
-                or _has_demand_for(outgoing.said, added)
+                or _has_demand_for(peer_stream.report, added)
             ):
-                outgoing.poke()
+                peer_stream.send_now()
 
-    def fill(self, update: Update, outgoing: Outgoing) -> None:
+    def fill(self, update: Update, peer_stream: PeerStream) -> None:
         """Put into a message what its receiver hasn't been told yet."""
-        self._quarantine.fill(update, outgoing, own=False)
-        said = self._report()
-        if said is None:
+        self._quarantine.fill(update, peer_stream, own=False)
+        report = self._report()
+        if report is None:
             return
-        if outgoing.told.get("engine") is not said:
-            outgoing.told["engine"] = said
-            update.engine.CopyFrom(said.engine)
-            _omit_known_copies(update, outgoing)
-        self._fill_total_demand(update, outgoing, said)
+        if peer_stream.last_sent.get("engine") is not report:
+            peer_stream.last_sent["engine"] = report
+            update.engine.CopyFrom(report.engine)
+            _omit_known_copies(update, peer_stream)
+        self._fill_total_demand(update, peer_stream, report)
 
-    def received(self, update: Update, outgoing: Outgoing) -> None:
+    def received(self, update: Update, peer_stream: PeerStream) -> None:
         """Take in an entry's message."""
-        self._quarantine.take(update, outgoing)
+        self._quarantine.take(update, peer_stream)
         if update.begins:
-            outgoing.said = None
+            peer_stream.report = None
         is_new = update.HasField("entry")
         if is_new:
-            outgoing.said = EntryReport(
+            peer_stream.report = EntryReport(
                 message_codec.demands_of(update.entry.demand),
                 dict(update.entry.in_use),
                 update.entry.collect,
             )
-        self._refresh_entry(outgoing, is_new)
+        self._refresh_entry(peer_stream, is_new)
         if self._book is None or not update.wishes:
             return
-        self._load_requested_at[outgoing.peer] = self._clock()
-        if outgoing.told.get("engine") is not self._report():
+        self._load_requested_at[peer_stream.peer] = self._clock()
+        if peer_stream.last_sent.get("engine") is not self._report():
             # It decides on what it was told before.
-            outgoing.poke()
+            peer_stream.send_now()
         for message in update.wishes:
             load_request = message_codec.load_request_of(message)
-            self._book.load_requested(self._clock(), load_request, outgoing.peer)
+            self._book.load_requested(self._clock(), load_request, peer_stream.peer)
         self._load_requested()
 
     def _figures_interval_s(self) -> float:
@@ -207,24 +212,24 @@
         self._cached_report = None
         self._partially_sent = False
         self._sent_at = self._clock()
-        self._exchanger.poke()
+        self._exchanger.send_now()
 
     def _fill_total_demand(
-        self, update: Update, outgoing: Outgoing, said: Update
+        self, update: Update, peer_stream: PeerStream, report: Update
     ) -> None:
         """The demand of all, for an entry that has asked for it, and once nothing for
         one that asks no more."""
         collected = None
-        if outgoing.peer in self._collecting_entries:
-            collected = (said, tuple(sorted(self._entries)))
-        told = outgoing.told.get("collected")
-        if told == collected:
+        if peer_stream.peer in self._collecting_entries:
+            collected = (report, tuple(sorted(self._entries)))
+        last_sent = peer_stream.last_sent.get("collected")
+        if last_sent == collected:
             return
-        outgoing.told["collected"] = collected
+        peer_stream.last_sent["collected"] = collected
         update.collected = True
         if collected is not None:
             update.entries.extend(collected[1])
-            update.total_demand.extend(said.total_demand)
+            update.total_demand.extend(report.total_demand)
 
     def _report(self) -> Update | None:
         """What all entries are told, made once for all streams until it changes.
@@ -254,20 +259,22 @@
                 self._collecting_entries.discard(entry)
                 self._load_requested_at.pop(entry, None)
                 self._events.emit(EntryHeard(entry, heard=False))
-                self._exchanger.soon()
+                self._exchanger.send_later()
 
-    def _refresh_entry(self, outgoing: Outgoing, is_new: bool) -> None:
+    def _refresh_entry(self, peer_stream: PeerStream, is_new: bool) -> None:
         """What an entry said holds on, though it isn't said again."""
-        words, entry = outgoing.said, outgoing.peer
-        if self._book is None or not isinstance(words, EntryReport):
+        entry_report, entry = peer_stream.report, peer_stream.peer
+        if self._book is None or not isinstance(entry_report, EntryReport):
             return
         if entry not in self._entries:
             self._events.emit(EntryHeard(entry, heard=True))
-            self._exchanger.soon()
-        self._entries[entry] = at = outgoing.last_received_at
-        self._set_collecting(entry, words.collect)
+            self._exchanger.send_later()
+        self._entries[entry] = at = peer_stream.last_received_at
+        self._set_collecting(entry, entry_report.collect)
         if is_new or not self._book.entry_alive(at, entry):
-            self._book.entry_reported(at, entry, words.demands, words.in_use)
+            self._book.entry_reported(
+                at, entry, entry_report.demands, entry_report.in_use
+            )
 
     def _set_collecting(self, entry: str, collect: bool) -> None:
         if collect == (entry in self._collecting_entries):
@@ -279,58 +286,58 @@
         self._send_new_report()
 
 
-def _omit_known_copies(update: Update, outgoing: Outgoing) -> None:
+def _omit_known_copies(update: Update, peer_stream: PeerStream) -> None:
     """Which copies an engine has changes once in seconds, and with many models is most
     of the message."""
     engine = update.engine
     start = (engine.instance, engine.started_ms)
     copies = (start, tuple(engine.in_memory), tuple(engine.on_disk))
-    if outgoing.told.get("copies") == copies:
+    if peer_stream.last_sent.get("copies") == copies:
         update.engine.same_copies = True
         del update.engine.in_memory[:]
         del update.engine.on_disk[:]
     else:
-        outgoing.told["copies"] = copies
+        peer_stream.last_sent["copies"] = copies
 
 
-def _differs(told: EngineState, state: EngineState) -> bool:
+def _differs(last_sent: EngineState, state: EngineState) -> bool:
     """Whether entries would decide otherwise; load figures can wait."""
     return (
-        told.incarnation != state.incarnation
-        or told.holdings != state.holdings
-        or told.busy != state.busy
-        or told.orderable != state.orderable
-        or (told.loading is None) != (state.loading is None)
+        last_sent.incarnation != state.incarnation
+        or last_sent.holdings != state.holdings
+        or last_sent.busy != state.busy
+        or last_sent.orderable != state.orderable
+        or (last_sent.loading is None) != (state.loading is None)
     )
 
 
-def _offers_less(told: EngineState, state: EngineState) -> bool:
+def _offers_less(last_sent: EngineState, state: EngineState) -> bool:
     """Whether the engine offers less than entries believe: a call sent there for a
     model that is gone would be turned away, and may have no other attempt."""
-    if told.incarnation != state.incarnation:
+    if last_sent.incarnation != state.incarnation:
         return True
-    if told.orderable and not state.orderable:
+    if last_sent.orderable and not state.orderable:
         return True
     return any(
         not adapters <= state.holdings.get(model, frozenset())
         or model not in state.holdings
-        for model, adapters in told.holdings.items()
+        for model, adapters in last_sent.holdings.items()
     )
 
 
-def _added(told: EngineState, state: EngineState) -> set[str]:
+def _added(last_sent: EngineState, state: EngineState) -> set[str]:
     """The models of which the engine holds more than was told, or that it loads."""
     models = {
         model
         for model, adapters in state.holdings.items()
-        if told.holdings.get(model) != adapters
+        if last_sent.holdings.get(model) != adapters
     }
     if state.loading is not None:
         models.add(state.loading.model)
     return models
 
 
-def _has_demand_for(said: object, models: Collection[str]) -> bool:
-    if not isinstance(said, EntryReport):
+def _has_demand_for(report: object, models: Collection[str]) -> bool:
+    if not isinstance(report, EntryReport):
         return False
-    return any(said.demands.get(model, NO_DEMAND).value for model in models)
+    return any(report.demands.get(model, NO_DEMAND).value for model in models)
--- a/packages/bambootiller/src/bambootiller/gateway/allocator_client.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_client.py
@@ -17,7 +17,7 @@
 
 from bambootiller.gateway import message_codec
 from bambootiller.gateway.boot_clock import boot_now
-from bambootiller.gateway.exchange import Outgoing, Update
+from bambootiller.gateway.exchange import PeerStream, Update
 from bambootiller_core.gateway.quota_account import QuotaAccount, QuotaCharge
 from bambootiller_core.gateway.quota_limits import Limit
 from bambootiller_core.gateway.quota_messages import (
@@ -104,7 +104,7 @@
     def __init__(
         self,
         entry: str,
-        is_open: Callable[[Outgoing], bool],
+        is_open: Callable[[PeerStream], bool],
         is_starting: Callable[[], bool],
         clock: Callable[[], float] = boot_now,
     ) -> None:
@@ -118,7 +118,7 @@
         self._limits: dict[str, Limit] = {}
         #: For how long nothing is asked where there is no room.
         self._pauses: dict[str, float] = {}
-        self._allocator: Outgoing | None = None
+        self._allocator: PeerStream | None = None
         self._term = 0
         self._heard = 0
         self.last_received_at = float("-inf")
@@ -161,7 +161,7 @@
         return self.has_limits and self.allocator is None
 
     @property
-    def allocator(self) -> Outgoing | None:
+    def allocator(self) -> PeerStream | None:
         """This side of the stream to the allocator, if one is heard."""
         if self._allocator is not None and not self._is_open(self._allocator):
             self._allocator = None
@@ -250,9 +250,9 @@
         if book is not None and limit is not None:
             book.account.overdraw(self.clock(), limit, cost)
 
-    def fill(self, update: Update, outgoing: Outgoing) -> None:
+    def fill(self, update: Update, peer_stream: PeerStream) -> None:
         """Put what is to be asked into a message to the allocator."""
-        if not self._due or outgoing is not self._allocator:
+        if not self._due or peer_stream is not self._allocator:
             return
         self._due = False
         now = self.clock()
@@ -282,10 +282,10 @@
         )
         message_codec.set_quota_ask(update, ask)
 
-    def take(self, update: Update, outgoing: Outgoing) -> None:
+    def take(self, update: Update, peer_stream: PeerStream) -> None:
         """Take in what an agent tells."""
         if update.HasField("allocator_term"):
-            self._allocator_told(update.allocator_term, outgoing)
+            self._allocator_told(update.allocator_term, peer_stream)
         if update.HasField("quota_answer"):
             self._answered(message_codec.quota_answer_of(update.quota_answer))
 
@@ -330,14 +330,14 @@
                 book.waiters.remove(waiter)
         return found or Shortage.NO_ROOM
 
-    def _allocator_told(self, term: int, outgoing: Outgoing) -> None:
+    def _allocator_told(self, term: int, peer_stream: PeerStream) -> None:
         if term >= max(1, self._term):
             if term > self._term:
                 self._heard = 0
             self._asking_since = None
-            self._term, self._allocator = term, outgoing
+            self._term, self._allocator = term, peer_stream
             self._ask()
-        elif outgoing is self._allocator:
+        elif peer_stream is self._allocator:
             self._allocator = None
 
     def _answered(self, answer: QuotaAnswer) -> None:
@@ -391,7 +391,7 @@
             return
         if allocator is not None:
             self._due = True
-            allocator.poke()
+            allocator.send_now()
 
 
 def _decide(waiter: _Waiter, charge: QuotaCharge | None) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
@@ -18,7 +18,7 @@
 from bambootiller.gateway import message_codec
 from bambootiller.gateway.boot_clock import boot_now
 from bambootiller.gateway.event_log import EventLog
-from bambootiller.gateway.exchange import Outgoing, Update
+from bambootiller.gateway.exchange import PeerStream, Update
 from bambootiller.gateway.server_limits import ServerLimits
 from bambootiller_core.gateway import quota_record
 from bambootiller_core.gateway.config import GatewayConfig
@@ -55,7 +55,7 @@
 class AllocatorElection:
     """Lets an agent allocate quotas.
 
-    ``poke`` has all peers told soon, ``has_live_entry`` tells whether any entry has
+    ``send_now`` has all peers told soon, ``has_live_entry`` tells whether any entry has
     been heard lately; ``named`` are the limits of backend servers.
 
     Example::
@@ -73,7 +73,7 @@
         kv: KeyValue,
         events: EventLog,
         tolerance: Callable[[], QuotaTolerance],
-        poke: Callable[[], None],
+        send_now: Callable[[], None],
         has_live_entry: Callable[[], bool],
         named: ServerLimits,
     ) -> None:
@@ -83,7 +83,7 @@
         self._kv = kv
         self._events = events
         self._tolerance = tolerance
-        self._poke = poke
+        self._send_now = send_now
         self._hears_an_entry = has_live_entry
         self._config: GatewayConfig | None = None
         self._limits: dict[str, Limit] = {}
@@ -97,7 +97,7 @@
         self._writing = False
         #: Whether it was looked if the process before this one was the allocator.
         self._looked_back = False
-        self._answers: WeakKeyDictionary[Outgoing, QuotaAnswer] = WeakKeyDictionary()
+        self._answers: WeakKeyDictionary[PeerStream, QuotaAnswer] = WeakKeyDictionary()
 
     @property
     def term(self) -> int:
@@ -123,17 +123,17 @@
         if self._allocator is not None:
             self._allocator.configured(boot_now(), self._limits)
 
-    def fill(self, update: Update, outgoing: Outgoing) -> None:
+    def fill(self, update: Update, peer_stream: PeerStream) -> None:
         """Put into a message what its receiver hasn't been told yet."""
         term = self.term
-        if outgoing.told.get("allocator", 0) != term:
+        if peer_stream.last_sent.get("allocator", 0) != term:
             update.allocator_term = term
-        outgoing.told["allocator"] = term
-        answer = self._answers.pop(outgoing, None)
+        peer_stream.last_sent["allocator"] = term
+        answer = self._answers.pop(peer_stream, None)
         if answer is not None and answer.term == term:
             message_codec.set_quota_answer(update, answer)
 
-    def received(self, update: Update, outgoing: Outgoing) -> None:
+    def received(self, update: Update, peer_stream: PeerStream) -> None:
         """Take in an entry's message."""
         if update.lacks_allocator and not self._busy and self._limits:
             self._busy = True
@@ -143,11 +143,11 @@
         if self._tolerance() != self._limited_by and self._config is not None:
             # The settings have changed.
             self.configured(self._config)
-        ask = message_codec.quota_ask_of(update.quota_ask, outgoing.peer)
+        ask = message_codec.quota_ask_of(update.quota_ask, peer_stream.peer)
         answer = self._allocator.answer(boot_now(), ask, self._limits)
         if answer is not None:
-            self._answers[outgoing] = answer
-            outgoing.poke()
+            self._answers[peer_stream] = answer
+            peer_stream.send_now()
         if self._allocator.pending_record is not None and not self._writing:
             self._writing = True
             self._app.spawn("members of quotas", self._write_members())
@@ -213,7 +213,7 @@
         self._allocator.configured(now, self._limits)
         line = QuotaAllocator(True, written.revision, "key taken", len(members))
         self._events.emit(line)
-        self._poke()
+        self._send_now()
         return True
 
     async def _read_members(self) -> dict[str, Member] | None:
@@ -253,7 +253,7 @@
         self._events.emit(QuotaAllocator(False, self._allocator.term, reason))
         self._allocator = None
         self._answers.clear()
-        self._poke()
+        self._send_now()
 
     async def _write_members(self) -> None:
         try:
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -8,7 +8,7 @@
 from bambootiller.app import Application
 from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.load_requester import LoadRequester
-from bambootiller.gateway.plan_scheduler import PlanScheduler, pause_s
+from bambootiller.gateway.plan_scheduler import PlanScheduler, interval_s
 from bambootiller_core.gateway.adapter_prefetch import AdapterPrefetch
 from bambootiller_core.gateway.config import ServiceSpec
 from bambootiller_core.gateway.copies import copies_seen
@@ -39,10 +39,10 @@
 
 #: A plan no older than this is of this moment, in pauses between two plans: a call that
 #: looks at it would otherwise be quicker than the next plan.
-FRESH_PAUSES = 2
+MAX_PLAN_AGE_INTERVALS = 2
 #: An engine that the registry lists is known here within the pause between two reads
 #: and this. Seconds.
-LISTED_WITHIN_S = 0.3
+REGISTRY_READ_DELAY_S = 0.3
 
 
 class EnginePlans:
@@ -69,23 +69,23 @@
         #: The entries that agents hear, this one among them.
         self.entries: tuple[str, ...] = ()
         self._demand_trackers: dict[str, DemandTracker] = {}
-        self._own: dict[str, dict[str, Demand]] = {}
+        self._own_demands: dict[str, dict[str, Demand]] = {}
         self._load_requester = LoadRequester(
             app.instance, gateway_state.fleet, lambda: self.entries, load_request, emit
         )
         self._totals = CollectedDemand()
         self._plans: dict[str, dict[str, PlannedLoad]] = {}
-        self._planned_for: dict[str, dict[str, Demand]] = {}
+        self._planned_demands: dict[str, dict[str, Demand]] = {}
         self._planners: dict[str, Planner] = {}
         self._store_idle: dict[str, StoreIdleTracker] = {}
         self._planned_at = float("-inf")
         self._store_concurrency = StoreConcurrencyByService()
         self._adapter_prefetch: dict[str, AdapterPrefetch] = {}
         self._discoveries: dict[str, InitialDiscovery] = {}
-        self._clock = PlanScheduler(
-            self._due,
-            self._awaited,
-            self._any_waits,
+        self._scheduler = PlanScheduler(
+            self._plan_due,
+            self._plan_for_waiting,
+            self._any_call_waits,
             lambda: not all(
                 demand.is_idle for demand in self._demand_trackers.values()
             ),
@@ -94,11 +94,11 @@
 
     def start(self, now: float) -> None:
         """Begin to plan."""
-        self._clock.start(self._app.timers, now)
+        self._scheduler.start(self._app.timers, now)
 
     def changed(self, now: float) -> None:
         """Something that plans are made of has changed."""
-        self._clock.changed(now)
+        self._scheduler.changed(now)
 
     def demand(self, service: str) -> DemandTracker:
         """The demand for the models of a service at this entry."""
@@ -108,7 +108,7 @@
         """The adapters that refused callers will need, at the engines of a service."""
         return self._adapter_prefetch.setdefault(service, AdapterPrefetch())
 
-    def engine_spoke(self, now: float, backend: Backend) -> None:
+    def agent_reported(self, now: float, backend: Backend) -> None:
         """An agent told something new: ask it for the adapters of refused callers whose
         models are there."""
         service = backend.registration.service
@@ -132,23 +132,23 @@
 
     def own_demands(self, service: str) -> dict[str, Demand]:
         """This entry's demand, as agents are told it."""
-        demands = self._own.get(service)
+        demands = self._own_demands.get(service)
         return self._demands(service) if demands is None else demands
 
     def planned(self, service: str, model: str) -> PlannedLoad | None:
         """The load of the model that is under way or planned."""
         return self._plans.get(service, {}).get(model)
 
-    def wanted(self, service: str, model: str) -> Demand:
+    def planned_demand(self, service: str, model: str) -> Demand:
         """The demand of all entries for the model at the last plan."""
-        return self._planned_for.get(service, {}).get(model, NO_DEMAND)
+        return self._planned_demands.get(service, {}).get(model, NO_DEMAND)
 
     def obstacles(self, service: str, model: str) -> Obstacles | None:
         """What kept engines from loading the model at the last plan."""
         planner = self._planners.get(service)
         if planner is None:
             return None
-        return planner.obstacles(model, self.wanted(service, model))
+        return planner.obstacles(model, self.planned_demand(service, model))
 
     def store_idle_s(self) -> float:
         """For how long altogether the weight store served nobody while callers waited
@@ -193,18 +193,18 @@
         """
         now = self._app.now()
         planned = self.planned(service, model)
-        counted = self._own.get(service, {}).get(model, NO_DEMAND).waiting
+        counted = self._own_demands.get(service, {}).get(model, NO_DEMAND).waiting
         more = self.demand(service).waiting(now, model) > counted
-        if (planned is None and more) or self._is_old(now):
-            self.make(now)
-            self._clock.check_soon(now)
+        if (planned is None and more) or self._is_stale(now):
+            self.make_plans(now)
+            self._scheduler.check_soon(now)
             planned = self.planned(service, model)
         return planned
 
-    def make(self, now: float) -> None:
+    def make_plans(self, now: float) -> None:
         """Make the plans of all services, and ask for the loads that this entry sees
         to."""
-        self._clock.plan_started(now)
+        self._scheduler.plan_started(now)
         self._planned_at = now
         pairs = 0
         for service in self._engine_services():
@@ -225,18 +225,20 @@
             )
             plan = planner.plan(now, backends, self._admitted(total_demands))
             self._plans[service.name] = plan
-            self._planned_for[service.name] = total_demands
+            self._planned_demands[service.name] = total_demands
             self._planners[service.name] = planner
-            self._note_idle_store(now, service.name, planner, total_demands)
+            self._record_idle_store(now, service.name, planner, total_demands)
             loads = self._load_requester.from_copies(plan, demands)
-            if self._knows_engines(now, service.name, backends):
+            if self._is_discovery_complete(now, service.name, backends):
                 loads += self._load_requester.from_store(
                     now, service.name, planner, plan, total_demands
                 )
-            self._load_requester.ask(loads, demands, total_demands, planner.store_loads)
+            self._load_requester.send_requests(
+                loads, demands, total_demands, planner.store_loads
+            )
             if plan or any(demand.value for demand in total_demands.values()):
-                self._clock.mark_not_empty()
-        self._clock.pause_s = pause_s(pairs)
+                self._scheduler.mark_not_empty()
+        self._scheduler.interval_s = interval_s(pairs)
 
     def _admitted(self, demands: Mapping[str, Demand]) -> Mapping[str, Demand]:
         """The demand for models that may be loaded. One whose load isn't admitted would
@@ -250,7 +252,7 @@
             return demands
         return {name: demand for name, demand in demands.items() if name not in refused}
 
-    def _note_idle_store(
+    def _record_idle_store(
         self, now: float, service: str, planner: Planner, demands: Mapping[str, Demand]
     ) -> None:
         idle = self._store_idle.setdefault(service, StoreIdleTracker())
@@ -264,8 +266,10 @@
         line = WeightStoreIdle(service, round(seconds, 2), len(awaited), first, seen)
         self._emit(line)
 
-    def _is_old(self, now: float) -> bool:
-        return now - self._planned_at > FRESH_PAUSES * self._clock.pause_s
+    def _is_stale(self, now: float) -> bool:
+        return (
+            now - self._planned_at > MAX_PLAN_AGE_INTERVALS * self._scheduler.interval_s
+        )
 
     def _demands(self, service: str) -> dict[str, Demand]:
         """This entry's demand; models that engines hold are in it also if nobody asks
@@ -289,42 +293,42 @@
         """This entry's demand as it is now, as agents are told it; the same table as
         before where nothing has changed."""
         demands = self._demands(service)
-        if demands != self._own.get(service):
-            self._own[service] = demands
-        return self._own[service]
+        if demands != self._own_demands.get(service):
+            self._own_demands[service] = demands
+        return self._own_demands[service]
 
-    def _due(self, now: float) -> None:
+    def _plan_due(self, now: float) -> None:
         """Make the plan if this entry acts on it; if not, only what comes of it for
         others: its own demand, which agents are told, and the store's speed.
 
         Made by all of many entries, it would be made in vain by most: a few ask for the
         loads.
         """
-        if self._is_planner() or self._awaits_own():
-            self.make(now)
+        if self._is_planner() or self._has_own_waiting():
+            self.make_plans(now)
             return
-        self._clock.plan_started(now)
+        self._scheduler.plan_started(now)
         self._observe_all(now)
         for service in self._engine_services():
             demands = self._refresh_demands(service.name)
             if any(demand.value for demand in demands.values()):
-                self._clock.mark_not_empty()
+                self._scheduler.mark_not_empty()
 
-    def _awaited(self, now: float) -> None:
+    def _plan_for_waiting(self, now: float) -> None:
         """Calls wait: make the plan if this entry acts on it.
 
         Of many entries one asks for the load. The store's speed is learnt from when
         loads begin and end, by all of them.
         """
         if self._acts_on_plan(now):
-            self.make(now)
+            self.make_plans(now)
         else:
             self._observe_all(now)
 
     def _acts_on_plan(self, now: float) -> bool:
         """Whether this entry asks for loads that calls wait for: they are its own, or
         it is the one to see to their model. Others make the plan when a call comes."""
-        if self._awaits_own():
+        if self._has_own_waiting():
             return True
         awaited = self._totals.models_waited_for(now)
         if any(map(self._load_requester.is_responsible_for, awaited)):
@@ -335,7 +339,7 @@
             for service in services
         )
 
-    def _awaits_own(self) -> bool:
+    def _has_own_waiting(self) -> bool:
         """Whether calls of this entry wait, or of one that sees to loads refused
         callers are due back.
 
@@ -345,15 +349,15 @@
         """
         if any(demand.has_waiting_calls for demand in self._demand_trackers.values()):
             return True
-        own = self._own.values() if self._is_planner() else ()
+        own = self._own_demands.values() if self._is_planner() else ()
         return any(demand.waiting for demands in own for demand in demands.values())
 
-    def _any_waits(self) -> bool:
-        if self._awaits_own():
+    def _any_call_waits(self) -> bool:
+        if self._has_own_waiting():
             return True
         if not self._is_planner():
             return False
-        counted = self._planned_for.values()
+        counted = self._planned_demands.values()
         return any(demand.waiting for demands in counted for demand in demands.values())
 
     def _is_planner(self) -> bool:
@@ -373,11 +377,11 @@
         services = config.services.values() if config is not None else ()
         return [service for service in services if service.engine is not None]
 
-    def _knows_engines(
+    def _is_discovery_complete(
         self, now: float, service: str, backends: Collection[Backend]
     ) -> bool:
         """Whether copies of models can be at no engine that this entry hasn't heard of
         since it started."""
-        look = self._discoveries.setdefault(service, InitialDiscovery())
-        quiet_s = self._gateway_state.batch_delay_s + LISTED_WITHIN_S
-        return look.is_complete(now, backends, quiet_s)
+        discovery = self._discoveries.setdefault(service, InitialDiscovery())
+        quiet_s = self._gateway_state.batch_delay_s + REGISTRY_READ_DELAY_S
+        return discovery.is_complete(now, backends, quiet_s)
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -13,7 +13,12 @@
 )
 from bambootiller.gateway.engine_plans import EnginePlans
 from bambootiller.gateway.event_log import EventLog
-from bambootiller.gateway.exchange import UPDATE_INTERVAL_S, Exchanger, Outgoing, Update
+from bambootiller.gateway.exchange import (
+    UPDATE_INTERVAL_S,
+    Exchanger,
+    PeerStream,
+    Update,
+)
 from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller.gateway.server_limits import ServerLimits
@@ -63,25 +68,25 @@
         self._links: dict[str, _Link] = {}
         self._collectors: dict[str, list[str]] = {}
         self.quarantine = Quarantine(
-            gateway_state, events, app.now, self._tell_collectors
+            gateway_state, events, app.now, self._notify_collectors
         )
-        self.server_limits = ServerLimits(events, app.now, self._tell_limits)
+        self.server_limits = ServerLimits(events, app.now, self._notify_limits)
         self.plans = EnginePlans(
             app, gateway_state, self.load_request, self._emit, self._admits_load
         )
-        self._reached: list[tuple[str, bool, bool]] = []
+        self._reachability: list[tuple[str, bool, bool]] = []
 
     def start(self) -> None:
         """Begin to review and to plan."""
         now = self._app.now()
         self._app.timers.every("engine links", REVIEW_S, now, self._review)
-        self._app.timers.every("figures", UPDATE_INTERVAL_S, now, self._tell)
+        self._app.timers.every("figures", UPDATE_INTERVAL_S, now, self._send_changes)
         self.plans.start(now)
         self.quarantine.start(self._app.timers, now)
         self.server_limits.start(self._app.timers, now, self._gateway_state.fleet)
         self._allocator_client.start(self._app.timers, now)
         self._app.timers.every(
-            "allocator", ALLOCATOR_REVIEW_INTERVAL_S, now, self._seek_allocator
+            "allocator", ALLOCATOR_REVIEW_INTERVAL_S, now, self._find_allocator
         )
 
     def _emit(self, line: LogLine) -> None:
@@ -96,7 +101,7 @@
         if link is None:
             return False
         link.load_requests[(load_request.model, load_request.adapter)] = load_request
-        self._exchanger.poke_at(self._address(backend.registration.host))
+        self._exchanger.send_now_to(self._address(backend.registration.host))
         return True
 
     def _admits_load(self, model: str) -> bool:
@@ -107,7 +112,7 @@
         """How many streams to agents are kept."""
         return len(self._links)
 
-    def has_heard_collectors(self) -> bool:
+    def has_collector_reports(self) -> bool:
         """Whether what all entries have to know has been heard, as far as there is
         somebody to hear it from."""
         config, now = self._gateway_state.config, self._app.now()
@@ -134,47 +139,51 @@
     def _review(self, now: float) -> None:
         for instance in self._gateway_state.fleet.sweep(now):
             self._events.emit(BackendRemoved(instance, "missing_after_outage"))
-        wanted = {}
+        backends_by_host = {}
         config = self._gateway_state.config
         if config is None:
             return
         for backend in self._gateway_state.fleet:
             service = config.services.get(backend.registration.service)
             if service is not None and service.engine is not None:
-                wanted[backend.registration.host] = backend
+                backends_by_host[backend.registration.host] = backend
         for host in list(self._links):
-            if host not in wanted:
+            if host not in backends_by_host:
                 self._links.pop(host).task.cancel()
-        for host, backend in wanted.items():
+        for host, backend in backends_by_host.items():
             if host not in self._links:
                 self._open(host, backend)
             self._links[host].instance = backend.instance
-        self._recall(now)
-        reached = [
+        self._apply_earlier_reports(now)
+        reachability = [
             (host, backend.agent_responsive(now), backend.lost(now))
-            for host, backend in wanted.items()
+            for host, backend in backends_by_host.items()
         ]
-        if reached != self._reached:
-            self._reached = reached
+        if reachability != self._reachability:
+            self._reachability = reachability
             self.plans.changed(now)
-            self._choose_collectors(now, wanted)
+            self._choose_collectors(now, backends_by_host)
 
-    def _recall(self, now: float) -> None:
+    def _apply_earlier_reports(self, now: float) -> None:
         """An engine that was listed after its agent had spoken: the agent doesn't
         repeat what it said."""
-        for outgoing in self._exchanger.streams():
-            words = outgoing.said
-            if not isinstance(words, AgentReport) or words.state is None:
+        for peer_stream in self._exchanger.streams():
+            agent_report = peer_stream.report
+            if not isinstance(agent_report, AgentReport) or agent_report.state is None:
                 continue
-            backend = self._gateway_state.fleet.get(words.state.instance)
-            if backend is None or backend.engine is words.state:
+            backend = self._gateway_state.fleet.get(agent_report.state.instance)
+            if backend is None or backend.engine is agent_report.state:
                 continue
-            if now - outgoing.last_received_at < AGENT_TIMEOUT_S:
-                self._take_over(outgoing.last_received_at, words, outgoing.peer, False)
+            if now - peer_stream.last_received_at < AGENT_TIMEOUT_S:
+                self._apply_report(
+                    peer_stream.last_received_at, agent_report, peer_stream.peer, False
+                )
 
-    def _choose_collectors(self, now: float, wanted: dict[str, Backend]) -> None:
+    def _choose_collectors(
+        self, now: float, backends_by_host: dict[str, Backend]
+    ) -> None:
         heard: dict[str, list[str]] = {}
-        for host, backend in wanted.items():
+        for host, backend in backends_by_host.items():
             if backend.agent_responsive(now):
                 heard.setdefault(backend.registration.service, []).append(host)
         self._collectors = {
@@ -187,69 +196,74 @@
     def _open(self, host: str, backend: Backend) -> None:
         stream = self._exchanger.keep_open(
             self._address(host),
-            lambda update, outgoing: self._fill(host, update, outgoing),
+            lambda update, peer_stream: self._fill(host, update, peer_stream),
             self.received,
             lambda: entry_rank(self._app.instance, host, self.plans.entries),
         )
         task = asyncio.get_running_loop().create_task(stream)
         self._links[host] = _Link(task, backend.instance)
 
-    def _tell_collectors(self) -> None:
-        for host in self._collecting():
-            self._exchanger.poke_at(self._address(host))
+    def _notify_collectors(self) -> None:
+        for host in self._collector_hosts():
+            self._exchanger.send_now_to(self._address(host))
 
-    def _tell_limits(self) -> None:
-        self._tell_collectors()
+    def _notify_limits(self) -> None:
+        self._notify_collectors()
         allocator = self._allocator_client.allocator
         if allocator is not None:
-            allocator.poke()
+            allocator.send_now()
 
-    def _seek_allocator(self, now: float) -> None:
+    def _find_allocator(self, now: float) -> None:
         if self._allocator_client.lacks_allocator:
-            self._tell_collectors()
+            self._notify_collectors()
 
-    def _collecting(self) -> set[str]:
+    def _collector_hosts(self) -> set[str]:
         """The hosts of the agents that collect what all entries have to know."""
         return {host for hosts in self._collectors.values() for host in hosts}
 
-    def _fill(self, host: str, update: Update, outgoing: Outgoing) -> None:
-        if host in self._collecting():
-            self.quarantine.fill(update, outgoing, own=True)
+    def _fill(self, host: str, update: Update, peer_stream: PeerStream) -> None:
+        if host in self._collector_hosts():
+            self.quarantine.fill(update, peer_stream, own=True)
             update.lacks_allocator = self._allocator_client.lacks_allocator
-        if host in self._collecting() or outgoing is self._allocator_client.allocator:
-            self.server_limits.fill(update, outgoing, own=True)
-        self._allocator_client.fill(update, outgoing)
+        if (
+            host in self._collector_hosts()
+            or peer_stream is self._allocator_client.allocator
+        ):
+            self.server_limits.fill(update, peer_stream, own=True)
+        self._allocator_client.fill(update, peer_stream)
         link = self._links.get(host)
         backend = link and self._gateway_state.fleet.get(link.instance)
         if not backend:
             return
-        if self._has_news(backend, outgoing):
-            told = self._to_tell(backend)
-            outgoing.told["entry"] = told
-            update.entry.CopyFrom(told.message())
+        if self._needs_update(backend, peer_stream):
+            last_sent = self._current_report(backend)
+            peer_stream.last_sent["entry"] = last_sent
+            update.entry.CopyFrom(last_sent.message())
         for load_request in link.load_requests.values():
             message_codec.add_load_request(update, load_request)
         link.load_requests.clear()
 
-    def _tell(self, now: float) -> None:
+    def _send_changes(self, now: float) -> None:
         """Tell agents whose figures have moved."""
         for host, link in self._links.items():
-            outgoing = self._exchanger.stream_to(self._address(host))
+            peer_stream = self._exchanger.stream_to(self._address(host))
             backend = self._gateway_state.fleet.get(link.instance)
-            if outgoing is None or backend is None:
+            if peer_stream is None or backend is None:
                 continue
-            if self._has_news(backend, outgoing):
-                outgoing.soon()
+            if self._needs_update(backend, peer_stream):
+                peer_stream.send_later()
 
-    def _has_news(self, backend: Backend, outgoing: Outgoing) -> bool:
+    def _needs_update(self, backend: Backend, peer_stream: PeerStream) -> bool:
         """Whether the agent is to be told anew."""
-        told: SentReport | None = outgoing.told.get("entry")
+        last_sent: SentReport | None = peer_stream.last_sent.get("entry")
         demands = self.plans.own_demands(backend.registration.service)
         collects = self._collects(backend)
         now = self._app.now()
-        return told is None or told.is_outdated(now, demands, backend, collects)
+        return last_sent is None or last_sent.is_outdated(
+            now, demands, backend, collects
+        )
 
-    def _to_tell(self, backend: Backend) -> SentReport:
+    def _current_report(self, backend: Backend) -> SentReport:
         demands = self.plans.own_demands(backend.registration.service)
         return SentReport.now(
             self._app.now(), demands, backend, self._collects(backend)
@@ -261,47 +275,49 @@
 
     def figures_for(self, backend: Backend) -> pb.EntryFigures:
         """What the agent beside the engine is told of this entry's calls."""
-        return self._to_tell(backend).message()
+        return self._current_report(backend).message()
 
-    def received(self, update: Update, outgoing: Outgoing | None = None) -> None:
+    def received(self, update: Update, peer_stream: PeerStream | None = None) -> None:
         """Take over what the agent beside an engine says; what it said before on the
         same stream holds on unless this replaces it."""
-        words = AgentReport.after(update, outgoing.said if outgoing else None)
-        if outgoing is not None:
-            outgoing.said = words
-        if outgoing is not None:
-            self.quarantine.take(update, outgoing)
-            self.server_limits.take(update, outgoing)
-            self._allocator_client.take(update, outgoing)
+        agent_report = AgentReport.after(
+            update, peer_stream.report if peer_stream else None
+        )
+        if peer_stream is not None:
+            peer_stream.report = agent_report
+        if peer_stream is not None:
+            self.quarantine.take(update, peer_stream)
+            self.server_limits.take(update, peer_stream)
+            self._allocator_client.take(update, peer_stream)
         if update.collected:
             self.plans.changed(self._app.now())
-        source = outgoing.peer if outgoing is not None else update.sender
+        source = peer_stream.peer if peer_stream is not None else update.sender
         is_new = update.HasField("engine")
-        self._take_over(self._app.now(), words, source, is_new)
+        self._apply_report(self._app.now(), agent_report, source, is_new)
 
-    def _take_over(
-        self, now: float, words: AgentReport, source: str, is_new: bool
+    def _apply_report(
+        self, now: float, agent_report: AgentReport, source: str, is_new: bool
     ) -> None:
-        if words.entries:
-            self.plans.entries = words.entries
-        if words.state is None:
+        if agent_report.entries:
+            self.plans.entries = agent_report.entries
+        if agent_report.state is None:
             return
         fleet = self._gateway_state.fleet
-        backend = fleet.get(words.state.instance)
-        if backend is not None and words.totals is not None:
+        backend = fleet.get(agent_report.state.instance)
+        if backend is not None and agent_report.totals is not None:
             service, host = backend.registration.service, backend.registration.host
-            self.plans.totals_reported(now, service, host, words.totals)
+            self.plans.totals_reported(now, service, host, agent_report.totals)
         if backend is None:
             return
-        if not is_new and words.state.incarnation.precedes(backend.incarnation):
+        if not is_new and agent_report.state.incarnation.precedes(backend.incarnation):
             # A beat says nothing anew of a start that has ended.
             return
-        is_news = backend.engine is not words.state
-        wakes = wakes_waiting_calls(backend, words.state)
-        if fleet.engine_reported(now, words.state) and is_news:
+        is_changed = backend.engine is not agent_report.state
+        wakes = wakes_waiting_calls(backend, agent_report.state)
+        if fleet.engine_reported(now, agent_report.state) and is_changed:
             if backend.replaced:
                 self._gateway_state.log_restart(backend, source)
             self.plans.changed(now)
-            self.plans.engine_spoke(now, fleet.get(words.state.instance))
+            self.plans.agent_reported(now, fleet.get(agent_report.state.instance))
             if wakes:
                 self._gateway_state.changed.notify()
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -15,7 +15,7 @@
 from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.exchange import (
     Exchanger,
-    Outgoing,
+    PeerStream,
     ResidencyServicer,
     Update,
 )
@@ -249,7 +249,7 @@
         return not self._context.is_starting() or self._has_quarantine_state()
 
     def _has_quarantine_state(self) -> bool:
-        return self._records.known and self._engines.has_heard_collectors()
+        return self._records.known and self._engines.has_collector_reports()
 
     async def drain(self, seconds: float) -> None:
         """Shut down gracefully: fail the readiness checks, keep accepting calls for a
@@ -355,9 +355,9 @@
         )
 
 
-def _send_nothing(update: Update, outgoing: Outgoing) -> None:
+def _send_nothing(update: Update, peer_stream: PeerStream) -> None:
     """Entries send each other only documents, which the exchanger adds itself."""
 
 
-def _ignore_update(update: Update, outgoing: Outgoing) -> None:
+def _ignore_update(update: Update, peer_stream: PeerStream) -> None:
     """The exchanger itself processes received documents."""
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -51,17 +51,17 @@
 
 Update = pb.ResidencyUpdate
 #: Fills a message to a peer with what this side has to say beside documents.
-FillUpdate = Callable[[Update, "Outgoing"], None]
+FillUpdate = Callable[[Update, "PeerStream"], None]
 #: Takes over a message, and what still holds of those before.
-HandleUpdate = Callable[[Update, "Outgoing"], None]
+HandleUpdate = Callable[[Update, "PeerStream"], None]
 
 
-class Outgoing:
+class PeerStream:
     """One side of a stream: gathers documents and figures, and beats.
 
     ``peer`` is the other side's name, empty as long as it hasn't spoken, and
-    ``last_received_at`` when it spoke last. ``told`` is for :data:`FillUpdate`, to remember what
-    needn't be said again, and ``said`` for :data:`HandleUpdate`, to keep what the other
+    ``last_received_at`` when it spoke last. ``last_sent`` is for :data:`FillUpdate`, to remember what
+    needn't be said again, and ``report`` for :data:`HandleUpdate`, to keep what the other
     side won't repeat; both end with the stream. ``to_entry`` is whether an entry tells
     another one; these say soon up to where they have everything, as neither beats often
     enough for the other to know in time what it needn't pass on.
@@ -85,8 +85,8 @@
         self._heartbeat_s = heartbeat_s
         self.peer = ""
         self.last_received_at = float("-inf")
-        self.told: dict[str, object] = {}
-        self.said: object = None
+        self.last_sent: dict[str, object] = {}
+        self.report: object = None
         #: Whether the other side keeps what it isn't told anew; one of an earlier
         #: version takes what isn't repeated for gone.
         self._peer_retains_state = False
@@ -111,7 +111,7 @@
         if rank:
             self._arm()
         else:
-            self.poke()
+            self.send_now()
 
     def heard(self, update: Update) -> None:
         """The other side has spoken."""
@@ -121,27 +121,27 @@
         self._peer_retains_state = self._peer_retains_state or update.begins
         if first or update.complete:
             self._documents.peer_has(dict(update.complete))
-            self.soon()
+            self.send_later()
         if first and not self._documents.is_empty:
-            self.poke()
+            self.send_now()
 
     def update_filter(self, what: str, version: int, own: bool) -> UpdateFilter | None:
         """What the other side hasn't been told of ``what``, None if that is at
         ``version`` already; from now on it has. ``own`` leaves out what others told,
         unless the other side hasn't been told anything."""
-        told = self.told.get(what)
-        if told == version:
+        last_sent = self.last_sent.get(what)
+        if last_sent == version:
             return None
-        self.told[what] = version
-        known = told is not None
-        return UpdateFilter(told if known else 0, own and known, self.peer)
+        self.last_sent[what] = version
+        known = last_sent is not None
+        return UpdateFilter(last_sent if known else 0, own and known, self.peer)
 
-    def poke(self) -> None:
+    def send_now(self) -> None:
         """Have the figures sent at once, with what else changes in the same moment."""
         self._batching = True
         self._wake.set()
 
-    def soon(self) -> None:
+    def send_later(self) -> None:
         """Have what has changed sent when it is time for the next message."""
         self._wake_at(self._sent_at + UPDATE_INTERVAL_S)
 
@@ -183,8 +183,8 @@
     def _next_update(self) -> Update:
         update = Update()
         if not self._peer_retains_state:
-            self.told.clear()
-        if not self.told:
+            self.last_sent.clear()
+        if not self.last_sent:
             update.sender, update.begins = self._sender, True
         for change in self._documents.due(self._loop.time()):
             record = change.record
@@ -200,8 +200,8 @@
             self._gateway_state.completeness_version,
             self._documents.is_empty,
         )
-        if self.told.get("knows") != completeness:
-            self.told["knows"] = completeness
+        if self.last_sent.get("knows") != completeness:
+            self.last_sent["knows"] = completeness
             update.complete.update(self._gateway_state.complete)
             update.whole = self._documents.is_empty
         self._fill(update, self)
@@ -247,39 +247,39 @@
         self._gateway_state = gateway_state
         self._events = events
         self._channels = channels
-        self._outgoing: set[Outgoing] = set()
-        self._by_address: dict[str, Outgoing] = {}
+        self._peer_streams: set[PeerStream] = set()
+        self._by_address: dict[str, PeerStream] = {}
         gateway_state.on_document(self._document)
-        gateway_state.on_complete(self.soon)
+        gateway_state.on_complete(self.send_later)
         gateway_state.on_revision(self._revision)
 
-    def poke(self) -> None:
+    def send_now(self) -> None:
         """Figures have changed; tell all peers soon."""
-        for outgoing in self._outgoing:
-            outgoing.poke()
+        for peer_stream in self._peer_streams:
+            peer_stream.send_now()
 
-    def soon(self) -> None:
+    def send_later(self) -> None:
         """Figures have changed that can wait."""
-        for outgoing in self._outgoing:
-            outgoing.soon()
+        for peer_stream in self._peer_streams:
+            peer_stream.send_later()
 
-    def poke_at(self, address: str) -> None:
+    def send_now_to(self, address: str) -> None:
         """There is something to tell the peer at ``address`` soon."""
-        outgoing = self._by_address.get(address)
-        if outgoing is not None:
-            outgoing.poke()
+        peer_stream = self._by_address.get(address)
+        if peer_stream is not None:
+            peer_stream.send_now()
 
-    def stream_to(self, address: str) -> Outgoing | None:
+    def stream_to(self, address: str) -> PeerStream | None:
         """This side of the stream that is kept open to ``address``, if it is open."""
         return self._by_address.get(address)
 
-    def is_open(self, outgoing: Outgoing) -> bool:
+    def is_open(self, peer_stream: PeerStream) -> bool:
         """Whether the stream of this side still lives."""
-        return outgoing in self._outgoing
+        return peer_stream in self._peer_streams
 
-    def streams(self) -> list[Outgoing]:
+    def streams(self) -> list[PeerStream]:
         """This side of all streams."""
-        return list(self._outgoing)
+        return list(self._peer_streams)
 
     async def keep_open(
         self,
@@ -319,21 +319,21 @@
         """The answers to a stream that a peer has opened."""
 
         def rank() -> int:
-            return 1 if to_entry else agent_rank(self._name, outgoing.peer)
+            return 1 if to_entry else agent_rank(self._name, peer_stream.peer)
 
-        outgoing = Outgoing(
+        peer_stream = PeerStream(
             self._name, self._gateway_state, fill, rank, SERVER_HEARTBEAT_S, to_entry
         )
-        self._outgoing.add(outgoing)
-        reader = asyncio.create_task(self._read(requests, received, outgoing))
+        self._peer_streams.add(peer_stream)
+        reader = asyncio.create_task(self._read(requests, received, peer_stream))
         try:
-            async for update in outgoing.updates():
+            async for update in peer_stream.updates():
                 if reader.done():
                     return
                 yield update
         finally:
             reader.cancel()
-            self._outgoing.discard(outgoing)
+            self._peer_streams.discard(peer_stream)
 
     async def _run_stream(
         self,
@@ -343,12 +343,12 @@
         rank: Callable[[], int],
         to_entry: bool,
     ) -> bool:
-        outgoing = Outgoing(
+        peer_stream = PeerStream(
             self._name, self._gateway_state, fill, rank, CLIENT_HEARTBEAT_S, to_entry
         )
-        self._outgoing.add(outgoing)
-        self._by_address[address] = outgoing
-        call = self._channels.residency(address).Exchange(outgoing.updates())
+        self._peer_streams.add(peer_stream)
+        self._by_address[address] = peer_stream
+        call = self._channels.residency(address).Exchange(peer_stream.updates())
         peer = _WatchedPeer(call, self._running_time)
         watch = SilenceDetector(peer, SILENCE_TIMEOUT_S, self._running_time)
         heard = False
@@ -361,7 +361,7 @@
                 if not heard:
                     heard = True
                     self._events.emit(PeerHeard(address))
-                self._process(update, received, outgoing)
+                self._process(update, received, peer_stream)
         except grpc.aio.AioRpcError:
             return heard
         except asyncio.CancelledError:
@@ -371,7 +371,7 @@
             return heard
         finally:
             watch.stop()
-            self._outgoing.discard(outgoing)
+            self._peer_streams.discard(peer_stream)
             self._by_address.pop(address, None)
             call.cancel()
 
@@ -379,34 +379,34 @@
         self,
         requests: AsyncIterator[Update],
         received: HandleUpdate,
-        outgoing: Outgoing,
+        peer_stream: PeerStream,
     ) -> None:
         try:
             async for update in requests:
-                self._process(update, received, outgoing)
+                self._process(update, received, peer_stream)
         except (grpc.aio.AioRpcError, grpc.RpcError, asyncio.CancelledError):
             return
 
     def _process(
-        self, update: Update, received: HandleUpdate, outgoing: Outgoing
+        self, update: Update, received: HandleUpdate, peer_stream: PeerStream
     ) -> None:
-        outgoing.heard(update)
+        peer_stream.heard(update)
         for document in update.documents:
             record = Record(document.key, document.value, document.revision)
             change = Changed(record, document.deleted)
-            self._gateway_state.apply_document(change, outgoing.peer)
+            self._gateway_state.apply_document(change, peer_stream.peer)
         if update.whole:
             self._gateway_state.mark_complete(update.complete)
-        received(update, outgoing)
+        received(update, peer_stream)
 
     def _document(self, change: Changed) -> None:
-        for outgoing in self._outgoing:
-            outgoing.document(change)
+        for peer_stream in self._peer_streams:
+            peer_stream.document(change)
 
     def _revision(self) -> None:
-        for outgoing in self._outgoing:
-            if outgoing.to_entry:
-                outgoing.soon()
+        for peer_stream in self._peer_streams:
+            if peer_stream.to_entry:
+                peer_stream.send_later()
 
 
 class ResidencyServicer(api.ResidencyServicer):
--- a/packages/bambootiller/src/bambootiller/gateway/load_requester.py
+++ b/packages/bambootiller/src/bambootiller/gateway/load_requester.py
@@ -116,7 +116,7 @@
             self._emit(_store_load_line(service, load, planner, demand))
         return chosen
 
-    def ask(
+    def send_requests(
         self,
         loads: Iterable[PlannedLoad],
         demands: Mapping[str, Demand],
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -319,7 +319,7 @@
     def _plan_snapshot(self, now: float, planned: PlannedLoad | None) -> PlanSnapshot:
         call = self._call
         plans = self._context.engines.plans
-        demand = plans.wanted(call.service, call.ask.model)
+        demand = plans.planned_demand(call.service, call.ask.model)
         copies = plans.copies_seen(call.service, call.ask.model)
         store_loads = plans.store_loads_under_way(call.service)
         if planned is None:
--- a/packages/bambootiller/src/bambootiller/gateway/plan_scheduler.py
+++ b/packages/bambootiller/src/bambootiller/gateway/plan_scheduler.py
@@ -22,13 +22,13 @@
 UNCHANGED_PLAN_INTERVAL_S = 5.0
 
 
-def pause_s(pairs: int) -> float:
+def interval_s(pairs: int) -> float:
     """The pause between two plans while calls wait, for so many pairs of an engine and
     a model.
 
-    >>> pause_s(260)
+    >>> interval_s(260)
     0.05
-    >>> pause_s(39 * 186)
+    >>> interval_s(39 * 186)
     0.15
     """
     return min(MAX_PLAN_INTERVAL_S, PLAN_INTERVAL_S * max(1.0, pairs / PAIRS_PER_PLAN))
@@ -57,7 +57,7 @@
         self._has_demand = has_demand
         self._version = version
         #: The pause between two plans while calls wait. Seconds.
-        self.pause_s = PLAN_INTERVAL_S
+        self.interval_s = PLAN_INTERVAL_S
         self._timers: TimerService | None = None
         self._timer: Subscription | None = None
         self._planned_at = float("-inf")
@@ -83,7 +83,7 @@
     def check_soon(self, now: float) -> None:
         """Calls may wait: look soon."""
         if self._timers is not None:
-            self._check_by(now + self.pause_s)
+            self._check_by(now + self.interval_s)
 
     def plan_started(self, now: float) -> None:
         """The plan is made now, of what is known now."""
@@ -116,7 +116,7 @@
         elif self._has_waiting_calls():
             self._plan_for_waiting(now)
         self._check_by(
-            now + (IDLE_PLAN_INTERVAL_S if self.is_idle(now) else self.pause_s)
+            now + (IDLE_PLAN_INTERVAL_S if self.is_idle(now) else self.interval_s)
         )
 
     def _check_by(self, when: float) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -12,7 +12,7 @@
 
 from bambootiller.gateway import message_codec
 from bambootiller.gateway.event_log import EventLog
-from bambootiller.gateway.exchange import Outgoing, Update
+from bambootiller.gateway.exchange import PeerStream, Update
 from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller_core.gateway.calls import Call
 from bambootiller_core.gateway.crash_evidence import crash_verdict
@@ -48,7 +48,7 @@
 class Quarantine:
     """What one process knows of such requests.
 
-    ``poke`` tells peers soon what is new.
+    ``send_now`` tells peers soon what is new.
 
     Example::
 
@@ -61,12 +61,12 @@
         gateway_state: GatewayState,
         events: EventLog,
         clock: Callable[[], float],
-        poke: Callable[[], None],
+        send_now: Callable[[], None],
     ) -> None:
         self._gateway_state = gateway_state
         self._events = events
         self._clock = clock
-        self._poke = poke
+        self._send_now = send_now
         self._ledger = CrashLedger()
         self._listener: Listener | None = None
 
@@ -130,10 +130,12 @@
         """Whether runs of the request were lost and nothing has explained them yet."""
         return any(self._ledger.lost_runs(name) for name in _names(call))
 
-    def fill(self, update: Update, outgoing: Outgoing, own: bool) -> None:
+    def fill(self, update: Update, peer_stream: PeerStream, own: bool) -> None:
         """Put into a message what its receiver hasn't been told yet; ``own`` leaves out
         what others told, unless the receiver hasn't been told anything."""
-        update_filter = outgoing.update_filter("quarantine", self._ledger.version, own)
+        update_filter = peer_stream.update_filter(
+            "quarantine", self._ledger.version, own
+        )
         if update_filter is None:
             return
         unsent = self._ledger.unsent(update_filter)
@@ -142,23 +144,23 @@
             message_codec.add_lost_run(update, run, now)
         update.sound.extend(unsent.sound)
 
-    def take(self, update: Update, outgoing: Outgoing) -> None:
+    def take(self, update: Update, peer_stream: PeerStream) -> None:
         """Take in what a peer tells."""
         if not update.lost_runs and not update.sound:
             return
         version, now = self._ledger.version, self._clock()
         for message in update.lost_runs:
             self._ledger.run_lost(
-                message_codec.lost_run_of(message, now), outgoing.peer
+                message_codec.lost_run_of(message, now), peer_stream.peer
             )
         for fingerprint in update.sound:
-            lost_runs = self._ledger.completed(fingerprint, outgoing.peer, now)
+            lost_runs = self._ledger.completed(fingerprint, peer_stream.peer, now)
             if lost_runs:
-                line = RequestCleared(fingerprint, lost_runs, outgoing.peer)
+                line = RequestCleared(fingerprint, lost_runs, peer_stream.peer)
                 self._events.emit(line)
         if self._ledger.version != version:
             self.settle(now)
-            self._poke()
+            self._send_now()
 
     def _lost(
         self, names: Iterable[str], incarnation: Incarnation, progressed: bool
@@ -167,13 +169,13 @@
         runs = [LostRun(name, incarnation, progressed, now) for name in names]
         if any([self._ledger.run_lost(run) for run in runs]):
             self.settle(now)
-            self._poke()
+            self._send_now()
 
     def _completed(self, name: str) -> None:
         lost_runs = self._ledger.completed(name, now=self._clock())
         if lost_runs:
             self._events.emit(RequestCleared(name, lost_runs, "run"))
-            self._poke()
+            self._send_now()
 
     def settle(self, now: float) -> None:
         """Look again at what became of backend servers where runs were lost."""
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -34,7 +34,7 @@
         """A backend server was chosen; notes on what."""
         now = self._context.clock()
         health = self._context.service(self._call.service).health
-        heard = backend.engine is not None
+        has_report = backend.engine is not None
         self._chosen_at = now
         self._chosen_on = lines.BackendSnapshot(
             zone=backend.registration.zone,
@@ -42,7 +42,7 @@
             candidates=candidates,
             revision=backend.registration.revision,
             standing=health.standing(backend.incarnation).value,
-            agent_age_ms=_ms(backend.agent_silence_s(now)) if heard else None,
+            agent_age_ms=_ms(backend.agent_silence_s(now)) if has_report else None,
             unread=backend.engine_pending_prefills(now),
         )
 
@@ -81,9 +81,9 @@
         )
 
     def attempt_failed(
-        self, backend: Backend, ended: AttemptOutcome, then: Decision, sent: bool
+        self, backend: Backend, ended: AttemptOutcome, decision: Decision, sent: bool
     ) -> None:
-        """An attempt ended without a whole answer, and ``then`` is done; ``sent`` if
+        """An attempt ended without a whole answer, and ``decision`` is done; ``sent`` if
         the next one has gone out already."""
         call, progress, now = self._call, self._progress, self._context.clock()
         budget = self._context.service(call.service).budget
@@ -100,7 +100,7 @@
                 most_attempts=call.route.max_attempts,
                 may_have_run=progress.may_have_run,
                 last_event=progress.last_event,
-                next=type(then).__name__,
+                next=type(decision).__name__,
                 budget_left=round(budget.remaining(now), 1),
                 left_ms=_ms(call.deadline - now),
                 chosen_on=self._chosen_on,
--- a/packages/bambootiller/src/bambootiller/gateway/server_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_limits.py
@@ -10,7 +10,7 @@
 
 from bambootiller.gateway import message_codec
 from bambootiller.gateway.event_log import EventLog
-from bambootiller.gateway.exchange import Outgoing, Update
+from bambootiller.gateway.exchange import PeerStream, Update
 from bambootiller_core.gateway.fleet import Backend, Fleet
 from bambootiller_core.gateway.log_lines import BackendLimit, BackendLimitUnreadable
 from bambootiller_core.gateway.reported_limits import ReportedLimit, ReportedLimits
@@ -22,7 +22,7 @@
 class ServerLimits:
     """The limits, as answers and other processes tell them.
 
-    ``poke`` tells peers soon what is new.
+    ``send_now`` tells peers soon what is new.
 
     Example::
 
@@ -31,11 +31,11 @@
     """
 
     def __init__(
-        self, events: EventLog, clock: Callable[[], float], poke: Callable[[], None]
+        self, events: EventLog, clock: Callable[[], float], send_now: Callable[[], None]
     ) -> None:
         self._events = events
         self._clock = clock
-        self._poke = poke
+        self._send_now = send_now
         self._limits = ReportedLimits()
         self._listeners: list[Callable[[], None]] = []
 
@@ -72,10 +72,10 @@
         """An answer names something that isn't a limit; what held goes on."""
         self._events.emit(BackendLimitUnreadable(backend.instance, detail))
 
-    def fill(self, update: Update, outgoing: Outgoing, own: bool) -> None:
+    def fill(self, update: Update, peer_stream: PeerStream, own: bool) -> None:
         """Put into a message what its receiver hasn't been told yet; ``own`` leaves out
         what others told, unless the receiver hasn't been told anything."""
-        update_filter = outgoing.update_filter(
+        update_filter = peer_stream.update_filter(
             "server limits", self._limits.version, own
         )
         if update_filter is None:
@@ -84,11 +84,11 @@
         for limit in self._limits.unsent(update_filter):
             message_codec.add_server_limit(update, limit, now)
 
-    def take(self, update: Update, outgoing: Outgoing) -> None:
+    def take(self, update: Update, peer_stream: PeerStream) -> None:
         """Take in what a peer tells."""
         now = self._clock()
         for message in update.server_limits:
-            self._said(message_codec.server_limit_of(message, now), outgoing.peer)
+            self._said(message_codec.server_limit_of(message, now), peer_stream.peer)
 
     def _said(self, limit: ReportedLimit, source: str = "") -> None:
         before, version = self._limits.per_s(limit.instance), self._limits.version
@@ -97,7 +97,7 @@
             self._events.emit(line)
             self._changed()
         if self._limits.version != version:
-            self._poke()
+            self._send_now()
 
     def _changed(self) -> None:
         for listener in self._listeners:
--- a/packages/bambootiller/src/bambootiller/gateway/stream_reports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stream_reports.py
@@ -30,7 +30,7 @@
     collect: bool
     in_use: Mapping[str, int]
     part: Mapping[str, Demand]
-    told_at: float
+    sent_at: float
 
     @classmethod
     def now(
@@ -38,7 +38,7 @@
     ) -> SentReport:
         """What the agent beside the engine is to know, of this entry's ``demands``."""
         in_use = dict(backend.in_flight_by_model)
-        part = _part(demands, backend.engine, collect)
+        part = _relevant_part(demands, backend.engine, collect)
         return cls(demands, backend.engine, collect, in_use, part, now)
 
     def is_outdated(
@@ -53,11 +53,11 @@
             return True
         if self.demands is demands and self.engine is backend.engine:
             return False
-        if _start(self.engine) != _start(backend.engine):
+        if _incarnation(self.engine) != _incarnation(backend.engine):
             # An agent whose engine starts anew forgets the calls that it was told of.
             return True
-        part = _part(demands, backend.engine, collect)
-        if demands_changed(self.part, part, now - self.told_at):
+        part = _relevant_part(demands, backend.engine, collect)
+        if demands_changed(self.part, part, now - self.sent_at):
             return True
         self.demands, self.engine = demands, backend.engine
         return False
@@ -79,20 +79,20 @@
     def after(cls, update: pb.ResidencyUpdate, before: object) -> AgentReport:
         """What holds after a message, ``before`` being what held until then."""
         begins = update.begins or not isinstance(before, AgentReport)
-        words = cls() if begins else before
+        report = cls() if begins else before
         if update.HasField("engine"):
-            words.state = message_codec.engine_state(update.engine, words.state)
+            report.state = message_codec.engine_state(update.engine, report.state)
         if update.collected or update.total_demand:
-            words.totals = message_codec.demands_of(update.total_demand)
-            words.entries = tuple(update.entries)
-        return words
+            report.totals = message_codec.demands_of(update.total_demand)
+            report.entries = tuple(update.entries)
+        return report
 
 
-def _start(engine: EngineState | None) -> Incarnation | None:
+def _incarnation(engine: EngineState | None) -> Incarnation | None:
     return engine.incarnation if engine is not None else None
 
 
-def _part(
+def _relevant_part(
     demands: Mapping[str, Demand], engine: EngineState | None, collect: bool
 ) -> dict[str, Demand]:
     part = relevant_demands(demands, engine)
--- a/tests/gateway/cover/test_initial_discovery.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -137,7 +137,7 @@
             self.app.at += STEP_S
             for backend in self.knowledge.fleet:
                 backend.last_received_at = self.app.at
-            self.plans.make(self.app.at)
+            self.plans.make_plans(self.app.at)
 
     def test_a_model_is_not_prefetched_if_its_copy_is_reported_later(self):
         self.run_for(0.4)
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from bambootiller.gateway import message_codec
-from bambootiller.gateway.engine_plans import FRESH_PAUSES
+from bambootiller.gateway.engine_plans import MAX_PLAN_AGE_INTERVALS
 from bambootiller.gateway.engines import Engines
 from bambootiller.gateway.plan_scheduler import (
     IDLE_PLAN_INTERVAL_S,
@@ -110,9 +110,9 @@
         patched = mock.patch.object(Planner, "plan", plan)
         patched.start()
         self.addCleanup(patched.stop)
-        self.engines.plans.make(10.0)
+        self.engines.plans.make_plans(10.0)
         self.timers = TimerService()
-        self.engines.plans._clock.start(self.timers, 10.0)
+        self.engines.plans._scheduler.start(self.timers, 10.0)
 
     def told(self, model, among):
         update = told("b1", {model: Demand(rate=3.0, waiting=2)})
@@ -140,7 +140,7 @@
     def test_one_that_asks_for_nothing_makes_none_while_others_wait(self):
         model, names = self.others()
         self.told(model, names)
-        self.engines.plans.make(self.app.time)
+        self.engines.plans.make_plans(self.app.time)
         self.assertEqual(self.beats(3), 0)
         self.app.time += IDLE_PLAN_INTERVAL_S
         self.assertEqual(self.beats(1), 1)
@@ -177,7 +177,7 @@
 
     def test_the_one_that_sees_to_the_model_makes_one_each_beat(self):
         self.told("poet", ("entry-1",))
-        self.engines.plans.make(self.app.time)
+        self.engines.plans.make_plans(self.app.time)
         self.assertEqual(self.beats(3), 3)
 
     def test_one_with_a_waiting_call_makes_one_each_beat(self):
@@ -204,7 +204,7 @@
             self.known.fleet.registry_changed(0.0, record)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").begin_waiting(self.app.time, "poet")
-        self.engines.plans.make(self.app.time)
+        self.engines.plans.make_plans(self.app.time)
         self.assertLessEqual(
             self.beats(20), 20 * PLAN_INTERVAL_S / MAX_PLAN_INTERVAL_S + 1
         )
@@ -214,7 +214,7 @@
         self.told(model, names)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").refused(self.app.time, "poet", 3.0)
-        self.engines.plans.make(self.app.time)
+        self.engines.plans.make_plans(self.app.time)
         self.assertEqual(self.beats(3), 3)
 
     def test_a_call_gets_a_plan_of_its_moment(self):
@@ -228,7 +228,7 @@
                 self.engines.plans.plan_for("tutor", "poet").instance, "b1"
             )
         self.assertEqual(len(self.plans) - before, 1)
-        self.app.time += FRESH_PAUSES * PLAN_INTERVAL_S + 0.01
+        self.app.time += MAX_PLAN_AGE_INTERVALS * PLAN_INTERVAL_S + 0.01
         self.engines.plans.plan_for("tutor", "poet")
         self.assertEqual(len(self.plans) - before, 2)
 
@@ -251,7 +251,7 @@
         demand = self.engines.plans.demand("tutor")
         demand.asked(self.app.time, "unheard")
         demand.refused(self.app.time, "unheard", 3.0)
-        self.engines.plans.make(self.app.time)
+        self.engines.plans.make_plans(self.app.time)
         before = len(self.plans)
         for number in (1, 2):
             demand.begin_waiting(self.app.time, "unheard")
--- a/tests/gateway/failures/test_messages.py
+++ b/tests/gateway/failures/test_messages.py
@@ -3,7 +3,7 @@
 import asyncio
 import unittest
 
-from bambootiller.gateway.exchange import Outgoing, Update
+from bambootiller.gateway.exchange import PeerStream, Update
 from bambootiller.gateway.gateway_state import GatewayState
 from bambootiller.gateway.ports import Unreadable
 from bambootiller_core.ports import Changed, Record
@@ -36,57 +36,59 @@
 
         self.events = Events()
         self.gateway_state = GatewayState(Directory(), self.events, lambda: 0.0)
-        self.outgoing = self.new()
+        self.peer_stream = self.new()
 
     def new(self):
-        return Outgoing("e1", self.gateway_state, self.fill, lambda: 1, 60.0)
+        return PeerStream("e1", self.gateway_state, self.fill, lambda: 1, 60.0)
 
     @staticmethod
-    def fill(update, outgoing):
-        if not outgoing.told.get("said"):
-            outgoing.told["said"] = True
+    def fill(update, peer_stream):
+        if not peer_stream.last_sent.get("said"):
+            peer_stream.last_sent["said"] = True
             update.entry.collect = True
 
     def peer(self, begins=True, complete=None):
         return Update(sender="a1", begins=begins, complete=complete or {})
 
     async def test_the_first_message_is_whole_and_a_beat_is_empty(self):
-        first = self.outgoing._next_update()
+        first = self.peer_stream._next_update()
         self.assertTrue(first.begins and first.entry.collect)
-        self.outgoing.heard(self.peer())
-        self.outgoing._next_update()
-        self.outgoing._next_update()
-        self.assertEqual(self.outgoing._next_update().ByteSize(), 0)
+        self.peer_stream.heard(self.peer())
+        self.peer_stream._next_update()
+        self.peer_stream._next_update()
+        self.assertEqual(self.peer_stream._next_update().ByteSize(), 0)
 
     async def test_until_the_peer_has_spoken_everything_is_said_again(self):
-        self.outgoing._next_update()
-        again = self.outgoing._next_update()
+        self.peer_stream._next_update()
+        again = self.peer_stream._next_update()
         self.assertTrue(again.begins and again.entry.collect)
 
     async def test_a_peer_of_an_earlier_version_is_told_everything_each_time(self):
         """What goes wrong: it takes what isn't repeated for gone, and would hold this
         side silent."""
-        self.outgoing.heard(self.peer(begins=False))
+        self.peer_stream.heard(self.peer(begins=False))
         for _ in range(3):
-            update = self.outgoing._next_update()
+            update = self.peer_stream._next_update()
             self.assertEqual(update.sender, "e1")
             self.assertTrue(update.HasField("entry"))
 
     async def test_a_new_revision_is_told_once(self):
-        self.outgoing.heard(self.peer())
-        self.outgoing._next_update()
-        self.outgoing._next_update()
+        self.peer_stream.heard(self.peer())
+        self.peer_stream._next_update()
+        self.peer_stream._next_update()
         self.gateway_state.mark_complete({"servers/": 8})
-        self.assertEqual(dict(self.outgoing._next_update().complete), {"servers/": 8})
-        self.assertEqual(self.outgoing._next_update().ByteSize(), 0)
+        self.assertEqual(
+            dict(self.peer_stream._next_update().complete), {"servers/": 8}
+        )
+        self.assertEqual(self.peer_stream._next_update().ByteSize(), 0)
         self.gateway_state.mark_complete({"servers/": 7})
-        self.assertEqual(self.outgoing._next_update().ByteSize(), 0)
+        self.assertEqual(self.peer_stream._next_update().ByteSize(), 0)
 
     async def test_a_beat_does_not_take_back_what_the_peer_has(self):
-        self.outgoing.heard(self.peer(complete={"servers/": 8}))
-        self.outgoing.heard(Update())
-        self.outgoing.document(Changed(Record("servers/b1", b"", 8)))
-        self.assertTrue(self.outgoing._documents.is_empty)
+        self.peer_stream.heard(self.peer(complete={"servers/": 8}))
+        self.peer_stream.heard(Update())
+        self.peer_stream.document(Changed(Record("servers/b1", b"", 8)))
+        self.assertTrue(self.peer_stream._documents.is_empty)
 
     async def test_a_heartbeat_of_a_backend_server_is_not_passed_on(self):
         """Symptom: a fleet at rest spends most of its processor time on telling.
@@ -162,33 +164,33 @@
         Where more time is allowed until a leaving backend server gets no work, the
         registry is read less often, and a peer was told meanwhile what it was to read.
         """
-        self.outgoing.heard(self.peer(complete={"servers/": 7}))
+        self.peer_stream.heard(self.peer(complete={"servers/": 7}))
         self.gateway_state.batch_delay_s = 1.2
-        self.outgoing.document(Changed(Record("servers/b1", b"", 8)))
-        due = self.outgoing._documents.next_due()
+        self.peer_stream.document(Changed(Record("servers/b1", b"", 8)))
+        due = self.peer_stream._documents.next_due()
         self.assertGreater(due - asyncio.get_running_loop().time(), 1.2 + 0.8)
 
     async def test_a_peer_hears_of_a_higher_revision_with_the_next_message(self):
-        told = []
-        self.gateway_state.on_complete(lambda: told.append(1))
+        last_sent = []
+        self.gateway_state.on_complete(lambda: last_sent.append(1))
         self.gateway_state.mark_complete({"servers/": 8})
-        self.assertEqual(told, [])
+        self.assertEqual(last_sent, [])
 
     async def test_a_peer_hears_soon_that_a_configuration_has_come(self):
-        told = []
-        self.gateway_state.on_complete(lambda: told.append(1))
+        last_sent = []
+        self.gateway_state.on_complete(lambda: last_sent.append(1))
         self.gateway_state._directory.config = lambda record: Unreadable("none")
         self.gateway_state.apply_document(Changed(Record("op/config", b"", 9)), "store")
         self.gateway_state.mark_complete({"op/": 9})
-        self.assertEqual(told, [1])
+        self.assertEqual(last_sent, [1])
 
     async def test_a_configuration_that_is_passed_on_is_logged(self):
         self.gateway_state._directory.config = lambda record: Unreadable("none")
-        self.outgoing.heard(self.peer(complete={"op/": 6, "servers/": 40}))
+        self.peer_stream.heard(self.peer(complete={"op/": 6, "servers/": 40}))
         change = Changed(Record("op/config", b"12345", 9))
         self.gateway_state.apply_document(change, "store")
-        self.outgoing._documents.add(0.0, change, rank=0)
-        self.outgoing._next_update()
+        self.peer_stream._documents.add(0.0, change, rank=0)
+        self.peer_stream._next_update()
         line = self.events.lines[-1]
         self.assertEqual(
             (line.event, line.revision, line.size_bytes, line.peer, line.peer_has),
@@ -206,19 +208,21 @@
         Who learnt one from a peer didn't know that it had all up to there, and so never
         said that it had it. All others sent it once more, its sender was sent it back.
         """
-        self.outgoing.heard(self.peer(complete={"op/": 6}))
-        self.outgoing._next_update()
-        told = []
-        self.gateway_state.on_complete(lambda: told.append(1))
+        self.peer_stream.heard(self.peer(complete={"op/": 6}))
+        self.peer_stream._next_update()
+        last_sent = []
+        self.gateway_state.on_complete(lambda: last_sent.append(1))
         self.learn_config(9, "a1")
-        self.assertEqual(told, [1])
-        self.assertEqual(dict(self.outgoing._next_update().complete), {"op/config": 9})
+        self.assertEqual(last_sent, [1])
+        self.assertEqual(
+            dict(self.peer_stream._next_update().complete), {"op/config": 9}
+        )
 
     async def test_a_configuration_is_not_sent_back(self):
         update = self.peer(complete={"op/": 6, "op/config": 9})
-        self.outgoing.heard(update)
+        self.peer_stream.heard(update)
         self.learn_config(9, "a1")
-        self.assertTrue(self.outgoing._documents.is_empty)
+        self.assertTrue(self.peer_stream._documents.is_empty)
 
     async def test_a_write_that_says_nothing_new_wakes_nobody(self):
         for revision in (3, 4, 5):
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -11,7 +11,7 @@
     EntryReport,
 )
 from bambootiller.gateway.engines import Engines
-from bambootiller.gateway.exchange import Outgoing, Update
+from bambootiller.gateway.exchange import PeerStream, Update
 from bambootiller.gateway.gateway_state import Changes
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller_core.gateway.demand_collection import demands_changed
@@ -58,15 +58,15 @@
     def __init__(self, peer):
         self.peer = peer
         self.last_received_at = 0.0
-        self.told = {}
-        self.said = None
+        self.last_sent = {}
+        self.report = None
         self.sent = 0
 
-    def soon(self):
+    def send_later(self):
         self.sent += 1
 
-    poke = soon
-    update_filter = Outgoing.update_filter
+    send_now = send_later
+    update_filter = PeerStream.update_filter
 
 
 class Streams:
@@ -78,11 +78,11 @@
     def streams(self):
         return self.all
 
-    def poke(self):
+    def send_now(self):
         for stream in self.all:
             stream.sent += 1
 
-    soon = poke
+    send_later = send_now
 
 
 class Events:
@@ -139,12 +139,12 @@
         """What goes wrong: an agent starts again and can't read its engine yet. Its
         beats would keep alive what the agent before it had said."""
         self.hear(figures(running=3))
-        told_at = self.clock.at
+        sent_at = self.clock.at
         self.clock.at += 0.6
         self.hear(Update(sender="a1", begins=True))
         self.clock.at += 0.6
         self.hear(Update())
-        self.assertEqual(self.backend().last_received_at, told_at)
+        self.assertEqual(self.backend().last_received_at, sent_at)
 
     def test_figures_of_an_engine_that_is_listed_later_are_kept_for_it(self):
         """What goes wrong: the agent's first message comes before the registry's
@@ -155,7 +155,7 @@
         self.known.fleet.registry_changed(
             0.0, registration("b2", SERVICE, address="127.0.0.2:1")
         )
-        self.engines._recall(self.clock.at)
+        self.engines._apply_earlier_reports(self.clock.at)
         self.assertEqual(self.backend("b2").engine.running, 2)
 
     def test_they_are_not_recalled_once_the_agent_is_silent(self):
@@ -163,7 +163,7 @@
         self.known.fleet.registry_changed(
             0.0, registration("b2", SERVICE, address="127.0.0.2:1")
         )
-        self.engines._recall(self.clock.at + AGENT_TIMEOUT_S)
+        self.engines._apply_earlier_reports(self.clock.at + AGENT_TIMEOUT_S)
         self.assertIsNone(self.backend("b2").engine)
 
     def test_copies_left_out_are_those_of_the_same_stream(self):
@@ -225,33 +225,37 @@
         self.backend = self.known.fleet.get("b1")
         self.known.fleet.engine_reported(10.0, engine_state("b1", ("poet",)))
         self.stream = Stream("a1")
-        self.engines.plans._own[SERVICE] = {"poet": Demand(rate=1.0, holders=1)}
+        self.engines.plans._own_demands[SERVICE] = {"poet": Demand(rate=1.0, holders=1)}
 
     def news(self):
         """Whether there is something to tell; it counts as told then."""
-        if not self.engines._has_news(self.backend, self.stream):
+        if not self.engines._needs_update(self.backend, self.stream):
             return False
-        self.stream.told["entry"] = self.engines._to_tell(self.backend)
+        self.stream.last_sent["entry"] = self.engines._current_report(self.backend)
         return True
 
     def test_what_has_not_moved_is_not_told_again(self):
         self.assertTrue(self.news())
         self.assertFalse(self.news())
-        self.engines.plans._own[SERVICE] = {"poet": Demand(rate=0.95, holders=1)}
+        self.engines.plans._own_demands[SERVICE] = {
+            "poet": Demand(rate=0.95, holders=1)
+        }
         self.assertFalse(self.news())
 
     def test_small_steps_add_up(self):
         """What goes wrong: demand that fades in small steps is never told, and an
         agent keeps a model that nobody asks for."""
         self.news()
-        told = 0
+        last_sent = 0
         for step in range(40):
             rate = 0.95**step
-            self.engines.plans._own[SERVICE] = {"poet": Demand(rate=rate, holders=1)}
-            told += self.news()
-            said = self.stream.told["entry"].part["poet"].rate
-            self.assertLess(abs(said - rate), 0.11 * said)
-        self.assertGreater(told, 10)
+            self.engines.plans._own_demands[SERVICE] = {
+                "poet": Demand(rate=rate, holders=1)
+            }
+            last_sent += self.news()
+            report = self.stream.last_sent["entry"].part["poet"].rate
+            self.assertLess(abs(report - rate), 0.11 * report)
+        self.assertGreater(last_sent, 10)
 
     def test_a_call_a_waiting_call_and_a_holder_are_told(self):
         self.news()
@@ -259,9 +263,9 @@
         self.assertTrue(self.news())
         self.known.fleet.get("b1").call_ended("poet")
         self.assertTrue(self.news())
-        self.engines.plans._own[SERVICE] = {"poet": Demand(1.0, 1, 1, 0.1)}
+        self.engines.plans._own_demands[SERVICE] = {"poet": Demand(1.0, 1, 1, 0.1)}
         self.assertTrue(self.news())
-        self.engines.plans._own[SERVICE] = {"poet": Demand(1.0, 0, 2)}
+        self.engines.plans._own_demands[SERVICE] = {"poet": Demand(1.0, 0, 2)}
         self.assertTrue(self.news())
 
     def test_a_new_stream_is_told_everything(self):
@@ -284,7 +288,7 @@
         self.woken = []
         self.events = Events()
         gateway_state = SimpleNamespace(fleet=Fleet())
-        self.words = AgentUpdates(
+        self.updates = AgentUpdates(
             self.streams,
             self.events,
             self.clock,
@@ -296,18 +300,18 @@
         self.streams.all.append(self.stream)
 
     def begin(self):
-        self.words.begin(self.book)
+        self.updates.begin(self.book)
         self.report()
 
     def report(self, **fields):
         held = {"tutor": frozenset()}
         fields = {"holdings": held, "accepted": 0, "busy": False, **fields}
         self.book.reported(self.clock.at, EngineReport("b1", **fields))
-        self.words.tell()
+        self.updates.send_changes()
 
     def hear(self, update):
         self.stream.last_received_at = self.clock.at
-        self.words.received(update, self.stream)
+        self.updates.received(update, self.stream)
 
     def entry_says(self, in_use=2, collect=False):
         update = Update(sender="e1", begins=True)
@@ -319,7 +323,7 @@
 
     def fill(self):
         update = Update()
-        self.words.fill(update, self.stream)
+        self.updates.fill(update, self.stream)
         return update
 
     def in_use(self):
@@ -329,7 +333,7 @@
         self.hear(self.entry_says())
         self.begin()
         self.assertEqual(self.in_use(), 2)
-        self.assertTrue(self.words.has_live_entry())
+        self.assertTrue(self.updates.has_live_entry())
 
     def test_beats_keep_what_an_entry_said(self):
         self.begin()
@@ -347,10 +351,10 @@
         self.begin()
         self.hear(self.entry_says(collect=True))
         self.clock.at += ENTRY_TIMEOUT_S + 0.1
-        self.words.tell()
+        self.updates.send_changes()
         self.book.next_order(self.clock.at)
         self.assertEqual(self.in_use(), 0)
-        self.assertFalse(self.words.has_live_entry())
+        self.assertFalse(self.updates.has_live_entry())
         self.hear(Update())
         self.assertEqual(self.in_use(), 2)
         self.assertTrue(self.fill().collected)
@@ -361,7 +365,7 @@
         self.hear(Update(sender="e1", begins=True))
         self.clock.at += ENTRY_TIMEOUT_S + 0.1
         self.hear(Update())
-        self.assertFalse(self.words.has_live_entry())
+        self.assertFalse(self.updates.has_live_entry())
 
     def test_what_is_the_same_is_said_once(self):
         self.begin()
@@ -390,7 +394,7 @@
         for number in range(60):
             stream = Stream(f"e{number}")
             stream.last_received_at = self.clock.at
-            self.words.received(self.entry_says(in_use=0), stream)
+            self.updates.received(self.entry_says(in_use=0), stream)
         self.fill()
         self.clock.at += 0.5
         self.report(running=1)
@@ -406,7 +410,7 @@
             stream.last_received_at = self.clock.at
             update = Update(sender=stream.peer, begins=True)
             update.entry.CopyFrom(message_codec.entry_message({}, {}, False))
-            self.words.received(update, stream)
+            self.updates.received(update, stream)
         self.streams.all += others
         self.clock.at += 0.01
         return others
@@ -437,7 +441,7 @@
         self.hear(self.entry_says())
         self.many()
         self.load("poet")
-        self.stream.said = EntryReport({"clerk": Demand(rate=0.1)}, {}, False)
+        self.stream.report = EntryReport({"clerk": Demand(rate=0.1)}, {}, False)
         self.load("clerk")
         self.assertTrue(self.stream.sent)
 
@@ -450,7 +454,7 @@
         other.sent = 0
         update = Update()
         message_codec.add_load_request(update, LoadRequest("poet"))
-        self.words.received(update, other)
+        self.updates.received(update, other)
         self.assertTrue(other.sent)
         self.load("clerk")
         self.assertTrue(other.sent)
@@ -468,9 +472,9 @@
     def test_a_lost_engine_and_a_fencing_token_are_said_at_once(self):
         self.begin()
         self.assertFalse(self.fill().engine.orderable)
-        self.words.set_can_order(True)
+        self.updates.set_can_order(True)
         self.assertTrue(self.fill().engine.orderable)
-        self.words.set_engine_responsive(False)
+        self.updates.set_engine_responsive(False)
         self.assertTrue(self.fill().engine.silent)
 
     def test_a_new_stream_is_told_everything_copies_too(self):
--- a/tests/gateway/failures/test_store_turns_taken.py
+++ b/tests/gateway/failures/test_store_turns_taken.py
@@ -54,14 +54,14 @@
         self.lines = []
         plans = EnginePlans(app, known, load_request, self.lines.append)
         plans.entries = ENTRIES
-        plans.make(app.at)
+        plans.make_plans(app.at)
         app.at += MAX_STALL_S + 0.1
         for number in range(6):
             known.fleet.engine_reported(app.at, samples.engine_state(f"b{number}"))
-        plans.make(app.at)
+        plans.make_plans(app.at)
         requested.clear()
         plans.totals_reported(app.at, SERVICE, "10.0.0.1", demands)
-        plans.make(app.at)
+        plans.make_plans(app.at)
         return app, plans, requested
 
     def test_of_all_entries_one_gives_it(self):
@@ -92,7 +92,7 @@
                 later = {**first, model: Demand(0.9, 3)}
                 plans.totals_reported(app.at, SERVICE, "10.0.0.1", later)
                 app.at += PLAN_INTERVAL_S
-                plans.make(app.at)
+                plans.make_plans(app.at)
             self.assertEqual(set(requested), asked)
 
 
@@ -118,7 +118,7 @@
             for number in range(6):
                 known.fleet.engine_reported(app.at, samples.engine_state(f"b{number}"))
             plans.totals_reported(app.at, SERVICE, "10.0.0.1", demands)
-            plans.make(app.at)
+            plans.make_plans(app.at)
         return requested
 
     def test_a_model_whose_load_is_not_admitted_takes_no_turn(self):
