--- a/tests/gateway/cover/test_store_permit_holder.py
+++ b/tests/gateway/cover/test_store_permit_holder.py
@@ -139,7 +139,9 @@
     async def test_the_lease_is_renewed_while_the_permit_is_held(self):
         """The lease was as long as a load, and began anew when the service was back:
         the turn of an agent that was gone kept all others from the store for 7 s."""
-        self.enterContext(mock.patch.object(store_permit_holder, "RENEW_S", 0.01))
+        self.enterContext(
+            mock.patch.object(store_permit_holder, "RENEW_INTERVAL_S", 0.01)
+        )
         await self.first.request_load()
         await asyncio.sleep(0.05)
         self.assertTrue(self.kv.kept)
@@ -205,7 +207,9 @@
         await self.first.app.settle()
 
     async def test_a_permit_whose_lease_expired_is_acquired_again(self):
-        self.enterContext(mock.patch.object(store_permit_holder, "RENEW_S", 0.01))
+        self.enterContext(
+            mock.patch.object(store_permit_holder, "RENEW_INTERVAL_S", 0.01)
+        )
         await self.first.request_load()
         (key,) = self.held()
         del self.kv.records[key]
