--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -198,11 +198,11 @@
             ("engine_memory_mb", "Memory of models", lambda s: s.memory_mb_used),
             ("engine_orderable", "1 if it takes orders", lambda s: s.orderable),
         ):
-            meters.level(name, text, self._state_reader(read))
-        meters.level(
+            meters.add_gauge(name, text, self._state_reader(read))
+        meters.add_gauge(
             "entries_known", "Entries heard", lambda: self._updates.entry_count
         )
-        meters.level("fencing_token", "0 without one", lambda: self._token or 0)
+        meters.add_gauge("fencing_token", "0 without one", lambda: self._token or 0)
 
     def _state_reader(
         self, read: Callable[[EngineState], float]
--- a/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
@@ -42,12 +42,12 @@
 #: An allocator that is gone is followed after so long. Seconds; the key-value service
 #: is away for several seconds more often than the allocator is lost, and without a
 #: lease nothing is advanced.
-LEASE_S = 8.0
-RENEW_S = 1.5
+LEASE_TTL_S = 8.0
+RENEW_INTERVAL_S = 1.5
 #: The lease is taken to end so much earlier than the service says. Seconds.
-MARGIN_S = 0.3
+LEASE_MARGIN_S = 0.3
 #: A planned stop waits so long for the key to be given back. Seconds.
-RELEASE_S = 1.0
+RELEASE_TIMEOUT_S = 1.0
 #: The pause before the key-value service is called again. Seconds.
 RETRY_S = 0.4
 
@@ -56,7 +56,7 @@
     """Lets an agent allocate quotas.
 
     ``send_now`` has all peers told soon, ``has_live_entry`` tells whether any entry has
-    been heard lately; ``named`` are the limits of backend servers.
+    been heard lately; ``server_limits`` are the limits of backend servers.
 
     Example::
 
@@ -75,10 +75,10 @@
         tolerance: Callable[[], QuotaTolerance],
         send_now: Callable[[], None],
         has_live_entry: Callable[[], bool],
-        named: ServerLimits,
+        server_limits: ServerLimits,
     ) -> None:
-        self._named = named
-        named.on_change(self._limits_changed)
+        self._server_limits = server_limits
+        server_limits.on_change(self._limits_changed)
         self._app = app
         self._kv = kv
         self._events = events
@@ -87,16 +87,16 @@
         self._hears_an_entry = has_live_entry
         self._config: GatewayConfig | None = None
         self._limits: dict[str, Limit] = {}
-        self._limited_by = tolerance()
+        self._applied_tolerance = tolerance()
         self._allocator: Allocator | None = None
         self._valid_until = float("-inf")
         self._lease = 0
         self._members_revision = 0
         #: A try to become the allocator, or the work of one, goes on.
-        self._busy = False
-        self._writing = False
+        self._is_running = False
+        self._is_writing = False
         #: Whether it was looked if the process before this one was the allocator.
-        self._looked_back = False
+        self._earlier_key_checked = False
         self._answers: WeakKeyDictionary[PeerStream, QuotaAnswer] = WeakKeyDictionary()
 
     @property
@@ -108,18 +108,18 @@
 
     def configured(self, config: GatewayConfig) -> None:
         """A configuration has come into force."""
-        self._config, self._limited_by = config, self._tolerance()
+        self._config, self._applied_tolerance = config, self._tolerance()
         self._limits_changed()
 
     def _limits_changed(self) -> None:
         customers = self._config.customers if self._config is not None else None
         self._limits = {
-            **limits_of(customers, self._limited_by),
-            **shared_limits(self._named.in_force()),
+            **limits_of(customers, self._applied_tolerance),
+            **shared_limits(self._server_limits.in_force()),
         }
-        if self._limits and not self._looked_back:
-            self._looked_back = True
-            self._app.spawn("earlier allocator", self._give_up_earlier())
+        if self._limits and not self._earlier_key_checked:
+            self._earlier_key_checked = True
+            self._app.spawn("earlier allocator", self._release_earlier_key())
         if self._allocator is not None:
             self._allocator.configured(boot_now(), self._limits)
 
@@ -135,12 +135,12 @@
 
     def received(self, update: Update, peer_stream: PeerStream) -> None:
         """Take in an entry's message."""
-        if update.lacks_allocator and not self._busy and self._limits:
-            self._busy = True
+        if update.lacks_allocator and not self._is_running and self._limits:
+            self._is_running = True
             self._app.spawn("allocator of quotas", self._allocate())
         if not update.HasField("quota_ask") or not self.term:
             return
-        if self._tolerance() != self._limited_by and self._config is not None:
+        if self._tolerance() != self._applied_tolerance and self._config is not None:
             # The settings have changed.
             self.configured(self._config)
         ask = message_codec.quota_ask_of(update.quota_ask, peer_stream.peer)
@@ -148,11 +148,11 @@
         if answer is not None:
             self._answers[peer_stream] = answer
             peer_stream.send_now()
-        if self._allocator.pending_record is not None and not self._writing:
-            self._writing = True
+        if self._allocator.pending_record is not None and not self._is_writing:
+            self._is_writing = True
             self._app.spawn("members of quotas", self._write_members())
 
-    async def _give_up_earlier(self) -> None:
+    async def _release_earlier_key(self) -> None:
         """Remove the key if the process before this one held it.
 
         That process is gone, and this one may not be heard by entries. Held until its
@@ -161,31 +161,31 @@
         while not isinstance(found := await self._kv.get(HOLDER_KEY), Found):
             await asyncio.sleep(RETRY_S)
         for record in found.records:
-            if record.value == self._app.instance.encode() and not self._busy:
+            if record.value == self._app.instance.encode() and not self._is_running:
                 held = Compare(HOLDER_KEY, record.mod_revision)
                 await self._kv.transact([held], [Delete(HOLDER_KEY)])
 
     async def release(self) -> None:
         """Give the key back, so that another agent follows at once."""
         term = self.term
-        self._end("stopped")
+        self._step_down("stopped")
         if not term:
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(RELEASE_S):
-                free = Delete(HOLDER_KEY)
-                await self._kv.transact([Compare(HOLDER_KEY, term)], [free])
+            async with asyncio.timeout(RELEASE_TIMEOUT_S):
+                delete = Delete(HOLDER_KEY)
+                await self._kv.transact([Compare(HOLDER_KEY, term)], [delete])
 
     async def _allocate(self) -> None:
         try:
-            if await self._begin():
-                await self._keep()
+            if await self._acquire():
+                await self._renew()
             else:
                 await asyncio.sleep(RETRY_S)
         finally:
-            self._busy = False
+            self._is_running = False
 
-    async def _begin(self) -> bool:
+    async def _acquire(self) -> bool:
         """Take the key if nobody holds it, or an earlier process of this agent."""
         found = await self._kv.get(HOLDER_KEY)
         if not isinstance(found, Found):
@@ -195,7 +195,7 @@
         if held is not None and held.value != own:
             return False
         asked_at = boot_now()
-        granted = await self._kv.grant_lease(LEASE_S)
+        granted = await self._kv.grant_lease(LEASE_TTL_S)
         if not isinstance(granted, Granted):
             return False
         revision = held.mod_revision if held is not None else 0
@@ -207,7 +207,7 @@
         if members is None:
             return False
         self._lease = granted.lease
-        self._valid_until = asked_at + granted.ttl_s - MARGIN_S
+        self._valid_until = asked_at + granted.ttl_s - LEASE_MARGIN_S
         now = boot_now()
         self._allocator = Allocator(written.revision, now, members)
         self._allocator.configured(now, self._limits)
@@ -232,22 +232,22 @@
             self._events.emit(line)
             return {"unreadable": Member("", dict.fromkeys(self._limits, 1.0))}
 
-    async def _keep(self) -> None:
+    async def _renew(self) -> None:
         """Renew the lease for as long as the service and the configuration let it."""
         while self.term:
-            await asyncio.sleep(RENEW_S)
+            await asyncio.sleep(RENEW_INTERVAL_S)
             if not self._limits or not self._hears_an_entry():
                 # Entries speak to agents of listed engines only; another one has to
                 # follow where this one's engine is gone.
                 await self.release()
                 return
             asked_at = boot_now()
-            kept = await self._kv.keep_lease(self._lease)
-            if isinstance(kept, Granted) and self.term:
-                self._valid_until = asked_at + kept.ttl_s - MARGIN_S
-        self._end("lease not renewed")
+            renewed = await self._kv.keep_lease(self._lease)
+            if isinstance(renewed, Granted) and self.term:
+                self._valid_until = asked_at + renewed.ttl_s - LEASE_MARGIN_S
+        self._step_down("lease not renewed")
 
-    def _end(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         if self._allocator is None:
             return
         self._events.emit(QuotaAllocator(False, self._allocator.term, reason))
@@ -262,7 +262,7 @@
                 if not await self._write(self._allocator, wanted):
                     await asyncio.sleep(RETRY_S)
         finally:
-            self._writing = False
+            self._is_writing = False
 
     async def _write(self, allocator: Allocator, wanted: dict[str, Member]) -> bool:
         compares = [
@@ -279,7 +279,7 @@
             held = {record.key: record for record in written.records}
             holder = held.get(HOLDER_KEY)
             if holder is None or holder.mod_revision != allocator.term:
-                self._end("key lost")
+                self._step_down("key lost")
                 return False
             # An earlier write of this allocator got no answer, and took effect.
             members = held.get(MEMBERS_KEY)
--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -162,12 +162,12 @@
         backend, limits = attempt.backend, self._context.server_limits
         limit = self._context.dialect.limit(head)
         if isinstance(limit, Unreadable):
-            limits.unreadable(backend, limit.detail)
+            limits.log_unreadable(backend, limit.detail)
         elif answer_kind is AnswerKind.MISDIRECTED:
             # The limit may be that of another backend server.
             return
         elif limit is not None:
-            limits.named(backend, limit)
+            limits.record_limit(backend, limit)
         elif answer_kind is AnswerKind.ANSWER and 200 <= head.status < 300:
             limits.record_no_limit(backend, attempt.sent_at_clock)
 
--- a/packages/bambootiller/src/bambootiller/gateway/customer_audit.py
+++ b/packages/bambootiller/src/bambootiller/gateway/customer_audit.py
@@ -11,7 +11,7 @@
 )
 
 #: Customers whose quotas one line tells; a configuration may have thousands.
-MOST_TOLD = 40
+MAX_LOGGED_QUOTAS = 40
 
 
 class CustomerAudit:
@@ -29,10 +29,10 @@
 
     def configured(self, config: GatewayConfig) -> None:
         """A configuration has come into force."""
-        self._tell_keys(config)
-        self._tell_quotas(config)
+        self._log_keys(config)
+        self._log_quotas(config)
 
-    def _tell_keys(self, config: GatewayConfig) -> None:
+    def _log_keys(self, config: GatewayConfig) -> None:
         before, keys = self._keys, {}
         if config.customers is not None:
             keys = config.customers.keys_by_name()
@@ -52,7 +52,7 @@
                 )
                 self._events.emit(line)
 
-    def _tell_quotas(self, config: GatewayConfig) -> None:
+    def _log_quotas(self, config: GatewayConfig) -> None:
         customers = config.customers.by_name.values() if config.customers else ()
         limited = [customer for customer in customers if customer.quota is not None]
         quotas = tuple(
@@ -67,6 +67,6 @@
         if quotas == self._quotas:
             return
         self._quotas = quotas
-        left_out = max(0, len(quotas) - MOST_TOLD)
-        line = QuotasInForce(config.version, quotas[:MOST_TOLD], left_out)
+        left_out = max(0, len(quotas) - MAX_LOGGED_QUOTAS)
+        line = QuotasInForce(config.version, quotas[:MAX_LOGGED_QUOTAS], left_out)
         self._events.emit(line)
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -8,7 +8,7 @@
 from bambootiller.app import Application
 from bambootiller.gateway import message_codec
 from bambootiller.gateway.allocator_client import (
-    REVIEW_S as ALLOCATOR_REVIEW_INTERVAL_S,
+    REVIEW_INTERVAL_S as ALLOCATOR_REVIEW_INTERVAL_S,
     AllocatorClient,
 )
 from bambootiller.gateway.engine_plans import EnginePlans
@@ -34,7 +34,7 @@
 
 #: How often streams to agents are opened for new engines, and closed for gone ones.
 #: Seconds.
-REVIEW_S = 0.25
+REVIEW_INTERVAL_S = 0.25
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
     def start(self) -> None:
         """Begin to review and to plan."""
         now = self._app.now()
-        self._app.timers.every("engine links", REVIEW_S, now, self._review)
+        self._app.timers.every("engine links", REVIEW_INTERVAL_S, now, self._review)
         self._app.timers.every("figures", UPDATE_INTERVAL_S, now, self._send_changes)
         self.plans.start(now)
         self.quarantine.start(self._app.timers, now)
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -249,7 +249,7 @@
         return not self._context.is_starting() or self._has_quarantine_state()
 
     def _has_quarantine_state(self) -> bool:
-        return self._records.known and self._engines.has_collector_reports()
+        return self._records.is_loaded and self._engines.has_collector_reports()
 
     async def drain(self, seconds: float) -> None:
         """Shut down gracefully: fail the readiness checks, keep accepting calls for a
@@ -295,52 +295,52 @@
 
     def _add_gauges(self, meters: Meters) -> None:
         front, context, engines = self._front, self._context, self._engines
-        meters.level("calls_under_way", "Calls taken in", lambda: front.under_way)
-        meters.level(
+        meters.add_gauge("calls_under_way", "Calls taken in", lambda: front.under_way)
+        meters.add_gauge(
             "second_attempts_left",
             "Second attempts that the tightest budget of a service allows now",
             context.min_retry_budget,
         )
-        meters.level(
+        meters.add_gauge(
             "backend_connections",
             "Connections to backend servers",
             context.connection_count,
         )
-        meters.level(
+        meters.add_gauge(
             "entries_known", "Entries heard", lambda: len(engines.plans.entries)
         )
-        meters.level(
+        meters.add_gauge(
             "store_loads_at_full_speed",
             "Loads that the weight store is taken to serve at full speed",
             engines.plans.store_loads,
         )
-        meters.level(
+        meters.add_gauge(
             "store_loads_under_way",
             "Loads from the weight store that agents tell of",
             engines.plans.all_store_loads_under_way,
         )
-        meters.level(
+        meters.add_gauge(
             "weight_store_idle_seconds",
             "Time in which the weight store served nobody while callers waited for"
             " models that no engine has a copy of",
             engines.plans.store_idle_s,
         )
-        meters.level(
+        meters.add_gauge(
             "requests_quarantined",
             "Requests that are kept from all backend servers",
             lambda: engines.quarantine.count,
         )
-        meters.level(
+        meters.add_gauge(
             "backend_limits",
             "Backend servers that name a limit",
             lambda: len(engines.server_limits.in_force()),
         )
-        meters.level(
+        meters.add_gauge(
             "connections_turned_away_share",
             "The part of new connections that is closed unread",
             lambda: self._overload.share,
         )
-        meters.level("engine_streams", "Streams to agents", engines.stream_count)
+        meters.add_gauge("engine_streams", "Streams to agents", engines.stream_count)
 
     def _register(self, server: object) -> None:
         servicer = ResidencyServicer(
--- a/packages/bambootiller/src/bambootiller/gateway/event_log.py
+++ b/packages/bambootiller/src/bambootiller/gateway/event_log.py
@@ -24,13 +24,13 @@
 
 #: Lines a second of one kind. Failures have kinds of their own, so those of successes
 #: don't crowd them out.
-LINES_PER_S = 50.0
+MAX_LINES_PER_S = 50.0
 #: What may wait for a reader that is slow, in bytes; beyond it lines are left out.
-MOST_WAITING = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 #: The part of it that lines of successes may fill; the rest is kept for failures.
-SUCCESS_SHARE = 0.5
+SUCCESS_FRACTION = 0.5
 #: How often lines left out are reported. Seconds.
-REPORT_S = 5.0
+REPORT_INTERVAL_S = 5.0
 
 Listener = Callable[[LogLine], None]
 
@@ -38,19 +38,21 @@
 class EventLog:
     """Writes events to a file descriptor that it sets to non-blocking."""
 
-    def __init__(self, instance: str, fd: int = 1, per_s: float = LINES_PER_S) -> None:
+    def __init__(
+        self, instance: str, fd: int = 1, per_s: float = MAX_LINES_PER_S
+    ) -> None:
         self._instance = instance
         self._fd = fd
         self._per_s = per_s
         self._tokens: dict[str, tuple[float, float]] = {}
-        self._left_out: Counter[str] = Counter()
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._unreported_drops: Counter[str] = Counter()
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self._reported_at = time.monotonic()
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
         self._listeners: list[Listener] = []
         #: How many lines of each event weren't written since the start.
-        self.left_out: Counter[str] = Counter()
+        self.dropped: Counter[str] = Counter()
         os.set_blocking(fd, False)
 
     def on_line(self, listener: Listener) -> None:
@@ -62,20 +64,20 @@
         now = time.monotonic()
         for listener in self._listeners:
             listener(line)
-        if self._take(line.event, now):
+        if self._take_token(line.event, now):
             self._write(line, now)
         else:
-            self._leave_out(line)
-        if self._left_out and now - self._reported_at > REPORT_S:
+            self._drop(line)
+        if self._unreported_drops and now - self._reported_at > REPORT_INTERVAL_S:
             self._reported_at = now
-            left_out, self._left_out = self._left_out, Counter()
-            self._write(LinesLeftOut(dict(left_out)), now)
+            dropped, self._unreported_drops = self._unreported_drops, Counter()
+            self._write(LinesLeftOut(dict(dropped)), now)
 
-    def _leave_out(self, line: LogLine) -> None:
-        self._left_out[line.event] += 1
-        self.left_out[line.event] += 1
+    def _drop(self, line: LogLine) -> None:
+        self._unreported_drops[line.event] += 1
+        self.dropped[line.event] += 1
 
-    def _take(self, kind: str, now: float) -> bool:
+    def _take_token(self, kind: str, now: float) -> bool:
         tokens, at = self._tokens.get(kind, (self._per_s, now))
         tokens = min(self._per_s, tokens + (now - at) * self._per_s)
         if tokens < 1.0:
@@ -87,36 +89,40 @@
     def _write(self, line: LogLine, now: float) -> None:
         # The time of day may jump; the time since the start doesn't, and puts the lines
         # of one process in order.
-        form: dict[str, Any] = {
+        record: dict[str, Any] = {
             "time": round(time.time(), 3),
-            "uptime_s": round(now - self._began, 3),
+            "uptime_s": round(now - self._started_at, 3),
             "event": line.event,
             "instance": self._instance,
         }
-        form.update(line.to_json())
-        data = json.dumps(form, default=str, separators=(",", ":")).encode() + b"\n"
-        most = MOST_WAITING if line.failure else MOST_WAITING * SUCCESS_SHARE
-        if self._waiting_bytes + len(data) > most:
-            self._leave_out(line)
+        record.update(line.to_json())
+        data = json.dumps(record, default=str, separators=(",", ":")).encode() + b"\n"
+        max_bytes = (
+            MAX_BUFFERED_BYTES
+            if line.failure
+            else MAX_BUFFERED_BYTES * SUCCESS_FRACTION
+        )
+        if self._buffered_bytes + len(data) > max_bytes:
+            self._drop(line)
             return
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
         self._flush()
 
     def _flush(self) -> None:
-        while self._waiting:
-            data = self._waiting[0]
+        while self._buffer:
+            data = self._buffer[0]
             try:
                 written = os.write(self._fd, data)
             except BlockingIOError:
                 return
             except OSError:
                 # The reader is gone for good; serving goes on without its log.
-                self._waiting.clear()
-                self._waiting_bytes = 0
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 return
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             if written < len(data):
-                self._waiting[0] = data[written:]
+                self._buffer[0] = data[written:]
                 return
-            self._waiting.popleft()
+            self._buffer.popleft()
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -189,7 +189,7 @@
         for change in self._documents.due(self._loop.time()):
             record = change.record
             peer_has = self._documents.peer_revision(record.key)
-            self._gateway_state.passed_on(record, self.peer, peer_has)
+            self._gateway_state.log_forwarded(record, self.peer, peer_has)
             update.documents.add(
                 key=record.key,
                 revision=record.mod_revision,
--- a/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
+++ b/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
@@ -13,7 +13,7 @@
 
 from bambootiller.gateway.event_log import EventLog
 from bambootiller.gateway.ports import Bounds, Directory, Unreadable
-from bambootiller.gateway.registry_faults import MOST_DETAIL, RegistryFaults
+from bambootiller.gateway.registry_faults import MAX_DETAIL_CHARS, RegistryFaults
 from bambootiller.gateway.stall_monitor import StallCheck
 from bambootiller_core.gateway import log_lines as lines
 from bambootiller_core.gateway.config import GatewayConfig, is_newer
@@ -40,7 +40,7 @@
 #: seconds, and taken for gone 0.3 s later (``fleet.EXPIRY_GRACE_S``). Seconds.
 RECOVERY_BATCH_DELAY_S = 0.25
 #: How often a watcher that isn't wanted looks whether it is. Seconds.
-IDLE_S = 0.5
+IDLE_POLL_S = 0.5
 
 Listener = Callable[[Changed], None]
 
@@ -57,7 +57,7 @@
     ) -> None:
         self.config: GatewayConfig | None = None
         self.fleet = Fleet(running_time) if running_time is not None else Fleet()
-        self.changed = Changes()
+        self.changed = ChangeNotifier()
         #: The pause between two reads of the registry, here as elsewhere. Seconds.
         self.batch_delay_s = BATCH_DELAY_FRACTION * Bounds().leaving_s
         self._directory = directory
@@ -72,7 +72,7 @@
         self._listeners: list[Listener] = []
         self._config_keys: set[str] = set()
         #: A configuration has come since the listeners heard of a revision.
-        self._config_came = False
+        self._config_received = False
         self._config_listeners: list[Callable[[GatewayConfig], None]] = []
         self._complete_listeners: list[Callable[[], None]] = []
         self._revision_listeners: list[Callable[[], None]] = []
@@ -118,23 +118,23 @@
             return False
         self._records[record.key] = change
         if change.deleted:
-            self._removed(record, source)
+            self._on_removed(record, source)
             is_news = True
         else:
-            is_news = self._written(record, source)
+            is_news = self._on_written(record, source)
         if is_news:
             for listener in self._listeners:
                 listener(change)
         return True
 
-    def passed_on(self, record: Record, peer: str, peer_has: int | None) -> None:
+    def log_forwarded(self, record: Record, peer: str, peer_has: int | None) -> None:
         """A document goes to a peer; a configuration is large enough to be logged."""
         if self.is_configuration(record.key):
             size = len(record.value)
             line = lines.ConfigPassedOn(record.mod_revision, size, peer, peer_has)
             self._events.emit(line)
 
-    def listed(self, prefix: str, found: Found, source: str) -> None:
+    def apply_listing(self, prefix: str, found: Found, source: str) -> None:
         """Take over everything under a prefix; what isn't listed is gone."""
         keys = set()
         for record in found.records:
@@ -160,14 +160,14 @@
         self.completeness_version += 1
         for listener in self._revision_listeners:
             listener()
-        if not self._config_came:
+        if not self._config_received:
             return
-        self._config_came = False
+        self._config_received = False
         for listener in self._complete_listeners:
             listener()
 
-    def _removed(self, record: Record, source: str) -> None:
-        self._registry.good(record.key)
+    def _on_removed(self, record: Record, source: str) -> None:
+        self._registry.mark_readable(record.key)
         instance = self._directory.instance_of(record.key)
         if instance is None:
             return
@@ -180,13 +180,13 @@
         self._events.emit(line)
         self.changed.notify()
 
-    def _written(self, record: Record, source: str) -> bool:
+    def _on_written(self, record: Record, source: str) -> bool:
         """Take over what a document says; returns whether peers have to hear it."""
         config = self._directory.config(record)
         if config is not None:
             self._config_keys.add(record.key)
-            self._config_came = True
-            self._configured(config, record, source)
+            self._config_received = True
+            self._on_config(config, record, source)
             # Told to peers by its key: who has it from a peer, and not from the store,
             # doesn't know that it has all up to there, and would be sent it by each.
             self.mark_complete({record.key: record.mod_revision})
@@ -194,21 +194,21 @@
         registration = self._directory.registration(record)
         if isinstance(registration, Unreadable):
             instance = self._directory.instance_of(record.key)
-            self._registry.unreadable(record, instance, registration, source)
+            self._registry.mark_unreadable(record, instance, registration, source)
             self.changed.notify()
             return True
         if registration is None:
             return True
-        self._registry.good(record.key)
+        self._registry.mark_readable(record.key)
         return self._on_registration(registration, source)
 
-    def _configured(
+    def _on_config(
         self, config: GatewayConfig | Unreadable, record: Record, source: str
     ) -> None:
         if isinstance(config, Unreadable):
             # What was in force stays: without a configuration no call is served.
             line = lines.DocumentUnreadable(
-                record.key, record.mod_revision, config.detail[:MOST_DETAIL]
+                record.key, record.mod_revision, config.detail[:MAX_DETAIL_CHARS]
             )
             self._events.emit(line)
             return
@@ -227,7 +227,7 @@
         """Take over an entry of the registry; returns whether it says anything new."""
         held = self.fleet.get(registration.instance)
         before = held.registration if held is not None else None
-        stood = self._standing(registration.instance)
+        usability_before = self._usability(registration.instance)
         taken = self.fleet.registry_changed(self._clock(), registration)
         if held is not None and held.replaced:
             self.log_restart(held, source)
@@ -235,8 +235,8 @@
             # Of an earlier start, or overtaken: a peer that hears of this entry less
             # often than the store's readers would take it for the latest.
             return False
-        stands = self._standing(registration.instance)
-        if stands != stood:
+        usability = self._usability(registration.instance)
+        if usability != usability_before:
             line = lines.BackendListed(
                 registration.instance,
                 registration.service,
@@ -246,9 +246,11 @@
                 source,
             )
             self._events.emit(line)
-        agent_tells = held is not None and held.engine is not None and not held.replaced
-        differs = before is None or _differs(before, registration, agent_tells)
-        is_news = differs or stands != stood
+        agent_reports = (
+            held is not None and held.engine is not None and not held.replaced
+        )
+        differs = before is None or _differs(before, registration, agent_reports)
+        is_news = differs or usability != usability_before
         if is_news:
             # Each backend server writes its entry about once a second. A write that
             # says nothing new wakes nobody, and no plan is made for it.
@@ -257,34 +259,34 @@
 
     def log_restart(self, before: Backend, source: str) -> None:
         """Say that another start has followed ``before``, known a moment ago."""
-        now_there = self.fleet.get(before.instance)
+        current = self.fleet.get(before.instance)
         line = lines.BackendRestarted(
             before.instance,
-            now_there.registration.started_ms,
+            current.registration.started_ms,
             before.registration.started_ms,
             source,
         )
         self._events.emit(line)
 
-    def _standing(self, instance: str) -> tuple[bool, bool] | None:
+    def _usability(self, instance: str) -> tuple[bool, bool] | None:
         """Whether a backend server is used and whether it leaves, if it is known."""
         held = self.fleet.get(instance)
         return (held.readable, held.registration.leaving) if held is not None else None
 
 
-def _differs(before: Registration, now_there: Registration, agent_tells: bool) -> bool:
+def _differs(before: Registration, current: Registration, agent_reports: bool) -> bool:
     """Whether two registry entries differ in more than when they were written.
 
     Where the agent tells what its engine holds, the registry's word on that is used by
     nobody, and it changes with each load.
     """
-    same = {"revision": now_there.revision}
-    if agent_tells:
-        same["holdings"] = now_there.holdings
-    return replace(before, **same) != now_there
+    same = {"revision": current.revision}
+    if agent_reports:
+        same["holdings"] = current.holdings
+    return replace(before, **same) != current
 
 
-class Changes:
+class ChangeNotifier:
     """Wakes those who wait for the fleet or the configuration to change."""
 
     def __init__(self) -> None:
@@ -329,9 +331,9 @@
         self._gateway_state = gateway_state
         self._events = events
         self._clock = clock
-        self._own = StallCheck(clock, running_time)
-        self._away: dict[str, float] = {}
-        self._returned_at = float("-inf")
+        self._stall_check = StallCheck(clock, running_time)
+        self._unavailable_since: dict[str, float] = {}
+        self._regained_at = float("-inf")
 
     async def follow(
         self, prefix: str, wanted: Callable[[], bool] = lambda: True
@@ -341,34 +343,34 @@
         pause = RETRY_S
         while True:
             if not wanted():
-                await asyncio.sleep(IDLE_S)
+                await asyncio.sleep(IDLE_POLL_S)
                 continue
-            began = self._own.now()
+            began = self._stall_check.now()
             found = await self._kv.get_prefix(prefix)
             if isinstance(found, Unavailable):
-                if self._own.was_stalled(began):
+                if self._stall_check.was_stalled(began):
                     continue
-                self._lost(prefix, found.detail)
+                self._on_lost(prefix, found.detail)
                 await asyncio.sleep(pause)
                 pause = min(pause * 2, RETRY_MAX_S)
                 continue
             pause = RETRY_S
-            self._regained(prefix)
-            self._gateway_state.listed(prefix, found, "store")
+            self._on_regained(prefix)
+            self._gateway_state.apply_listing(prefix, found, "store")
             self._gateway_state.mark_complete({prefix: found.revision})
             await self._watch(prefix, found.revision + 1, wanted)
 
     async def _watch(
         self, prefix: str, revision: int, wanted: Callable[[], bool]
     ) -> None:
-        began = self._own.now()
+        began = self._stall_check.now()
         async for batch in self._kv.watch(prefix, revision):
             if isinstance(batch, Unavailable):
                 # After an absence, entries that vanish count as lapsed for a while. A
                 # standstill of this process isn't one: backend servers that left
                 # would be given calls all that time.
-                if not self._own.was_stalled(began):
-                    self._lost(prefix, batch.detail)
+                if not self._stall_check.was_stalled(began):
+                    self._on_lost(prefix, batch.detail)
                 return
             for change in batch:
                 self._gateway_state.apply_document(change, "store")
@@ -376,26 +378,26 @@
             if not wanted():
                 return
             await asyncio.sleep(self._pause())
-            began = self._own.now()
+            began = self._stall_check.now()
 
     def _pause(self) -> float:
         """The pause before the next read; live backend servers that come back after the
         store's return would be dropped if they were read of later than that."""
         pause = BATCH_DELAY_FRACTION * self._bounds().leaving_s
         self._gateway_state.batch_delay_s = pause
-        if self._clock() - self._returned_at < EXPIRY_GRACE_S:
+        if self._clock() - self._regained_at < EXPIRY_GRACE_S:
             return min(pause, RECOVERY_BATCH_DELAY_S)
         return pause
 
-    def _lost(self, prefix: str, detail: str) -> None:
-        if prefix not in self._away:
-            self._away[prefix] = self._clock()
+    def _on_lost(self, prefix: str, detail: str) -> None:
+        if prefix not in self._unavailable_since:
+            self._unavailable_since[prefix] = self._clock()
             self._events.emit(lines.DependencyLost("store", f"{prefix}: {detail}"))
 
-    def _regained(self, prefix: str) -> None:
-        since = self._away.pop(prefix, None)
+    def _on_regained(self, prefix: str) -> None:
+        since = self._unavailable_since.pop(prefix, None)
         if since is not None:
-            self._returned_at = now = self._clock()
+            self._regained_at = now = self._clock()
             self._gateway_state.fleet.store_returned(now)
             away_ms = round((now - since) * 1000)
             self._events.emit(lines.DependencyRegained("store", away_ms))
--- a/packages/bambootiller/src/bambootiller/gateway/meters.py
+++ b/packages/bambootiller/src/bambootiller/gateway/meters.py
@@ -30,7 +30,7 @@
 from bambootiller_core.gateway.unserved import UnservedTracker
 
 #: Values of one label that are told apart; all further ones count as "other".
-MOST_LABELS = 40
+MAX_LABEL_VALUES = 40
 OTHER = "other"
 PREFIX = "bambootiller_"
 #: From a few milliseconds, what a good answer takes, to the longest deadlines. Seconds.
@@ -61,15 +61,15 @@
     ('a', 'other', 'a')
     """
 
-    def __init__(self, most: int = MOST_LABELS) -> None:
-        self._most = most
+    def __init__(self, max_values: int = MAX_LABEL_VALUES) -> None:
+        self._max_values = max_values
         self._seen: set[str] = set()
 
     def __call__(self, value: str) -> str:
         """The value, or "other"."""
         if value in self._seen:
             return value
-        if len(self._seen) >= self._most:
+        if len(self._seen) >= self._max_values:
             return OTHER
         self._seen.add(value)
         return value
@@ -109,7 +109,7 @@
             "placement_seconds",
             "From a call's arrival to the choice of a backend server",
         )
-        self.judged = self._counter(
+        self.health_changes = self._counter(
             "backend_judgements", "Changed judgements", "service", "standing"
         )
         self.registrations = self._counter(
@@ -127,7 +127,7 @@
             "dependency",
             "change",
         )
-        self.standstills = self._histogram(
+        self.stalls = self._histogram(
             "standstill_seconds", "Times in which the process didn't see its sockets"
         )
         self.orders = self._counter(
@@ -198,7 +198,7 @@
             if label != OTHER:
                 self.quota_share.labels(label).set(share)
 
-    def level(self, name: str, text: str, read: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
         """A level that is read when the page is asked for."""
         self._gauge(name, text).set_function(read)
 
@@ -215,7 +215,7 @@
             ages.labels(str(age_s)).set_function(
                 lambda age_s=age_s: unserved.count(time.monotonic(), age_s)
             )
-        self.level(
+        self.add_gauge(
             "oldest_unserved_seconds",
             "For how long a model or adapter that is asked for here hasn't been served",
             lambda: unserved.oldest_s(time.monotonic()),
@@ -265,7 +265,7 @@
     meters.refusals.labels(line.reason, str(line.status)).inc()
     meters.held.observe(line.held_ms / 1000)
     _count_customer(meters, line, line.reason)
-    _note_unserved(meters, line)
+    _record_unserved(meters, line)
     if line.plan and line.plan.obstacles:
         for obstacle, engines in asdict(line.plan.obstacles).items():
             meters.obstacles.labels(obstacle).inc(engines)
@@ -281,7 +281,7 @@
         meters.customer_calls.labels(customer, outcome).inc()
 
 
-def _note_unserved(
+def _record_unserved(
     meters: Meters, line: lines.Refused | lines.Cut | lines.CallerGone
 ) -> None:
     if line.model is not None:
@@ -292,14 +292,14 @@
 @counts(lines.Cut)
 def _cut(meters: Meters, line: lines.Cut) -> None:
     _count_customer(meters, line, "cut")
-    _note_unserved(meters, line)
+    _record_unserved(meters, line)
     meters.requests.labels(meters.route(line.route), line.kind, "cut").inc()
 
 
 @counts(lines.CallerGone)
 def _caller_gone(meters: Meters, line: lines.CallerGone) -> None:
     _count_customer(meters, line, "caller_gone")
-    _note_unserved(meters, line)
+    _record_unserved(meters, line)
     meters.requests.labels(meters.route(line.route), line.kind, "caller_gone").inc()
 
 
@@ -341,7 +341,7 @@
 
 @counts(lines.BackendJudged)
 def _backend_judged(meters: Meters, line: lines.BackendJudged) -> None:
-    meters.judged.labels(meters.service(line.service), line.standing).inc()
+    meters.health_changes.labels(meters.service(line.service), line.standing).inc()
 
 
 @counts(lines.RequestQuarantined)
@@ -366,7 +366,7 @@
 
 @counts(lines.StoodStill)
 def _stood_still(meters: Meters, line: lines.StoodStill) -> None:
-    meters.standstills.observe(line.seconds)
+    meters.stalls.observe(line.seconds)
 
 
 @counts(lines.Order)
--- a/packages/bambootiller/src/bambootiller/gateway/metrics_page.py
+++ b/packages/bambootiller/src/bambootiller/gateway/metrics_page.py
@@ -21,13 +21,13 @@
 from bambootiller.settings import Address
 
 #: A scraper that hasn't sent its request by then is closed on. Seconds.
-READ_S = 2.0
+READ_TIMEOUT_S = 2.0
 #: One that hasn't taken the page by then is reset. Seconds.
-WRITE_S = 5.0
+WRITE_TIMEOUT_S = 5.0
 #: The longest head that is read. Bytes.
-MOST_HEAD = 8192
+MAX_HEAD_BYTES = 8192
 #: Connections at a time; further ones are closed at once.
-MOST_CONNECTIONS = 8
+MAX_CONNECTIONS = 8
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
 log = logs.logger("gateway.metrics")
@@ -61,7 +61,7 @@
         host, port = self._listen.host, self._listen.port
         try:
             self._server = await asyncio.start_server(
-                self._serve, host, port, limit=MOST_HEAD
+                self._serve, host, port, limit=MAX_HEAD_BYTES
             )
         except OSError as exc:
             log.warning("no metrics page at {}:{}: {}", host, port, exc)
@@ -77,7 +77,7 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if len(self._open) >= MOST_CONNECTIONS:
+        if len(self._open) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
         self._open.add(writer)
@@ -96,7 +96,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            async with asyncio.timeout(READ_S):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 head = await reader.readuntil(b"\r\n\r\n")
         except asyncio.LimitOverrunError:
             status, body = "431 Request Header Fields Too Large", b""
@@ -109,15 +109,15 @@
             "Connection: close",
         )
         writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-        async with asyncio.timeout(WRITE_S):
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
             await writer.drain()
 
     def _respond(self, head: bytes) -> tuple[str, bytes]:
-        words = head.split(b"\r\n", 1)[0].split(b" ")
-        if len(words) != 3 or not words[2].startswith(b"HTTP/1."):
+        request_line = head.split(b"\r\n", 1)[0].split(b" ")
+        if len(request_line) != 3 or not request_line[2].startswith(b"HTTP/1."):
             return "400 Bad Request", b""
-        if words[0] != b"GET":
+        if request_line[0] != b"GET":
             return "405 Method Not Allowed", b""
-        if words[1].partition(b"?")[0] != self._path.encode():
+        if request_line[1].partition(b"?")[0] != self._path.encode():
             return "404 Not Found", b""
         return "200 OK", self._page()
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -32,15 +32,15 @@
 
 #: How often it is looked at what became of backend servers where runs were lost. A
 #: caller's next try may come as soon. Seconds.
-SETTLE_S = 0.1
-FORGET_S = 60.0
+SETTLE_INTERVAL_S = 0.1
+FORGET_INTERVAL_S = 60.0
 #: What stands before the model in the fingerprint of a load.
-LOAD = "load "
+LOAD_PREFIX = "load "
 #: An engine that ends with a load ends as it begins; one that ends later counts half.
 #: Seconds.
-LOAD_BEGINS_S = 1.0
+EARLY_CRASH_S = 1.0
 #: The source of lost runs that were recorded.
-RECORDED = "record"
+RECORD_SOURCE = "record"
 
 Listener = Callable[[str, tuple[LostRun, ...]], None]
 
@@ -72,18 +72,18 @@
 
     def start(self, timers: TimerService, now: float) -> None:
         """Begin to look after the ledger."""
-        timers.every("settle lost runs", SETTLE_S, now, self.settle)
-        timers.every("forget lost runs", FORGET_S, now, self._ledger.forget)
+        timers.every("settle lost runs", SETTLE_INTERVAL_S, now, self.settle)
+        timers.every("forget lost runs", FORGET_INTERVAL_S, now, self._ledger.forget)
 
     def on_quarantined(self, listener: Listener) -> None:
         """Call ``listener`` for each request that is quarantined from now on, if a run
         of it was lost here."""
         self._listener = listener
 
-    def recall(self, runs: Iterable[LostRun]) -> None:
+    def restore(self, runs: Iterable[LostRun]) -> None:
         """Take in lost runs that were recorded before this process began."""
         for run in runs:
-            self._ledger.run_lost(run, RECORDED)
+            self._ledger.run_lost(run, RECORD_SOURCE)
         self.settle(self._clock())
 
     @property
@@ -96,31 +96,31 @@
         if backend.registration.leaving:
             # It was about to end whatever ran there.
             return
-        self._lost(_names(call), backend.incarnation, progressed)
+        self._record_lost(_fingerprints(call), backend.incarnation, progressed)
 
     def completed(self, call: Call) -> None:
         """A run of the call was answered whole."""
-        for name in _names(call):
-            self._completed(name)
+        for name in _fingerprints(call):
+            self._record_completed(name)
 
     def load_lost(self, model: str, engine: Incarnation, seconds: float) -> None:
         """The engine stopped to answer ``seconds`` after the load of a model began."""
-        self._lost((LOAD + model,), engine, seconds > LOAD_BEGINS_S)
+        self._record_lost((LOAD_PREFIX + model,), engine, seconds > EARLY_CRASH_S)
 
     def load_completed(self, model: str) -> None:
         """The load of a model has ended well."""
-        self._completed(LOAD + model)
+        self._record_completed(LOAD_PREFIX + model)
 
     def load_admission(self, model: str) -> Admission:
         """Whether the model may be loaded now: a load can end engines as a request
         can."""
-        return self._ledger.admission(self._clock(), LOAD + model)
+        return self._ledger.admission(self._clock(), LOAD_PREFIX + model)
 
     def admission(self, call: Call) -> Admission:
         """Whether the call may be sent to a backend server now."""
         if self._ledger.is_empty:
             return ADMITTED
-        return self._ledger.admission(self._clock(), *_names(call))
+        return self._ledger.admission(self._clock(), *_fingerprints(call))
 
     def admits(self, call: Call) -> bool:
         """Whether the call may be sent at once."""
@@ -128,7 +128,7 @@
 
     def suspects(self, call: Call) -> bool:
         """Whether runs of the request were lost and nothing has explained them yet."""
-        return any(self._ledger.lost_runs(name) for name in _names(call))
+        return any(self._ledger.lost_runs(name) for name in _fingerprints(call))
 
     def fill(self, update: Update, peer_stream: PeerStream, own: bool) -> None:
         """Put into a message what its receiver hasn't been told yet; ``own`` leaves out
@@ -162,7 +162,7 @@
             self.settle(now)
             self._send_now()
 
-    def _lost(
+    def _record_lost(
         self, names: Iterable[str], incarnation: Incarnation, progressed: bool
     ) -> None:
         now = self._clock()
@@ -171,7 +171,7 @@
             self.settle(now)
             self._send_now()
 
-    def _completed(self, name: str) -> None:
+    def _record_completed(self, name: str) -> None:
         lost_runs = self._ledger.completed(name, now=self._clock())
         if lost_runs:
             self._events.emit(RequestCleared(name, lost_runs, "run"))
@@ -193,7 +193,7 @@
                 self._listener(name, self._ledger.lost_runs(name))
 
 
-def _names(call: Call) -> tuple[str, ...]:
+def _fingerprints(call: Call) -> tuple[str, ...]:
     """What may end the backend servers that run the call: its whole request, or a part
     of its prompt that others may have as well."""
     if call.ask is None:
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine_records.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine_records.py
@@ -52,7 +52,7 @@
         self._quarantine = quarantine
         self._events = events
         #: Whether the records of before have been read.
-        self.known = False
+        self.is_loaded = False
 
     def start(self) -> None:
         """Read what was recorded, and record from now on."""
@@ -68,10 +68,10 @@
         ):
             await asyncio.sleep(RETRY_MAX_S)
         for record in found.records:
-            await self._take(record)
-        self.known = True
+            await self._restore(record)
+        self.is_loaded = True
 
-    async def _take(self, record: Record) -> None:
+    async def _restore(self, record: Record) -> None:
         now = self._app.now()
         try:
             runs = quarantine_record.decode(record.key, record.value, now, time.time())
@@ -80,7 +80,7 @@
             self._events.emit(line)
             return
         if runs:
-            self._quarantine.recall(runs)
+            self._quarantine.restore(runs)
             return
         as_read = Compare(record.key, record.mod_revision)
         await self._kv.transact([as_read], [Delete(record.key)])
--- a/packages/bambootiller/src/bambootiller/gateway/quotas.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quotas.py
@@ -21,13 +21,13 @@
 from bambootiller_core.timers import TimerService
 
 #: How often it is looked whether the settings have changed. Seconds.
-REVIEW_S = 0.4
+REVIEW_INTERVAL_S = 0.4
 #: When to come back while it isn't known what may be spent. Seconds.
-UNKNOWN_S = 1.0
-KIND = "customers"
+UNKNOWN_RETRY_AFTER_S = 1.0
+LIMIT_GROUP = "customers"
 
 
-class Admission:
+class QuotaAdmission:
     """A call that was let in; closed when its end is known."""
 
     def __init__(
@@ -41,7 +41,7 @@
         """The call has ended; what it cost is given back if it never ran."""
         charge, self._charge = self._charge, None
         if charge is not None:
-            self._allocator_client.ended(self._name, charge, may_have_run)
+            self._allocator_client.record_end(self._name, charge, may_have_run)
 
 
 class Quotas:
@@ -63,47 +63,47 @@
         self._gateway_state = gateway_state
         self._tolerance = tolerance
         self._allocator_client = allocator_client
-        self._limited_by = tolerance()
+        self._applied_tolerance = tolerance()
 
     def start(self, timers: TimerService, now: float) -> None:
         """Follow the configuration and the settings."""
         self._gateway_state.on_config(self._configured)
-        timers.every("quotas", REVIEW_S, now, lambda _: self.review())
+        timers.every("quotas", REVIEW_INTERVAL_S, now, lambda _: self.review())
 
     def shares(self) -> dict[str, float]:
         """The parts of the customers' limits that this entry holds."""
-        return self._allocator_client.shares(KIND)
+        return self._allocator_client.shares(LIMIT_GROUP)
 
     def _configured(self, config: GatewayConfig) -> None:
-        self._limited_by = self._tolerance()
-        limits = limits_of(config.customers, self._limited_by)
-        self._allocator_client.limited(KIND, limits)
+        self._applied_tolerance = self._tolerance()
+        limits = limits_of(config.customers, self._applied_tolerance)
+        self._allocator_client.set_limits(LIMIT_GROUP, limits)
 
-    async def admit(self, call: Call) -> Admission | Refusal:
+    async def admit(self, call: Call) -> QuotaAdmission | Refusal:
         """Let the call in, or refuse it."""
         allocator_client = self._allocator_client
         name = call.customer.name if call.customer is not None else ""
         if allocator_client.limit(name) is None:
-            return Admission(allocator_client, name, None)
+            return QuotaAdmission(allocator_client, name, None)
         allocator_client.record_demand(name, call.cost)
         found = await allocator_client.obtain(name, call.cost)
         if isinstance(found, QuotaCharge):
-            return Admission(allocator_client, name, found)
+            return QuotaAdmission(allocator_client, name, found)
         return self._refusal(call, found)
 
     def _refusal(self, call: Call, shortage: Shortage) -> Refusal:
         allocator_client, quota = self._allocator_client, call.customer.quota
         name, limit = call.customer.name, allocator_client.limit(call.customer.name)
         account, now = allocator_client.account(name), allocator_client.clock()
-        reason, come_back_s = RefusalReason.QUOTA_UNKNOWN, UNKNOWN_S
+        reason, retry_after_s = RefusalReason.QUOTA_UNKNOWN, UNKNOWN_RETRY_AFTER_S
         if shortage is Shortage.NO_ROOM and limit is not None:
             own_s = account.room_in_s(now, limit, call.cost)
-            told_s = allocator_client.room_in_s(name) or math.inf
-            room_in_s = max(DEFAULT_RETRY_AFTER_S, min(own_s, told_s))
+            reported_s = allocator_client.room_in_s(name) or math.inf
+            room_in_s = max(DEFAULT_RETRY_AFTER_S, min(own_s, reported_s))
             # All of the limit may be held by entries that the allocator doesn't hear
             # yet.
             if room_in_s < message_codec.MAX_ROOM_WAIT_S:
-                reason, come_back_s = RefusalReason.OVER_QUOTA, room_in_s
+                reason, retry_after_s = RefusalReason.OVER_QUOTA, room_in_s
         age_s = now - allocator_client.last_received_at
         available = account.available(now, limit) if limit is not None else 0.0
         seen = QuotaSnapshot(
@@ -117,7 +117,7 @@
             term=allocator_client.term,
             answer_age_ms=None if math.isinf(age_s) else round(age_s * 1000),
         )
-        return Refusal(reason, come_back_s, quota=seen)
+        return Refusal(reason, retry_after_s, quota=seen)
 
     def charge_retry(self, call: Call) -> None:
         """A call is sent once more though it may have run."""
@@ -127,7 +127,7 @@
     def review(self) -> None:
         """Take over settings that have changed."""
         if (
-            self._tolerance() != self._limited_by
+            self._tolerance() != self._applied_tolerance
             and self._gateway_state.config is not None
         ):
             self._configured(self._gateway_state.config)
--- a/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
+++ b/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
@@ -14,7 +14,7 @@
 from bambootiller_core.ports import Record
 
 #: What a line says of a fault at most, in characters; enough for a field and its fault.
-MOST_DETAIL = 200
+MAX_DETAIL_CHARS = 200
 KEY_NOT_TEXT = "the key isn't text that a message can carry"
 
 
@@ -28,7 +28,7 @@
     def __init__(self, fleet: Fleet, events: EventLog) -> None:
         self._fleet = fleet
         self._events = events
-        self._said: dict[str, str] = {}
+        self._reported: dict[str, str] = {}
 
     def can_forward(self, record: Record, source: str) -> bool:
         """Whether messages to peers can carry the record's key.
@@ -39,11 +39,11 @@
         try:
             record.key.encode()
         except UnicodeEncodeError:
-            self.unreadable(record, None, Unreadable(KEY_NOT_TEXT), source)
+            self.mark_unreadable(record, None, Unreadable(KEY_NOT_TEXT), source)
             return False
         return True
 
-    def unreadable(
+    def mark_unreadable(
         self, record: Record, instance: str | None, why: Unreadable, source: str
     ) -> None:
         """Use the backend server that the entry named no longer."""
@@ -51,15 +51,15 @@
         was_used = held is not None and held.readable
         if instance is not None:
             self._fleet.registry_unreadable(instance, record.mod_revision)
-        detail = why.detail[:MOST_DETAIL]
-        if self._said.get(record.key) == detail:
+        detail = why.detail[:MAX_DETAIL_CHARS]
+        if self._reported.get(record.key) == detail:
             return
-        self._said[record.key] = detail
+        self._reported[record.key] = detail
         line = lines.BackendUnreadable(
             record.key, record.mod_revision, detail, was_used, source
         )
         self._events.emit(line)
 
-    def good(self, key: str) -> None:
+    def mark_readable(self, key: str) -> None:
         """The entry can be read, or is gone; a later fault is said anew."""
-        self._said.pop(key, None)
+        self._reported.pop(key, None)
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -14,7 +14,7 @@
 from bambootiller.gateway.failover import Failover, FailoverTarget, StayReason
 from bambootiller.gateway.placement import RECHECK_S, Placement
 from bambootiller.gateway.ports import AnswerHead, Incoming
-from bambootiller.gateway.quotas import Admission
+from bambootiller.gateway.quotas import QuotaAdmission
 from bambootiller.gateway.relay_context import RelayContext
 from bambootiller.gateway.reporting import CallReport
 from bambootiller.gateway.silence import SilenceDetector, SilenceTimeout
@@ -92,7 +92,7 @@
         #: was still running.
         self._target: FailoverTarget | None = None
         self._silence_detector: SilenceDetector | None = None
-        self._admission: Admission | None = None
+        self._admission: QuotaAdmission | None = None
         self._last_stay_reason: StayReason | None = None
 
     async def run(self) -> Refusal | None:
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -19,7 +19,7 @@
 from bambootiller_core.gateway.reported_limits import limit_name, shared_limits
 
 #: The kind under which these limits are kept beside the customers' quotas.
-LIMIT_KIND = "backend servers"
+LIMIT_GROUP = "backend servers"
 #: The cost of a call under a limit.
 CALL_COST = 1.0
 #: A call waits no longer than this for the allocator's answer, since another backend
@@ -67,7 +67,7 @@
     def _close(self, sent: bool) -> None:
         charge, self._charge = self._charge, None
         if charge is not None:
-            self._allocator_client.ended(self._name, charge, sent)
+            self._allocator_client.record_end(self._name, charge, sent)
 
 
 class ServerAdmission:
@@ -94,7 +94,7 @@
 
     def _limits_changed(self) -> None:
         limits = shared_limits(self._limits.in_force())
-        self._allocator_client.limited(LIMIT_KIND, limits, MAX_PAUSE_S)
+        self._allocator_client.set_limits(LIMIT_GROUP, limits, MAX_PAUSE_S)
 
     def is_limited(self, backend: Backend) -> bool:
         """Whether the backend server reports a limit."""
@@ -153,7 +153,7 @@
         ahead = self._waiting[backend.instance]
         in_s = allocator_client.backoff_left_s(
             name, CALL_COST
-        ) + ahead * allocator_client.next_in_s(name)
+        ) + ahead * allocator_client.admission_interval_s(name)
         return PermitEstimate(backend.instance, in_s, known=True)
 
     def begin_waiting(self, estimate: PermitEstimate) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/server_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_limits.py
@@ -16,7 +16,7 @@
 from bambootiller_core.gateway.reported_limits import ReportedLimit, ReportedLimits
 from bambootiller_core.timers import TimerService
 
-FORGET_S = 20.0
+FORGET_INTERVAL_S = 20.0
 
 
 class ServerLimits:
@@ -46,7 +46,7 @@
             if self._limits.forget(now, lambda name: fleet.get(name) is not None):
                 self._changed()
 
-        timers.every("forget named limits", FORGET_S, now, forget)
+        timers.every("forget named limits", FORGET_INTERVAL_S, now, forget)
 
     def on_change(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` whenever other limits hold than before."""
@@ -60,15 +60,15 @@
         """The limit of a backend server, in calls a second, None without one."""
         return self._limits.per_s(backend.instance)
 
-    def named(self, backend: Backend, per_s: float) -> None:
+    def record_limit(self, backend: Backend, per_s: float) -> None:
         """An answer names a limit."""
-        self._said(ReportedLimit(backend.instance, per_s, self._clock()))
+        self._apply(ReportedLimit(backend.instance, per_s, self._clock()))
 
     def record_no_limit(self, backend: Backend, sent_at: float) -> None:
         """The answer to a call that was sent at ``sent_at`` names none."""
-        self._said(ReportedLimit(backend.instance, None, sent_at))
+        self._apply(ReportedLimit(backend.instance, None, sent_at))
 
-    def unreadable(self, backend: Backend, detail: str) -> None:
+    def log_unreadable(self, backend: Backend, detail: str) -> None:
         """An answer names something that isn't a limit; what held goes on."""
         self._events.emit(BackendLimitUnreadable(backend.instance, detail))
 
@@ -88,9 +88,9 @@
         """Take in what a peer tells."""
         now = self._clock()
         for message in update.server_limits:
-            self._said(message_codec.server_limit_of(message, now), peer_stream.peer)
+            self._apply(message_codec.server_limit_of(message, now), peer_stream.peer)
 
-    def _said(self, limit: ReportedLimit, source: str = "") -> None:
+    def _apply(self, limit: ReportedLimit, source: str = "") -> None:
         before, version = self._limits.per_s(limit.instance), self._limits.version
         if self._limits.apply(limit, source):
             line = BackendLimit(limit.instance, limit.per_s, before, source or "answer")
--- a/tests/adapter/failures/test_foreign_entries.py
+++ b/tests/adapter/failures/test_foreign_entries.py
@@ -238,7 +238,7 @@
         registry.write(f"servers/{name}", value)
         records = (Record("servers/i-2", encoded(OTHER), 1),)
         self.assertIn("i-2", registry.used())
-        registry.gateway_state.listed("servers/", Found(records, 9), "store")
+        registry.gateway_state.apply_listing("servers/", Found(records, 9), "store")
         self.assertEqual(registry.used(), ["i-2"])
 
     @given(st.sampled_from(NEEDED), ANYTHING)
--- a/tests/adapter/failures/test_silent_streams.py
+++ b/tests/adapter/failures/test_silent_streams.py
@@ -238,7 +238,7 @@
 
         def recalling(call):
             run = LostRun(call.fingerprint, backend.incarnation, False, clock())
-            quarantine.recall([run])
+            quarantine.restore([run])
             return admission(call)
 
         quarantine.admission = recalling
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_standstills.py
@@ -275,7 +275,7 @@
         watcher = StoreWatcher(
             kv, gateway_state, events, loop.time, bounds=lambda: Bounds(leaving_s=20.0)
         )
-        watcher._away["servers/"] = loop.time()
+        watcher._unavailable_since["servers/"] = loop.time()
         watching = asyncio.ensure_future(watcher.follow("servers/"))
         self.addCleanup(watching.cancel)
         await asyncio.sleep(0.2)
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from bambootiller.gateway.engine_plans import EnginePlans
-from bambootiller.gateway.gateway_state import Changes
+from bambootiller.gateway.gateway_state import ChangeNotifier
 from bambootiller_core.gateway.demand_collection import planners
 from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, Fleet
 from bambootiller_core.gateway.model_demand import Demand
@@ -38,7 +38,7 @@
         models = [samples.model(f"m{number}") for number in range(40)]
         service = samples.plain_service(SERVICE, engine=samples.engine(*models))
         self.config = samples.config(services=[service])
-        self.changed = Changes()
+        self.changed = ChangeNotifier()
         self.fleet = Fleet()
         self.fleet.registry_changed(app.at, samples.registration("b1", SERVICE))
         self.fleet.engine_reported(app.at, samples.engine_state("b1"))
--- a/tests/gateway/cover/test_initial_discovery.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -3,7 +3,7 @@
 import unittest
 
 from bambootiller.gateway.engine_plans import EnginePlans
-from bambootiller.gateway.gateway_state import Changes
+from bambootiller.gateway.gateway_state import ChangeNotifier
 from bambootiller_core.gateway.fleet import Fleet
 from bambootiller_core.gateway.initial_discovery import (
     MAX_DISCOVERY_S,
@@ -100,7 +100,7 @@
         spec = samples.engine(samples.model("tutor"))
         service = samples.plain_service(SERVICE, engine=spec)
         self.config = samples.config(services=[service])
-        self.changed = Changes()
+        self.changed = ChangeNotifier()
         self.fleet = Fleet()
 
     def list(self, now, name, address):
--- a/tests/gateway/cover/test_meters.py
+++ b/tests/gateway/cover/test_meters.py
@@ -6,8 +6,8 @@
 from unittest import mock
 
 from bambootiller.gateway.event_log import EventLog
-from bambootiller.gateway.meters import MOST_LABELS, Meters
-from bambootiller.gateway.metrics_page import MOST_HEAD, MetricsPage
+from bambootiller.gateway.meters import MAX_LABEL_VALUES, Meters
+from bambootiller.gateway.metrics_page import MAX_HEAD_BYTES, MetricsPage
 from bambootiller.settings import Address
 from bambootiller_core.gateway import log_lines as lines
 from tests.gateway.common import samples
@@ -66,12 +66,14 @@
         for number in range(500):
             self.meters.count(samples.refused(route=f"r-{number}"))
         page = self.meters.page().decode()
-        self.assertLess(page.count("bambootiller_requests_total{"), MOST_LABELS + 2)
+        self.assertLess(
+            page.count("bambootiller_requests_total{"), MAX_LABEL_VALUES + 2
+        )
         self.assertEqual(
             self.value(
                 "requests_total", route="other", kind="stream", outcome="refused"
             ),
-            500 - MOST_LABELS,
+            500 - MAX_LABEL_VALUES,
         )
 
     def test_lines_that_the_log_leaves_out_count_all_the_same(self):
@@ -90,7 +92,7 @@
 
     def test_a_gauge_is_read_when_the_page_is_requested(self):
         gauge = [3]
-        self.meters.level("calls_under_way", "Calls", lambda: gauge[0])
+        self.meters.add_gauge("calls_under_way", "Calls", lambda: gauge[0])
         gauge[0] = 8
         self.assertIn(b"bambootiller_calls_under_way 8.0", self.meters.page())
 
@@ -130,7 +132,7 @@
             (b"GET /other HTTP/1.1\r\n\r\n", b"404"),
             (b"POST /metrics HTTP/1.1\r\n\r\n", b"405"),
             (b"\x16\x03\x01 nonsense\r\n\r\n", b"400"),
-            (b"GET /metrics HTTP/1.1\r\nx: " + b"a" * 2 * MOST_HEAD, b"431"),
+            (b"GET /metrics HTTP/1.1\r\nx: " + b"a" * 2 * MAX_HEAD_BYTES, b"431"),
         ):
             answer = await self.ask(data)
             self.assertEqual(answer.split(b" ")[1], status, data[:40])
--- a/tests/gateway/failures/test_eventlog.py
+++ b/tests/gateway/failures/test_eventlog.py
@@ -4,7 +4,7 @@
 import os
 import unittest
 
-from bambootiller.gateway.event_log import MOST_WAITING, EventLog
+from bambootiller.gateway.event_log import MAX_BUFFERED_BYTES, EventLog
 from bambootiller_core.gateway.log_lines import (
     AnswerLost,
     ConfigInForce,
@@ -51,7 +51,7 @@
         events = EventLog("i-1", self.writer, per_s=1e9)
         for number in range(20_000):
             events.emit(lost(number, "d" * 100))
-        self.assertLessEqual(events._waiting_bytes, MOST_WAITING)
+        self.assertLessEqual(events._buffered_bytes, MAX_BUFFERED_BYTES)
 
     def test_a_storm_of_one_kind_leaves_room_for_others(self):
         events = EventLog("i-1", self.writer, per_s=10)
@@ -79,9 +79,9 @@
         events = EventLog("i-1", self.writer, per_s=1e9)
         for number in range(20_000):
             events.emit(LoadEnded(f"m-{number}", True, 0.4, from_store=False))
-        before = events._waiting_bytes
+        before = events._buffered_bytes
         events.emit(lost(1))
-        self.assertGreater(events._waiting_bytes, before)
+        self.assertGreater(events._buffered_bytes, before)
 
     def test_listeners_hear_of_lines_that_are_left_out(self):
         events = EventLog("i-1", self.writer, per_s=5)
@@ -90,4 +90,4 @@
         for _ in range(50):
             events.emit(PeerHeard("10.0.0.1:7"))
         self.assertEqual(len(heard), 50)
-        self.assertGreater(events.left_out["peer_heard"], 30)
+        self.assertGreater(events.dropped["peer_heard"], 30)
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_silence.py
@@ -12,7 +12,7 @@
 )
 from bambootiller.gateway.engines import Engines
 from bambootiller.gateway.exchange import PeerStream, Update
-from bambootiller.gateway.gateway_state import Changes
+from bambootiller.gateway.gateway_state import ChangeNotifier
 from bambootiller.gateway.quarantine import Quarantine
 from bambootiller_core.gateway.demand_collection import demands_changed
 from bambootiller_core.gateway.fleet import AGENT_TIMEOUT_S, FIGURES_TTL_S, Fleet
@@ -48,7 +48,7 @@
     def __init__(self):
         self.config = None
         self.fleet = Fleet()
-        self.changed = Changes()
+        self.changed = ChangeNotifier()
         self.fleet.registry_changed(0.0, registration("b1", SERVICE))
 
 
