--- a/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/obstacles.py
@@ -2,8 +2,8 @@
 
 Example::
 
-    seen = obstacles(engine, spec, want, known, places, adapters)
-    seen.no_room  # so many engines hold nothing that would make way
+    found = obstacles(engine, spec, demand, known, load_targets, adapters)
+    found.no_room  # the number of engines whose models mustn't be evicted for it
 """
 
 from __future__ import annotations
