--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -35,7 +35,7 @@
 
     Example::
 
-        backend = await Placement(relays, call, progress).place()
+        backend = await Placement(context, call, progress).place()
         if isinstance(backend, Refusal): ...
     """
 
