--- a/tests/gateway/common/fleets.py
+++ b/tests/gateway/common/fleets.py
@@ -93,7 +93,7 @@
     }
 
 
-def _with_adapters_missed(rng, spec, demands):
+def _with_adapter_misses(rng, spec, demands):
     """Some calls for models that have adapters find theirs nowhere."""
     found = dict(demands)
     for name, demand in demands.items():
@@ -111,7 +111,7 @@
     models = {spec.name: spec for spec in _models(rng, tight)}
     spec = EngineSpec(rng.choice((90_000.0, 200_000.0)), 8, 24, 15.0, models)
     demands = _demands(rng, spec, idle=rng.random() < 0.15, tight=tight)
-    demands = _with_adapters_missed(random.Random(f"adapters {seed}"), spec, demands)
+    demands = _with_adapter_misses(random.Random(f"adapters {seed}"), spec, demands)
     backends = []
     for number in range(rng.choice((1, 3, 9, 29))):
         state = _engine(rng, number, spec, demands, tight)
--- a/tests/gateway/common/rare_replay.py
+++ b/tests/gateway/common/refusal_replay.py
@@ -26,9 +26,9 @@
 TICK_S = 0.1
 DISK_S, CALL_DURATION_S = 0.4, 0.5
 #: A caller of which the model comes later than this is refused. Seconds.
-PATIENCE_S = 4.0
-COME_BACK_MAX_S = 6.0
-HELD = 3
+MAX_WAIT_S = 4.0
+MAX_COME_BACK_S = 6.0
+MODELS_PER_ENGINE = 3
 
 
 @dataclass
@@ -59,28 +59,29 @@
 
 
 @dataclass(frozen=True)
-class Turn:
+class StoreLoadStart:
     """A load from the store as it begins; ``callers`` are those of its model who wait
-    or are to come back, ``most`` those of the other model without a copy that has the
+    or are to come back, ``max_other_callers`` those of the other model without a copy that has the
     most."""
 
     at: float
     model: str
     callers: int
-    most: int
+    max_other_callers: int
 
 
 @dataclass(frozen=True)
-class Patience:
+class CallerTimeouts:
     """How long callers wait for their model, and how much time they have; without a
-    limit they come back when they are told to, but within ``away_s``. Seconds."""
+    limit they come back when they are told to, but within ``max_return_delay_s``. Seconds.
+    """
 
-    wait_s: float = PATIENCE_S
-    away_s: float = COME_BACK_MAX_S
-    time_s: float = math.inf
+    max_wait_s: float = MAX_WAIT_S
+    max_return_delay_s: float = MAX_COME_BACK_S
+    total_time_s: float = math.inf
 
 
-class RareReplay:
+class RefusalReplay:
     """One seeded trace.
 
     ``rates`` are calls a second by model, ``copied`` the models that have a copy at the
@@ -97,13 +98,13 @@
         load_s=2.5,
         adapters=0,
         store_loads=1,
-        patience=Patience(),
+        timeouts=CallerTimeouts(),
         shifts=(),
     ):
         self._rng = random.Random(seed)
         self._rates = rates
         self._shifts = list(shifts)
-        self._patience = patience
+        self._timeouts = timeouts
         self._adapters = adapters
         self._load_s = load_s
         self._store_loads = store_loads
@@ -111,13 +112,15 @@
             samples.model(name, load_s=load_s, disk_s=DISK_S, adapters=adapters)
             for name in rates
         ]
-        self.spec = samples.engine(*models, memory_mb=40.0 * HELD)
+        self.spec = samples.engine(*models, memory_mb=40.0 * MODELS_PER_ENGINE)
         self.engines = [
             Engine(f"b{number}", set(copied[number::engines]))
             for number in range(engines)
         ]
         for engine in self.engines:
-            engine.held = {name: 0.0 for name in sorted(engine.copies)[:HELD]}
+            engine.held = {
+                name: 0.0 for name in sorted(engine.copies)[:MODELS_PER_ENGINE]
+            }
         self.demand_tracker = DemandTracker()
         self._waiting = []
         self._returning = []
@@ -126,9 +129,9 @@
         self.ends = defaultdict(list)
         #: Times in which no load from the store was under way, though a caller had been
         #: refused within the last second for a model without any copy. Seconds.
-        self.idle = []
+        self.store_idle_times = []
         #: The loads from the store, in the order in which they began.
-        self.turns = []
+        self.store_load_starts = []
         self._plan = {}
 
     def run(self, seconds, losses=()):
@@ -145,23 +148,25 @@
             self._serve_held()
             self._order()
             self._serve()
-            self._note_idle()
+            self._record_store_idle()
             self.now = round(self.now + TICK_S, 1)
 
-    def starved(self, least_calls=4, span_s=8.0):
+    def starved(self, min_calls=4, span_s=8.0):
         """The models and adapters asked for so often over so long and never served."""
         return [
             key
             for key, ends in sorted(self.ends.items())
-            if len(ends) >= least_calls
+            if len(ends) >= min_calls
             and ends[-1][0] - ends[0][0] >= span_s
             and not any(served for _, served in ends)
         ]
 
-    def longest_idle_s(self):
+    def longest_store_idle_s(self):
         """The longest time in which the store served nobody though it could have."""
         longest = spell = 0
-        for before, at in zip([float("-inf"), *self.idle], self.idle):
+        for before, at in zip(
+            [float("-inf"), *self.store_idle_times], self.store_idle_times
+        ):
             spell = spell + 1 if at - before < 1.5 * TICK_S else 1
             longest = max(longest, spell)
         return longest * TICK_S
@@ -179,7 +184,7 @@
                 adapter = ""
                 if self._adapters:
                     adapter = f"a{self._rng.randrange(self._adapters)}"
-                left_s = self._patience.time_s
+                left_s = self._timeouts.total_time_s
                 arrived.append(Caller(model, adapter, self.now, left_s=left_s))
         for caller in arrived:
             caller.arrived = self.now
@@ -224,8 +229,8 @@
         return None
 
     def _is_in_time(self, caller):
-        wait_s = min(self._patience.wait_s, caller.left_s)
-        left_s = caller.arrived + wait_s - self.now
+        max_wait_s = min(self._timeouts.max_wait_s, caller.left_s)
+        left_s = caller.arrived + max_wait_s - self.now
         holders = [engine for engine in self.engines if caller.model in engine.held]
         if holders:
             return min(engine.ends_at for engine in holders) - self.now < left_s
@@ -234,10 +239,10 @@
 
     def _refused(self, caller):
         load = self._plan.get(caller.model)
-        ready_in_s = load.ready_in_s if load is not None else COME_BACK_MAX_S
+        ready_in_s = load.ready_in_s if load is not None else MAX_COME_BACK_S
         left_s = caller.left_s - (self.now - caller.arrived)
-        most_s = min(self._patience.away_s, left_s / 3)
-        come_back_s = min(max(0.2, ready_in_s), most_s)
+        max_delay_s = min(self._timeouts.max_return_delay_s, left_s / 3)
+        come_back_s = min(max(0.2, ready_in_s), max_delay_s)
         expected_s = come_back_s if caller.again else None
         self.demand_tracker.refused(
             self.now, caller.model, come_back_s, returns_in_s=expected_s
@@ -324,9 +329,9 @@
         seconds = self._load_s if engine.from_store else DISK_S
         engine.ends_at = max(self.now, begins) + seconds
         if engine.from_store:
-            self.turns.append(self._turn(model))
+            self.store_load_starts.append(self._store_load_start(model))
 
-    def _turn(self, model):
+    def _store_load_start(self, model):
         copied = {name for engine in self.engines for name in engine.copies}
         coming = {engine.loading for engine in self.engines}
         here = [caller.model for caller in self._waiting]
@@ -336,14 +341,14 @@
             for name in self.spec.models
             if name != model and name not in copied | coming
         ]
-        return Turn(self.now, model, count[model], max(others, default=0))
+        return StoreLoadStart(self.now, model, count[model], max(others, default=0))
 
-    def _note_idle(self):
+    def _record_store_idle(self):
         if any(engine.loading and engine.from_store for engine in self.engines):
             return
         copied = {name for engine in self.engines for name in engine.copies}
         for (model, _), ends in self.ends.items():
             at, served = ends[-1]
             if not served and self.now - at <= 1.0 and model not in copied:
-                self.idle.append(self.now)
+                self.store_idle_times.append(self.now)
                 return
--- a/tests/gateway/common/replay.py
+++ b/tests/gateway/common/replay.py
@@ -23,7 +23,7 @@
 COPIED = 40
 CALLS_PER_S = 1.2
 #: A caller is late after the first, and leaves after the second. Seconds.
-TARGET_S, PATIENCE_S = 4.0, 16.0
+TARGET_S, MAX_WAIT_S = 4.0, 16.0
 #: How long a call runs. Seconds.
 CALL_DURATION_S = 2.0
 LOAD_S, DISK_S = 6.5, 1.5
@@ -62,13 +62,13 @@
 class Replay:
     """One seeded trace.
 
-    ``tells_time_left`` False leaves out of the demand how long calls are in time, as
+    ``reports_time_left`` False leaves out of the demand how long calls are in time, as
     entries of an earlier version do.
     """
 
-    def __init__(self, seed, tells_time_left=True):
+    def __init__(self, seed, reports_time_left=True):
         self._rng = random.Random(seed)
-        self._tells = tells_time_left
+        self._reports_time_left = reports_time_left
         names = [f"m{number}" for number in range(MODELS)]
         models = [samples.model(name, load_s=LOAD_S, disk_s=DISK_S) for name in names]
         self._spec = samples.engine(*models)
@@ -120,7 +120,7 @@
                     self.outcome.in_time += in_time
                     self.outcome.late += not in_time
                 continue
-            staying = [at for at in since if now - at <= PATIENCE_S]
+            staying = [at for at in since if now - at <= MAX_WAIT_S]
             self.outcome.left += len(since) - len(staying)
             self._waiting[model] = staying
             if not staying:
@@ -137,7 +137,7 @@
                 sum(model in engine.held for engine in self._engines),
                 now - min(since, default=now),
                 sum(model in engine.copies for engine in self._engines),
-                min(left, default=0.0) if self._tells else 0.0,
+                min(left, default=0.0) if self._reports_time_left else 0.0,
             )
         return demands
 
--- a/tests/gateway/cover/test_demand_collection.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -19,7 +19,7 @@
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.order_messages import LoadRequest
 from tests.gateway.common import samples
-from tests.gateway.failures.test_engines import App, FakeKnowledge
+from tests.gateway.failures.test_engines import App, FakeGatewayState
 
 HOSTS = [f"10.0.0.{number}" for number in range(30)]
 
@@ -217,7 +217,7 @@
         sizes = []
         for count in (5, 500):
             engines = Engines(
-                App(), FakeKnowledge(), None, None, 7, samples.allocator_client()
+                App(), FakeGatewayState(), None, None, 7, samples.allocator_client()
             )
             fleet = engines._gateway_state.fleet
             fleet.engine_reported(10.0, samples.engine_state("b1", ("m0", "m1")))
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -29,7 +29,7 @@
         return self.at
 
 
-class FakeKnowledge:
+class FakeGatewayState:
     """One engine, and the configuration of its service."""
 
     batch_delay_s = 0.6
@@ -49,7 +49,7 @@
 
     def test_models_that_they_hold_do_not_count_as_held(self):
         app = App("e1")
-        knowledge = FakeKnowledge(app)
+        knowledge = FakeGatewayState(app)
         knowledge.fleet.engine_reported(app.at, samples.engine_state("b1", ["m1"]))
         plans = EnginePlans(app, knowledge, lambda backend, load_request: True)
         plans.demand(SERVICE).asked(app.at, "m1")
@@ -70,7 +70,7 @@
     def start(self, instance):
         self.app = App(instance)
         self.plans = EnginePlans(
-            self.app, FakeKnowledge(self.app), lambda backend, load_request: True
+            self.app, FakeGatewayState(self.app), lambda backend, load_request: True
         )
         self.plans.entries = ENTRIES
         self.demand = self.plans.demand(SERVICE)
--- a/tests/gateway/cover/test_initial_discovery.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -91,7 +91,7 @@
         return self.at
 
 
-class FakeKnowledge:
+class FakeGatewayState:
     """What the entry has heard of."""
 
     batch_delay_s = 0.6
@@ -117,7 +117,7 @@
     """
 
     def setUp(self):
-        self.app, self.knowledge, self.load_requests = App(), FakeKnowledge(), []
+        self.app, self.knowledge, self.load_requests = App(), FakeGatewayState(), []
         self.plans = EnginePlans(
             self.app,
             self.knowledge,
--- a/tests/gateway/failures/test_connections.py
+++ b/tests/gateway/failures/test_connections.py
@@ -43,7 +43,7 @@
         return conn, body
 
 
-class TestKeptConnections(Case):
+class TestReusedConnections(Case):
     async def test_one_is_used_again_within_its_time(self):
         first, body = await self.use(0.0)
         self.assertEqual(body, b"ok")
@@ -90,7 +90,7 @@
         self.assertGreater(option, 0)
 
 
-class TestGivenUp(unittest.IsolatedAsyncioTestCase):
+class TestAbandonedCalls(unittest.IsolatedAsyncioTestCase):
     async def test_a_call_that_is_given_up_resets_its_connection(self):
         """Symptom: a backend server gets a call six seconds after its caller left.
 
--- a/tests/gateway/failures/test_turns_for_whom.py
+++ b/tests/gateway/failures/test_departed_callers.py
@@ -2,16 +2,18 @@
 
 import unittest
 
-from tests.gateway.common.rare_replay import Patience, RareReplay
+from tests.gateway.common.refusal_replay import CallerTimeouts, RefusalReplay
 
 LOAD_S = 13.2
 MODELS = 24
 GROUP = 8
 #: Callers of long drafts: they wait for sixteen seconds, and have thirty in all.
-DRAFTS = Patience(wait_s=16.0, away_s=30.0, time_s=30.0)
+DRAFT_TIMEOUTS = CallerTimeouts(
+    max_wait_s=16.0, max_return_delay_s=30.0, total_time_s=30.0
+)
 
 
-def asked(first, rate):
+def group_rates(first, rate):
     """The models of one group are asked for so often, the others hardly ever."""
     names = [f"m{number}" for number in range(MODELS)]
     return {
@@ -20,23 +22,30 @@
     }
 
 
-class TestTurnsOfCallersWhoHaveLeft(unittest.TestCase):
+class TestStoreLoadsOfDepartedCallers(unittest.TestCase):
     """The turn went to the model that had been refused most, seconds after its last
     caller had gone."""
 
     def test_no_turn_goes_to_a_model_that_nobody_waits_for_while_others_wait(self):
         for seed in range(8):
-            shifts = [(12.0, asked(GROUP, 0.25)), (24.0, asked(2 * GROUP, 0.25))]
-            replay = RareReplay(
+            shifts = [
+                (12.0, group_rates(GROUP, 0.25)),
+                (24.0, group_rates(2 * GROUP, 0.25)),
+            ]
+            replay = RefusalReplay(
                 seed,
                 8,
-                asked(0, 0.25),
+                group_rates(0, 0.25),
                 copied=[],
                 load_s=LOAD_S,
-                patience=DRAFTS,
+                timeouts=DRAFT_TIMEOUTS,
                 shifts=shifts,
             )
             replay.run(60.0)
-            vain = [turn for turn in replay.turns if turn.most and not turn.callers]
+            vain = [
+                start
+                for start in replay.store_load_starts
+                if start.max_other_callers and not start.callers
+            ]
             with self.subTest(seed=seed):
                 self.assertEqual(vain, [])
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -30,7 +30,7 @@
         return self.time
 
 
-class FakeKnowledge:
+class FakeGatewayState:
     """GatewayState without a store: two services, an engine each."""
 
     batch_delay_s = 0.6
@@ -65,7 +65,7 @@
         had said, so plans were made on whichever spoke last.
         """
         engines = Engines(
-            App(), FakeKnowledge(), None, None, 7, samples.allocator_client()
+            App(), FakeGatewayState(), None, None, 7, samples.allocator_client()
         )
         engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
         engines.received(told("b2", {"critic": Demand(rate=1.0)}))
@@ -75,7 +75,7 @@
 
     def test_an_entrys_own_demand_counts_where_it_is_more(self):
         engines = Engines(
-            App(), FakeKnowledge(), None, None, 7, samples.allocator_client()
+            App(), FakeGatewayState(), None, None, 7, samples.allocator_client()
         )
         engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
         merged = engines.plans.total_demands(
@@ -93,12 +93,12 @@
     """
 
     def setUp(self):
-        self.app, self.known = App(), FakeKnowledge()
+        self.app, self.gateway_state = App(), FakeGatewayState()
         spec = samples.engine(samples.model("poet"), samples.model("critic"))
         service = samples.ServiceSpec("tutor", None, spec)
-        self.known.config = samples.config(services=[service])
+        self.gateway_state.config = samples.config(services=[service])
         self.engines = Engines(
-            self.app, self.known, None, None, 7, samples.allocator_client()
+            self.app, self.gateway_state, None, None, 7, samples.allocator_client()
         )
         self.plans = []
         made = Planner.plan
@@ -119,7 +119,7 @@
         update.entries.extend(among)
         self.engines.received(update)
 
-    def beats(self, count):
+    def count_plans(self, count):
         """How many plans are made in so many beats, which aren't enough to be idle."""
         before = len(self.plans)
         for _ in range(count):
@@ -127,7 +127,7 @@
             self.timers.advance(self.app.time)
         return len(self.plans) - before
 
-    def others(self):
+    def entries_with_other_planner(self):
         """Entries of which another sees to the model and to the weight store."""
         for number in range(9999):
             model, other = f"m{number}", f"other-{number}"
@@ -138,18 +138,20 @@
         raise AssertionError("no entry that sees to a model and to the weight store")
 
     def test_one_that_asks_for_nothing_makes_none_while_others_wait(self):
-        model, names = self.others()
+        model, names = self.entries_with_other_planner()
         self.told(model, names)
         self.engines.plans.make_plans(self.app.time)
-        self.assertEqual(self.beats(3), 0)
+        self.assertEqual(self.count_plans(3), 0)
         self.app.time += IDLE_PLAN_INTERVAL_S
-        self.assertEqual(self.beats(1), 1)
+        self.assertEqual(self.count_plans(1), 1)
 
-    def many(self):
+    def entries_without_planning(self):
         """Entries of which this one sees to no model."""
         for first in range(99):
-            others = tuple(f"other-{number}" for number in range(first, first + 20))
-            names = ("entry-1", *others)
+            entries_with_other_planner = tuple(
+                f"other-{number}" for number in range(first, first + 20)
+            )
+            names = ("entry-1", *entries_with_other_planner)
             if "entry-1" not in rendezvous.ranked("planner", names)[:4]:
                 return names
         raise AssertionError("no entries among which this one isn't a planner")
@@ -161,7 +163,7 @@
         models four times a second, also without a call of their own that waited: more
         than the calls and their events took.
         """
-        self.told("poet", self.many())
+        self.told("poet", self.entries_without_planning())
         before = len(self.plans)
         for _ in range(4):
             self.app.time += IDLE_PLAN_INTERVAL_S
@@ -169,7 +171,7 @@
         self.assertEqual(len(self.plans) - before, 0)
 
     def test_one_that_makes_no_plan_still_tells_its_demand(self):
-        self.told("poet", self.many())
+        self.told("poet", self.entries_without_planning())
         self.engines.plans.demand("tutor").asked(self.app.time, "critic")
         self.app.time += IDLE_PLAN_INTERVAL_S
         self.timers.advance(self.app.time)
@@ -178,14 +180,14 @@
     def test_the_one_that_sees_to_the_model_makes_one_each_beat(self):
         self.told("poet", ("entry-1",))
         self.engines.plans.make_plans(self.app.time)
-        self.assertEqual(self.beats(3), 3)
+        self.assertEqual(self.count_plans(3), 3)
 
     def test_one_with_a_waiting_call_makes_one_each_beat(self):
-        model, names = self.others()
+        model, names = self.entries_with_other_planner()
         self.told(model, names)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").begin_waiting(self.app.time, "poet")
-        self.assertEqual(self.beats(3), 3)
+        self.assertEqual(self.count_plans(3), 3)
 
     def test_in_a_large_fleet_plans_take_no_more_of_a_core(self):
         """Symptom: with 39 engines and 186 models an entry that refuses a call now and
@@ -197,25 +199,25 @@
         models = [samples.model(f"m{number}") for number in range(186)]
         spec = samples.engine(samples.model("poet"), *models)
         service = samples.ServiceSpec("tutor", None, spec)
-        self.known.config = samples.config(services=[service])
+        self.gateway_state.config = samples.config(services=[service])
         for number in range(39):
             address = f"10.0.1.{number}:1"
             record = registration(f"i{number}", "tutor", address)
-            self.known.fleet.registry_changed(0.0, record)
+            self.gateway_state.fleet.registry_changed(0.0, record)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").begin_waiting(self.app.time, "poet")
         self.engines.plans.make_plans(self.app.time)
         self.assertLessEqual(
-            self.beats(20), 20 * PLAN_INTERVAL_S / MAX_PLAN_INTERVAL_S + 1
+            self.count_plans(20), 20 * PLAN_INTERVAL_S / MAX_PLAN_INTERVAL_S + 1
         )
 
     def test_one_whose_refused_callers_are_due_back_makes_one_each_beat(self):
-        model, names = self.others()
+        model, names = self.entries_with_other_planner()
         self.told(model, names)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").refused(self.app.time, "poet", 3.0)
         self.engines.plans.make_plans(self.app.time)
-        self.assertEqual(self.beats(3), 3)
+        self.assertEqual(self.count_plans(3), 3)
 
     def test_a_call_gets_a_plan_of_its_moment(self):
         self.engines.received(told("b1", {}))
--- a/tests/gateway/failures/test_silence.py
+++ b/tests/gateway/failures/test_incremental_updates.py
@@ -42,7 +42,7 @@
         self.timers = TimerService()
 
 
-class FakeKnowledge:
+class FakeGatewayState:
     """GatewayState without a store."""
 
     def __init__(self):
@@ -101,36 +101,41 @@
     return update
 
 
-class TestEntryHearsAgent(unittest.TestCase):
+class TestEntryReceivesAgentUpdates(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.known = FakeKnowledge()
+        self.gateway_state = FakeGatewayState()
         self.streams = Streams()
         app = App(self.clock)
         self.engines = Engines(
-            app, self.known, self.streams, Events(), 7, samples.allocator_client()
+            app,
+            self.gateway_state,
+            self.streams,
+            Events(),
+            7,
+            samples.allocator_client(),
         )
         self.stream = Stream("a1")
         self.streams.all.append(self.stream)
 
-    def hear(self, update):
+    def receive(self, update):
         self.stream.last_received_at = self.clock.at
         self.engines.received(update, self.stream)
 
     def backend(self, instance="b1"):
-        return self.known.fleet.get(instance)
+        return self.gateway_state.fleet.get(instance)
 
     def test_a_beat_keeps_figures_fresh_that_are_not_repeated(self):
-        self.hear(figures(running=3))
+        self.receive(figures(running=3))
         for _ in range(10):
             self.clock.at += 0.6
-            self.hear(Update())
+            self.receive(Update())
         self.assertTrue(self.backend().agent_responsive(self.clock.at))
         self.assertEqual(self.backend().occupied(self.clock.at), 3)
 
     def test_silence_makes_them_old_as_soon_as_ever(self):
-        self.hear(figures(running=3))
-        self.hear(Update())
+        self.receive(figures(running=3))
+        self.receive(Update())
         last = self.clock.at
         self.assertEqual(self.backend().occupied(last + FIGURES_TTL_S + 0.01), 0)
         self.assertFalse(self.backend().agent_responsive(last + AGENT_TIMEOUT_S))
@@ -138,39 +143,39 @@
     def test_an_agent_that_began_anew_does_not_stand_for_what_the_last_one_said(self):
         """What goes wrong: an agent starts again and can't read its engine yet. Its
         beats would keep alive what the agent before it had said."""
-        self.hear(figures(running=3))
+        self.receive(figures(running=3))
         sent_at = self.clock.at
         self.clock.at += 0.6
-        self.hear(Update(sender="a1", begins=True))
+        self.receive(Update(sender="a1", begins=True))
         self.clock.at += 0.6
-        self.hear(Update())
+        self.receive(Update())
         self.assertEqual(self.backend().last_received_at, sent_at)
 
     def test_figures_of_an_engine_that_is_listed_later_are_kept_for_it(self):
         """What goes wrong: the agent's first message comes before the registry's
         entry. It isn't repeated, so the engine would stay unknown until something
         there changes."""
-        self.hear(figures("b2", running=2))
+        self.receive(figures("b2", running=2))
         self.assertIsNone(self.backend("b2"))
-        self.known.fleet.registry_changed(
+        self.gateway_state.fleet.registry_changed(
             0.0, registration("b2", SERVICE, address="127.0.0.2:1")
         )
         self.engines._apply_earlier_reports(self.clock.at)
         self.assertEqual(self.backend("b2").engine.running, 2)
 
     def test_they_are_not_recalled_once_the_agent_is_silent(self):
-        self.hear(figures("b2", running=2))
-        self.known.fleet.registry_changed(
+        self.receive(figures("b2", running=2))
+        self.gateway_state.fleet.registry_changed(
             0.0, registration("b2", SERVICE, address="127.0.0.2:1")
         )
         self.engines._apply_earlier_reports(self.clock.at + AGENT_TIMEOUT_S)
         self.assertIsNone(self.backend("b2").engine)
 
     def test_copies_left_out_are_those_of_the_same_stream(self):
-        self.hear(figures(on_disk=frozenset({"poet"})))
+        self.receive(figures(on_disk=frozenset({"poet"})))
         update = figures(running=1)
         update.begins, update.engine.same_copies = False, True
-        self.hear(update)
+        self.receive(update)
         self.assertEqual(self.backend().engine.on_disk, {"poet"})
 
     def test_a_total_holds_while_its_collector_is_heard_and_ends_with_its_silence(self):
@@ -179,9 +184,9 @@
         update.total_demand.extend(
             message_codec.demand_messages({"poet": Demand(rate=3.0)})
         )
-        self.hear(update)
+        self.receive(update)
         self.clock.at += 1.2
-        self.hear(Update())
+        self.receive(Update())
         self.clock.at += 1.2
         self.assertEqual(
             self.engines.plans.total_demands(SERVICE, {})["poet"].rate, 3.0
@@ -195,39 +200,39 @@
         update.total_demand.extend(
             message_codec.demand_messages({"poet": Demand(rate=3.0)})
         )
-        self.hear(update)
-        self.hear(Update(collected=True))
+        self.receive(update)
+        self.receive(Update(collected=True))
         self.assertEqual(self.engines.plans.total_demands(SERVICE, {}), {})
 
     def test_an_agent_of_an_earlier_version_repeats_everything(self):
         """It never says that it begins, and leaves out copies now and then."""
         first = figures(on_disk=frozenset({"poet"}))
         first.begins = False
-        self.hear(first)
+        self.receive(first)
         again = figures(running=1)
         again.begins, again.engine.same_copies = False, True
-        self.hear(again)
+        self.receive(again)
         self.assertEqual(self.backend().engine.on_disk, {"poet"})
 
 
-class TestEntryTellsAgent(unittest.TestCase):
+class TestEntryUpdatesAgent(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.known = FakeKnowledge()
+        self.gateway_state = FakeGatewayState()
         self.engines = Engines(
             App(self.clock),
-            self.known,
+            self.gateway_state,
             Streams(),
             Events(),
             7,
             samples.allocator_client(),
         )
-        self.backend = self.known.fleet.get("b1")
-        self.known.fleet.engine_reported(10.0, engine_state("b1", ("poet",)))
+        self.backend = self.gateway_state.fleet.get("b1")
+        self.gateway_state.fleet.engine_reported(10.0, engine_state("b1", ("poet",)))
         self.stream = Stream("a1")
         self.engines.plans._own_demands[SERVICE] = {"poet": Demand(rate=1.0, holders=1)}
 
-    def news(self):
+    def take_update(self):
         """Whether there is something to tell; it counts as told then."""
         if not self.engines._needs_update(self.backend, self.stream):
             return False
@@ -235,43 +240,43 @@
         return True
 
     def test_what_has_not_moved_is_not_told_again(self):
-        self.assertTrue(self.news())
-        self.assertFalse(self.news())
+        self.assertTrue(self.take_update())
+        self.assertFalse(self.take_update())
         self.engines.plans._own_demands[SERVICE] = {
             "poet": Demand(rate=0.95, holders=1)
         }
-        self.assertFalse(self.news())
+        self.assertFalse(self.take_update())
 
     def test_small_steps_add_up(self):
         """What goes wrong: demand that fades in small steps is never told, and an
         agent keeps a model that nobody asks for."""
-        self.news()
+        self.take_update()
         last_sent = 0
         for step in range(40):
             rate = 0.95**step
             self.engines.plans._own_demands[SERVICE] = {
                 "poet": Demand(rate=rate, holders=1)
             }
-            last_sent += self.news()
+            last_sent += self.take_update()
             report = self.stream.last_sent["entry"].part["poet"].rate
             self.assertLess(abs(report - rate), 0.11 * report)
         self.assertGreater(last_sent, 10)
 
     def test_a_call_a_waiting_call_and_a_holder_are_told(self):
-        self.news()
-        self.known.fleet.get("b1").call_sent("poet")
-        self.assertTrue(self.news())
-        self.known.fleet.get("b1").call_ended("poet")
-        self.assertTrue(self.news())
+        self.take_update()
+        self.gateway_state.fleet.get("b1").call_sent("poet")
+        self.assertTrue(self.take_update())
+        self.gateway_state.fleet.get("b1").call_ended("poet")
+        self.assertTrue(self.take_update())
         self.engines.plans._own_demands[SERVICE] = {"poet": Demand(1.0, 1, 1, 0.1)}
-        self.assertTrue(self.news())
+        self.assertTrue(self.take_update())
         self.engines.plans._own_demands[SERVICE] = {"poet": Demand(1.0, 0, 2)}
-        self.assertTrue(self.news())
+        self.assertTrue(self.take_update())
 
     def test_a_new_stream_is_told_everything(self):
-        self.news()
+        self.take_update()
         self.stream = Stream("a1")
-        self.assertTrue(self.news())
+        self.assertTrue(self.take_update())
 
     def test_a_call_that_waits_on_is_news_each_time(self):
         self.assertTrue(
@@ -285,14 +290,14 @@
     def setUp(self):
         self.clock = Clock()
         self.streams = Streams()
-        self.woken = []
+        self.wakeups = []
         self.events = Events()
         gateway_state = SimpleNamespace(fleet=Fleet())
         self.updates = AgentUpdates(
             self.streams,
             self.events,
             self.clock,
-            lambda: self.woken.append(1),
+            lambda: self.wakeups.append(1),
             Quarantine(gateway_state, self.events, self.clock, lambda: None),
         )
         self.book = OrderBook(engine())
@@ -309,11 +314,11 @@
         self.book.reported(self.clock.at, EngineReport("b1", **fields))
         self.updates.send_changes()
 
-    def hear(self, update):
+    def receive(self, update):
         self.stream.last_received_at = self.clock.at
         self.updates.received(update, self.stream)
 
-    def entry_says(self, in_use=2, collect=False):
+    def entry_update(self, in_use=2, collect=False):
         update = Update(sender="e1", begins=True)
         demands = {"tutor": Demand(rate=1.0)}
         update.entry.CopyFrom(
@@ -330,17 +335,17 @@
         return self.book.state(self.clock.at).in_use.get("tutor", 0)
 
     def test_an_entry_that_spoke_before_the_configuration_came_is_not_lost(self):
-        self.hear(self.entry_says())
+        self.receive(self.entry_update())
         self.begin()
         self.assertEqual(self.in_use(), 2)
         self.assertTrue(self.updates.has_live_entry())
 
     def test_beats_keep_what_an_entry_said(self):
         self.begin()
-        self.hear(self.entry_says())
+        self.receive(self.entry_update())
         for _ in range(5):
             self.clock.at += 1.2
-            self.hear(Update())
+            self.receive(Update())
             self.book.next_order(self.clock.at)
         self.assertEqual(self.in_use(), 2)
 
@@ -349,22 +354,22 @@
         stream. It doesn't repeat what it said, and its calls would count for nothing.
         """
         self.begin()
-        self.hear(self.entry_says(collect=True))
+        self.receive(self.entry_update(collect=True))
         self.clock.at += ENTRY_TIMEOUT_S + 0.1
         self.updates.send_changes()
         self.book.next_order(self.clock.at)
         self.assertEqual(self.in_use(), 0)
         self.assertFalse(self.updates.has_live_entry())
-        self.hear(Update())
+        self.receive(Update())
         self.assertEqual(self.in_use(), 2)
         self.assertTrue(self.fill().collected)
 
     def test_an_entry_that_begins_anew_without_figures_has_said_nothing(self):
         self.begin()
-        self.hear(self.entry_says())
-        self.hear(Update(sender="e1", begins=True))
+        self.receive(self.entry_update())
+        self.receive(Update(sender="e1", begins=True))
         self.clock.at += ENTRY_TIMEOUT_S + 0.1
-        self.hear(Update())
+        self.receive(Update())
         self.assertFalse(self.updates.has_live_entry())
 
     def test_what_is_the_same_is_said_once(self):
@@ -394,7 +399,7 @@
         for number in range(60):
             stream = Stream(f"e{number}")
             stream.last_received_at = self.clock.at
-            self.updates.received(self.entry_says(in_use=0), stream)
+            self.updates.received(self.entry_update(in_use=0), stream)
         self.fill()
         self.clock.at += 0.5
         self.report(running=1)
@@ -403,7 +408,7 @@
         self.report(running=1)
         self.assertEqual(self.fill().engine.running, 1)
 
-    def many(self, count=30):
+    def add_idle_entries(self, count=30):
         """Entries without calls for any model."""
         others = [Stream(f"other-{number}") for number in range(count)]
         for stream in others:
@@ -415,7 +420,7 @@
         self.clock.at += 0.01
         return others
 
-    def load(self, model="poet"):
+    def report_loaded(self, model="poet"):
         """The engine holds one more model."""
         held = dict.fromkeys(("tutor", model), frozenset())
         for stream in self.streams.all:
@@ -429,8 +434,8 @@
         a few see to loads and one or two have calls for the model.
         """
         self.begin()
-        others = self.many()
-        self.load()
+        others = self.add_idle_entries()
+        self.report_loaded()
         self.assertLessEqual(sum(stream.sent > 0 for stream in others), 4)
         self.clock.at += 1.0
         self.report(holdings=dict.fromkeys(("tutor", "poet"), frozenset()))
@@ -438,32 +443,32 @@
 
     def test_an_entry_with_calls_for_it_is_told_at_once(self):
         self.begin()
-        self.hear(self.entry_says())
-        self.many()
-        self.load("poet")
+        self.receive(self.entry_update())
+        self.add_idle_entries()
+        self.report_loaded("poet")
         self.stream.report = EntryReport({"clerk": Demand(rate=0.1)}, {}, False)
-        self.load("clerk")
+        self.report_loaded("clerk")
         self.assertTrue(self.stream.sent)
 
     def test_an_entry_that_requested_a_load_is_told_at_once_and_brought_up_to_date(
         self,
     ):
         self.begin()
-        other = self.many()[0]
-        self.load()
+        other = self.add_idle_entries()[0]
+        self.report_loaded()
         other.sent = 0
         update = Update()
         message_codec.add_load_request(update, LoadRequest("poet"))
         self.updates.received(update, other)
         self.assertTrue(other.sent)
-        self.load("clerk")
+        self.report_loaded("clerk")
         self.assertTrue(other.sent)
 
     def test_what_is_gone_is_told_to_all_at_once(self):
         """What goes wrong: a call is sent to an engine that has just unloaded its
         model, and there is no second attempt."""
         self.begin()
-        others = self.many()
+        others = self.add_idle_entries()
         for stream in others:
             stream.sent = 0
         self.report(holdings={})
--- a/tests/gateway/failures/test_orders.py
+++ b/tests/gateway/failures/test_orders.py
@@ -35,14 +35,14 @@
     def request_load(self, model, adapter="", now=0.0, urgency=0):
         self.book.load_requested(now, LoadRequest(model, adapter, urgency))
 
-    def give(self, now, answer):
+    def send_next_order(self, now, answer):
         order = self.book.next_order(now)
         self.book.order_sent(order)
         self.book.answered(now, order, answer)
         return order
 
 
-class TestAnotherAtTheAddress(Case):
+class TestWrongInstanceAtAddress(Case):
     def test_an_order_refused_by_another_start_is_not_repeated_at_once(self):
         """An engine had crashed, and its next start answered at the same address under
         a name that the registry didn't list yet. The agent went on naming the one
@@ -50,7 +50,7 @@
         for up to 3.5 s while the store was away, 1,981 of 2,504 orders of a day."""
         self.book.reported(0.0, report())
         self.request_load("tutor")
-        self.assertIsNotNone(self.give(0.0, OrderAnswer.OTHER_INSTANCE))
+        self.assertIsNotNone(self.send_next_order(0.0, OrderAnswer.OTHER_INSTANCE))
         self.book.reported(0.01, report())
         self.assertIsNone(self.book.next_order(0.01))
         self.assertFalse(self.book.state(0.01).orderable)
@@ -58,7 +58,7 @@
     def test_it_is_sent_once_the_name_is_known(self):
         self.book.reported(0.0, report())
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.OTHER_INSTANCE)
+        self.send_next_order(0.0, OrderAnswer.OTHER_INSTANCE)
         self.book.reported(0.1, report(instance="b2"))
         self.request_load("tutor", now=0.1)
         self.assertEqual(self.book.next_order(0.1).model, "tutor")
@@ -66,7 +66,7 @@
     def test_it_is_tried_again_after_a_while(self):
         self.book.reported(0.0, report())
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.OTHER_INSTANCE)
+        self.send_next_order(0.0, OrderAnswer.OTHER_INSTANCE)
         self.book.reported(WRONG_INSTANCE_COOLDOWN_S, report())
         self.request_load("tutor", now=WRONG_INSTANCE_COOLDOWN_S)
         self.assertIsNotNone(self.book.next_order(WRONG_INSTANCE_COOLDOWN_S))
@@ -82,7 +82,7 @@
         """
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
-        first = self.give(0.0, OrderAnswer.UNANSWERED)
+        first = self.send_next_order(0.0, OrderAnswer.UNANSWERED)
         self.book.reported(0.1, report(accepted=4))
         self.request_load("poet", now=0.1)
         self.assertEqual(self.book.next_order(0.1), first)
@@ -91,7 +91,7 @@
     def test_a_number_that_has_moved_settles_it(self):
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.UNANSWERED)
+        self.send_next_order(0.0, OrderAnswer.UNANSWERED)
         self.book.reported(0.1, report(accepted=5, busy=True))
         self.assertIsNone(self.book.unconfirmed)
         self.assertEqual(self.book.state(0.1).loading.model, "tutor")
@@ -99,14 +99,14 @@
     def test_its_memory_counts_until_it_is_settled(self):
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.UNANSWERED)
+        self.send_next_order(0.0, OrderAnswer.UNANSWERED)
         self.assertEqual(self.book.state(0.0).memory_mb_used, 40.0)
 
     def test_nothing_is_decided_on_a_report_older_than_the_last_order(self):
         self.book.reported(0.0, report())
         self.request_load("tutor", "a1")
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.ACCEPTED)
+        self.send_next_order(0.0, OrderAnswer.ACCEPTED)
         self.assertIsNone(self.book.next_order(0.0))
 
 
@@ -123,7 +123,7 @@
     def test_a_higher_fence_stops_all_orders(self):
         self.book.reported(0.0, report())
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.FENCED)
+        self.send_next_order(0.0, OrderAnswer.FENCED)
         self.book.reported(0.1, report())
         self.request_load("tutor", now=0.1)
         self.assertIsNone(self.book.next_order(0.1))
@@ -132,7 +132,7 @@
     def test_a_conflict_without_a_moved_number_frees_the_order(self):
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
-        order = self.give(0.0, OrderAnswer.CONFLICT)
+        order = self.send_next_order(0.0, OrderAnswer.CONFLICT)
         self.book.reported(0.1, report(accepted=4))
         self.book.conflict_confirmed(order)
         self.assertIsNone(self.book.unconfirmed)
@@ -142,13 +142,13 @@
     def test_a_new_start_of_the_engine_knows_nothing_of_the_last(self):
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.UNANSWERED)
+        self.send_next_order(0.0, OrderAnswer.UNANSWERED)
         self.book.reported(3.0, report(instance="b2"))
         self.assertIsNone(self.book.unconfirmed)
         self.assertEqual(self.book.state(3.0).memory_mb_used, 0.0)
 
 
-class TestRestartsUnderOneName(Case):
+class TestRestartsUnderSameName(Case):
     """Symptom: an agent gives no order for as long as its engine lives, or orders a
     model beyond the engine's memory.
 
@@ -160,15 +160,15 @@
         super().setUp()
         self.book.reported(0.0, report(accepted=4, started_ms=1, holdings=["clerk"]))
 
-    def restarted(self, now, accepted=0, **fields):
+    def report_restart(self, now, accepted=0, **fields):
         self.book.reported(now, report(accepted=accepted, started_ms=2, **fields))
 
     def test_the_expected_number_starts_anew(self):
         for accepted in (0, 4, 9):
             self.setUp()
             self.request_load("tutor")
-            self.give(0.0, OrderAnswer.UNANSWERED)
-            self.restarted(0.1, accepted)
+            self.send_next_order(0.0, OrderAnswer.UNANSWERED)
+            self.report_restart(0.1, accepted)
             self.assertIsNone(self.book.unconfirmed)
             self.request_load("poet", now=0.1)
             order = self.book.next_order(0.1)
@@ -176,15 +176,15 @@
 
     def test_a_load_of_the_start_before_is_over(self):
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.ACCEPTED)
-        self.restarted(0.1, accepted=9)
+        self.send_next_order(0.0, OrderAnswer.ACCEPTED)
+        self.report_restart(0.1, accepted=9)
         self.assertIsNone(self.book.state(0.1).loading)
         self.assertEqual(self.book.state(0.1).started_ms, 2)
 
     def test_a_report_of_the_start_before_changes_nothing(self):
-        self.restarted(0.1)
+        self.report_restart(0.1)
         self.request_load("tutor", now=0.1)
-        self.give(0.1, OrderAnswer.ACCEPTED)
+        self.send_next_order(0.1, OrderAnswer.ACCEPTED)
         self.book.reported(0.2, report(accepted=7, started_ms=1, holdings=["poet"]))
         self.assertEqual(self.book.report.started_ms, 2)
         self.assertEqual(self.book.state(0.2).loading.model, "tutor")
@@ -192,7 +192,7 @@
 
     def test_an_earlier_start_that_is_told_for_long_is_the_next_one(self):
         """The clock was set back between the two starts."""
-        self.restarted(0.1)
+        self.report_restart(0.1)
         self.book.reported(1.0, report(started_ms=1))
         self.assertEqual(self.book.report.started_ms, 2)
         self.book.reported(0.1 + TAKEOVER_SILENCE_S, report(started_ms=1))
@@ -200,19 +200,19 @@
 
     def test_calls_on_the_start_before_hold_no_model(self):
         self.book.entry_reported(0.0, "e1", {}, {"clerk": 3})
-        self.restarted(0.1)
+        self.report_restart(0.1)
         self.assertEqual(self.book.state(0.1).in_use, {})
 
-    def lost_load(self, accepted):
+    def send_unanswered_load(self, accepted):
         """An unanswered load of the tutor, to the start before, as its last order."""
         self.book.reported(0.0, report(accepted=accepted, started_ms=1))
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.UNANSWERED)
+        self.send_next_order(0.0, OrderAnswer.UNANSWERED)
 
     def test_nothing_is_ordered_that_leaves_no_room_for_a_late_order(self):
         """The late order takes effect once the number is the one that it names."""
-        self.lost_load(accepted=1)
-        self.restarted(1.0, holdings=["poet"])
+        self.send_unanswered_load(accepted=1)
+        self.report_restart(1.0, holdings=["poet"])
         self.request_load("clerk", now=1.0)
         self.request_load("tutor", now=1.0, urgency=5)
         # Poet and clerk leave 20 MB, of the 40 MB that the tutor takes.
@@ -220,8 +220,8 @@
         self.assertEqual((order.kind, order.model), (OrderKind.LOAD, "tutor"))
 
     def test_a_late_order_is_waited_for_no_longer_than_it_can_take(self):
-        self.lost_load(accepted=1)
-        self.restarted(1.0, holdings=["poet"])
+        self.send_unanswered_load(accepted=1)
+        self.report_restart(1.0, holdings=["poet"])
         self.request_load("clerk", now=1.0)
         self.assertIsNone(self.book.next_order(1.0))
         now = 1.0 + MAX_ORDER_DELAY_S
@@ -229,17 +229,17 @@
         self.assertEqual(self.book.next_order(now).model, "clerk")
 
     def test_a_late_order_counts_though_a_copy_of_it_was_answered(self):
-        self.lost_load(accepted=1)
+        self.send_unanswered_load(accepted=1)
         self.book.reported(0.05, report(accepted=1, started_ms=1))
-        self.give(0.05, OrderAnswer.ACCEPTED)
-        self.restarted(1.0, holdings=["poet"])
+        self.send_next_order(0.05, OrderAnswer.ACCEPTED)
+        self.report_restart(1.0, holdings=["poet"])
         self.request_load("clerk", now=1.0)
         self.assertIsNone(self.book.next_order(1.0))
 
     def test_a_late_order_whose_number_is_past_costs_no_room(self):
-        self.lost_load(accepted=1)
+        self.send_unanswered_load(accepted=1)
         for accepted in (1, 2):
-            self.restarted(0.1 + accepted, accepted, holdings=["poet"])
+            self.report_restart(0.1 + accepted, accepted, holdings=["poet"])
             self.request_load("clerk", now=0.1 + accepted)
             order = self.book.next_order(0.1 + accepted)
             self.assertEqual(order.model, "clerk")
@@ -250,7 +250,7 @@
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
         self.book.entry_reported(0.0, "e1", {"tutor": Demand(5.0)}, {})
         self.request_load("clerk")
-        order = self.give(0.0, OrderAnswer.ACCEPTED)
+        order = self.send_next_order(0.0, OrderAnswer.ACCEPTED)
         self.assertEqual((order.kind, order.model), (OrderKind.UNLOAD, "poet"))
         self.book.reported(0.2, report(accepted=1, holdings=["tutor"]))
         order = self.book.next_order(0.2)
@@ -264,7 +264,7 @@
         """
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
         self.request_load("clerk")
-        self.give(0.0, OrderAnswer.ACCEPTED)
+        self.send_next_order(0.0, OrderAnswer.ACCEPTED)
         loading = self.book.state(0.1).loading
         self.assertEqual(loading.model, "clerk")
         self.assertTrue(loading.from_store)
@@ -273,13 +273,13 @@
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
         self.book.entry_reported(0.0, "e1", {"tutor": Demand(5.0)}, {})
         self.request_load("clerk")
-        self.give(0.0, OrderAnswer.ACCEPTED)
+        self.send_next_order(0.0, OrderAnswer.ACCEPTED)
         self.assertNotIn("poet", self.book.state(0.0).holdings)
 
     def test_a_model_just_loaded_keeps_its_turn(self):
         self.book.reported(0.0, report(holdings=["poet"]))
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.ACCEPTED)
+        self.send_next_order(0.0, OrderAnswer.ACCEPTED)
         self.book.reported(6.0, report(accepted=1, holdings=["poet", "tutor"]))
         self.book.entry_reported(6.0, "e1", {"poet": Demand(50.0)}, {})
         self.request_load("clerk", now=6.0)
@@ -311,7 +311,7 @@
         self.assertIsNone(self.book.next_order(1.0))
 
 
-class TestLoadsThatTakeLong(Case):
+class TestLongLoads(Case):
     def test_a_model_stays_for_the_callers_refused_during_its_load(self):
         """It was unloaded 0.6 s after it had come, before they were back."""
         engine = samples.engine(
@@ -322,7 +322,7 @@
         on_disk = frozenset({"poet"})
         self.book.reported(0.0, report(on_disk=on_disk))
         self.request_load("tutor")
-        self.give(0.0, OrderAnswer.ACCEPTED)
+        self.send_next_order(0.0, OrderAnswer.ACCEPTED)
         held = report(1, ["tutor"], on_disk=on_disk)
         self.book.reported(13.0, held)
         self.request_load("poet", now=15.0)
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -18,7 +18,7 @@
     return samples.registration(service="llm", started_ms=started_ms, **fields)
 
 
-def told(started_ms, holdings=(), **fields):
+def reported_state(started_ms, holdings=(), **fields):
     return samples.engine_state("b1", holdings, started_ms=started_ms, **fields)
 
 
@@ -26,7 +26,7 @@
     def setUp(self):
         self.fleet = Fleet()
         self.fleet.registry_changed(0.0, registration(FIRST_MS))
-        self.fleet.engine_reported(0.0, told(FIRST_MS, ["tutor"]))
+        self.fleet.engine_reported(0.0, reported_state(FIRST_MS, ["tutor"]))
         self.first = self.fleet.get("b1")
 
     def restart(self, now=1.0, **fields):
@@ -36,7 +36,7 @@
         return self.fleet.get("b1")
 
 
-class TestWhatWasKnownOfTheStartBefore(Case):
+class TestStateOfPreviousStart(Case):
     """Symptom: calls for a model go to a backend server that doesn't hold it, and
     nobody loads the model elsewhere.
 
@@ -54,7 +54,7 @@
         self.first.mark_unreachable(1.0)
         second = self.restart(holdings={"poet": frozenset()})
         self.assertTrue(second.serves(1.0, "poet"))
-        self.fleet.engine_reported(1.0, told(SECOND_MS, silent=True))
+        self.fleet.engine_reported(1.0, reported_state(SECOND_MS, silent=True))
         self.assertFalse(second.lost(1.0))
 
     def test_that_it_was_leaving_does_not_hold_for_the_second_start(self):
@@ -70,7 +70,7 @@
         self.assertEqual(self.first.incarnation.started_ms, FIRST_MS)
 
 
-class TestCallsOnTheStartBefore(Case):
+class TestCallsOnPreviousStart(Case):
     """Symptom: a backend server gets more calls at a time than it takes.
 
     Calls ran there as it crashed. They end when their connections are found broken,
@@ -92,7 +92,7 @@
         self.assertTrue(self.first.lost(0.5))
 
 
-class TestTheAgentKnowsFirst(Case):
+class TestAgentReportsRestartFirst(Case):
     """Symptom: for seconds after a crash, entries plan on copies that are gone.
 
     The agent reads the new start from the engine itself, while the registry still
@@ -103,7 +103,7 @@
         super().setUp()
         leaving = registration(FIRST_MS, leaving=True, revision=2)
         self.fleet.registry_changed(0.5, leaving)
-        self.fleet.engine_reported(1.0, told(SECOND_MS, ["poet"]))
+        self.fleet.engine_reported(1.0, reported_state(SECOND_MS, ["poet"]))
         self.second = self.fleet.get("b1")
 
     def test_its_word_begins_the_second_start(self):
@@ -121,7 +121,7 @@
         self.assertEqual(self.fleet.sweep(2.0 + EXPIRY_GRACE_S), ["b1"])
 
 
-class TestLateWordOfTheStartBefore(Case):
+class TestLateUpdatesOfPreviousStart(Case):
     """Symptom: what a backend server held before its crash counts as held again.
 
     A slow watch, a stale read or a peer tells of the start before after the second one
@@ -140,7 +140,9 @@
 
     def test_of_its_agent(self):
         second = self.restart()
-        self.assertFalse(self.fleet.engine_reported(2.0, told(FIRST_MS, ["tutor"])))
+        self.assertFalse(
+            self.fleet.engine_reported(2.0, reported_state(FIRST_MS, ["tutor"]))
+        )
         self.assertEqual(second.holdings, {})
         self.assertFalse(second.agent_responsive(2.0))
 
@@ -163,14 +165,16 @@
         self.assertTrue(self.first.replaced)
 
     def test_its_agents_word_does_too(self):
-        self.assertFalse(self.fleet.engine_reported(1.0, told(self.BACK_MS)))
+        self.assertFalse(self.fleet.engine_reported(1.0, reported_state(self.BACK_MS)))
         self.assertTrue(
-            self.fleet.engine_reported(TAKEOVER_SILENCE_S, told(self.BACK_MS))
+            self.fleet.engine_reported(TAKEOVER_SILENCE_S, reported_state(self.BACK_MS))
         )
         self.assertEqual(self.fleet.get("b1").incarnation.started_ms, self.BACK_MS)
 
     def test_word_of_the_start_that_lives_renews_its_time(self):
-        self.fleet.engine_reported(TAKEOVER_SILENCE_S - 1, told(FIRST_MS, ["tutor"]))
+        self.fleet.engine_reported(
+            TAKEOVER_SILENCE_S - 1, reported_state(FIRST_MS, ["tutor"])
+        )
         back = registration(self.BACK_MS, revision=5)
         self.assertFalse(self.fleet.registry_changed(TAKEOVER_SILENCE_S, back))
 
@@ -191,7 +195,7 @@
         self.assertEqual(sorted(names), ["b1", "b2"])
 
 
-class TestStoreSpeed(Case):
+class TestStoreConcurrency(Case):
     """Symptom: the weight store is taken to serve more loads than it does.
 
     A load from the store counted as ended when its engine crashed and was listed anew.
@@ -209,7 +213,7 @@
             self.fleet.engine_reported(now, other)
             # Begun a second later, it ends by the crash after its stated time.
             own = loading if step >= 20 else None
-            self.fleet.engine_reported(now, told(FIRST_MS, loading=own))
+            self.fleet.engine_reported(now, reported_state(FIRST_MS, loading=own))
             speed.observe(now, list(self.fleet), spec)
         second = self.restart(now=7.0)
         speed.observe(7.0, list(self.fleet), spec)
@@ -217,7 +221,7 @@
         self.assertEqual(speed.left_s(7.0, second.incarnation, loading), 5.0)
 
 
-class TestWhoseReport(unittest.TestCase):
+class TestReportIdentity(unittest.TestCase):
     """Symptom: entries take what an engine held before its crash for what it holds.
 
     A report doesn't name the engine. Named by the registry alone, a report of the next
@@ -248,10 +252,10 @@
         )
 
 
-class TestTheStream(unittest.TestCase):
+class TestEngineMessages(unittest.TestCase):
     def test_the_start_travels_with_the_figures(self):
         for started_ms in (FIRST_MS, None):
-            message = message_codec.engine_message(told(started_ms))
+            message = message_codec.engine_message(reported_state(started_ms))
             self.assertEqual(message_codec.engine_state(message).started_ms, started_ms)
 
     def test_copies_of_the_start_before_are_not_carried_over(self):
@@ -260,8 +264,8 @@
         A message leaves out the copies if they are as the one before told them. The
         one before may have told of the start before.
         """
-        before = told(FIRST_MS, in_memory=frozenset({"tutor"}))
-        message = message_codec.engine_message(told(SECOND_MS))
+        before = reported_state(FIRST_MS, in_memory=frozenset({"tutor"}))
+        message = message_codec.engine_message(reported_state(SECOND_MS))
         message.same_copies = True
         self.assertEqual(
             message_codec.engine_state(message, before).in_memory, frozenset()
--- a/tests/gateway/failures/test_standstills.py
+++ b/tests/gateway/failures/test_stalls.py
@@ -74,7 +74,7 @@
     prefixes = ()
 
 
-class TestStreamsOfOneThatStoodStill(unittest.IsolatedAsyncioTestCase):
+class TestStreamsAfterStall(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         loop = asyncio.get_running_loop()
         self.events, self.channels = Events(), Channels()
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -14,11 +14,11 @@
 from bambootiller_core.gateway.model_demand import Demand
 from bambootiller_core.gateway.residency import PlannedLoad, Planner
 from tests.gateway.common import samples
-from tests.gateway.common.rare_replay import RareReplay
+from tests.gateway.common.refusal_replay import RefusalReplay
 
 #: A load from the store begins so long after the one before has ended: what makes way
 #: ends its runs first. Seconds.
-MOST_IDLE_S = 2.0
+MAX_STORE_IDLE_S = 2.0
 
 
 class TestStoreForModelsWithAdapters(unittest.TestCase):
@@ -28,14 +28,16 @@
     def replay(self, seed, seconds=60.0):
         rates = {f"m{number}": 0.5 for number in range(36)}
         copied = list(rates)[:24]
-        replay = RareReplay(seed, 8, rates, copied, adapters=2)
+        replay = RefusalReplay(seed, 8, rates, copied, adapters=2)
         replay.run(seconds)
         return replay
 
     def test_the_store_is_not_idle_while_somebody_waits_for_it(self):
         for seed in range(5):
             with self.subTest(seed=seed):
-                self.assertLessEqual(self.replay(seed).longest_idle_s(), MOST_IDLE_S)
+                self.assertLessEqual(
+                    self.replay(seed).longest_store_idle_s(), MAX_STORE_IDLE_S
+                )
 
     def test_everybody_is_served_that_the_store_can_serve(self):
         for seed in range(5):
@@ -43,7 +45,7 @@
                 self.assertEqual(self.replay(seed).starved(), [])
 
 
-class TestOrderOfTheStore(unittest.TestCase):
+class TestOrderOfStoreLoads(unittest.TestCase):
     """A model whose callers were all refused was passed over by each busier one that
     lost its copies later."""
 
@@ -54,7 +56,7 @@
         losses += [(0.0, model) for model in later[1:4]]
         for seed in range(5):
             with self.subTest(seed=seed):
-                replay = RareReplay(seed, 6, rates, copied=later)
+                replay = RefusalReplay(seed, 6, rates, copied=later)
                 replay.run(40.0, losses)
                 self.assertEqual(replay.starved(), [])
 
@@ -69,7 +71,7 @@
             rates = {**dict.fromkeys(busy, rate), "rare": 0.3}
             for seed in range(3):
                 with self.subTest(rate=rate, seed=seed):
-                    replay = RareReplay(seed, 2, rates, [*busy, "rare"])
+                    replay = RefusalReplay(seed, 2, rates, [*busy, "rare"])
                     replay.run(60.0)
                     self.assertEqual(replay.starved(), [])
 
@@ -88,7 +90,7 @@
         self.assertEqual(next(iter(plan)), "refused")
 
 
-class TestAdaptersOfAModelThatHasJustCome(unittest.TestCase):
+class TestAdaptersOfNewlyLoadedModel(unittest.TestCase):
     """Its one engine took a load of 13 s: no call had missed an adapter yet."""
 
     def test_a_long_load_goes_elsewhere(self):
@@ -112,20 +114,20 @@
     async def test_the_adapter_is_loaded_when_it_ends(self):
         loading = Loading("poet", 60.0, True)
         holder = samples.engine_backend(5.0, "b1", ["tutor"], loading=loading)
-        due = AdapterPrefetch()
+        prefetch = AdapterPrefetch()
         context = mock.Mock()
         context.clock.return_value = 5.0
         context.gateway_state.fleet.of_service.return_value = [holder]
-        context.engines.plans.adapter_prefetch.return_value = due
+        context.engines.plans.adapter_prefetch.return_value = prefetch
         call = samples.call(now=5.0, ask=samples.ask("tutor", "x1"), service="llm")
         refusal = await Placement(context, call, Progress()).place()
         self.assertIsInstance(refusal, Refusal)
         free = samples.engine_backend(6.0, "b1", ["tutor"])
-        (load_request,) = due.load_requests(6.0, free, [free])
+        (load_request,) = prefetch.load_requests(6.0, free, [free])
         self.assertEqual((load_request.model, load_request.adapter), ("tutor", "x1"))
 
 
-class TestWhatRefusedCallersAreTold(unittest.IsolatedAsyncioTestCase):
+class TestRetryDelayOfRefusedCallers(unittest.IsolatedAsyncioTestCase):
     """They were told 6 s where the plan said 26, and came back for nothing."""
 
     async def told(self, planned):
@@ -151,17 +153,17 @@
         self.assertEqual(await self.told(None), UNPLANNED_RETRY_S)
 
 
-class TestAdaptersOfCallersDueBack(unittest.TestCase):
+class TestAdaptersOfReturningCallers(unittest.TestCase):
     """Callers came back to their model and were refused for want of their adapter, as
     the model's engine was in another long load by then."""
 
     def setUp(self):
-        self.due = AdapterPrefetch()
-        self.due.refused(1.0, ModelRequest("tutor", "physics"), come_back_s=6.0)
+        self.prefetch = AdapterPrefetch()
+        self.prefetch.refused(1.0, ModelRequest("tutor", "physics"), come_back_s=6.0)
 
     def requested(self, now, *states):
         backends = [samples.backend(state.instance, now, state) for state in states]
-        load_requests = self.due.load_requests(now, backends[-1], backends)
+        load_requests = self.prefetch.load_requests(now, backends[-1], backends)
         return [
             (load_request.model, load_request.adapter) for load_request in load_requests
         ]
--- a/tests/gateway/failures/test_store_turns_taken.py
+++ b/tests/gateway/failures/test_store_load_requests.py
@@ -17,12 +17,17 @@
 )
 from bambootiller_core.gateway.store_queue import StartReason
 from tests.gateway.common import samples
-from tests.gateway.cover.test_engine_plans import ENTRIES, SERVICE, App, FakeKnowledge
+from tests.gateway.cover.test_engine_plans import (
+    ENTRIES,
+    SERVICE,
+    App,
+    FakeGatewayState,
+)
 
 MODELS = ("m1", "m2", "m3", "m4")
 
 
-class KnownStore(FakeKnowledge):
+class GatewayStateWithStore(FakeGatewayState):
     """Engines without any copy, and a weight store that is slow enough to be taken to
     serve one load at a time."""
 
@@ -39,13 +44,13 @@
             self.fleet.engine_reported(app.at, samples.engine_state(instance))
 
 
-class TestOneTurn(unittest.TestCase):
+class TestOneFreeStoreSlot(unittest.TestCase):
     """Two loads began within 40 ms, at two engines: each entry gave the turn that had
     come free to the first of the models that it sees to."""
 
     def entry(self, instance, demands):
         app = App(instance)
-        known = KnownStore(app)
+        known = GatewayStateWithStore(app)
         requested = []
 
         def load_request(backend, load_request):
@@ -96,7 +101,7 @@
             self.assertEqual(set(requested), asked)
 
 
-class TestLoadsThatDoNotBegin(unittest.TestCase):
+class TestLoadsThatDoNotStart(unittest.TestCase):
     """Symptom: no model without a copy is loaded for the rest of the day.
 
     The load of the first in the queue didn't begin, and each plan asked for it again.
@@ -104,7 +109,7 @@
 
     def plans(self, admits):
         app = App(ENTRIES[0])
-        known, requested = KnownStore(app), []
+        known, requested = GatewayStateWithStore(app), []
         plans = EnginePlans(
             app,
             known,
@@ -129,13 +134,15 @@
         self.assertEqual(set(self.plans(admits=lambda model: True)), {"m1", "m2"})
 
 
-class TestAsks(unittest.TestCase):
+class TestStoreLoadRequests(unittest.TestCase):
     def setUp(self):
-        self.asks = StoreLoadRequests()
+        self.load_requests = StoreLoadRequests()
 
-    def choose(self, now, *models, told=()):
+    def choose(self, now, *models, reported=()):
         planned = [PlannedLoad(model, "b1", 6.0, True, True) for model in models]
-        chosen = self.asks.choose(now, planned, lambda load: load.model in told)
+        chosen = self.load_requests.choose(
+            now, planned, lambda load: load.model in reported
+        )
         return [load.model for load in chosen]
 
     def test_what_was_asked_for_takes_a_turn(self):
@@ -145,27 +152,27 @@
 
     def test_one_that_its_agent_tells_of_takes_none_any_more(self):
         self.choose(1.0, "m1")
-        self.assertEqual(self.choose(1.1, "m2", told={"m1"}), ["m2"])
+        self.assertEqual(self.choose(1.1, "m2", reported={"m1"}), ["m2"])
 
     def test_one_that_its_agent_does_not_begin_is_given_up(self):
         self.choose(1.0, "m1")
         self.assertEqual(self.choose(1.1 + REPORT_TIMEOUT_S, "m2"), ["m2"])
 
 
-class TestTrialAtAnEngineThatIsDropped(unittest.TestCase):
+class TestProbeAtRemovedEngine(unittest.TestCase):
     """One load more was tried again and again after the registry had dropped the engine
     of the first trial before its load was seen; a second one began beside it."""
 
     def setUp(self):
-        self.asks = StoreLoadRequests()
+        self.load_requests = StoreLoadRequests()
         self.listed = {"b1", "b2"}
 
-    def choose(self, now, model, instance, told=()):
+    def choose(self, now, model, instance, reported=()):
         load = PlannedLoad(model, instance, 6.0, True, True, StartReason.PROBE)
-        chosen = self.asks.choose(
+        chosen = self.load_requests.choose(
             now,
             [load],
-            lambda load: load.model in told,
+            lambda load: load.model in reported,
             lambda load: load.instance in self.listed,
         )
         return [load.model for load in chosen]
@@ -174,19 +181,19 @@
         self.assertEqual(self.choose(1.0, "m1", "b1"), ["m1"])
         self.listed.remove("b1")
         self.assertEqual(self.choose(1.1, "m2", "b2"), [])
-        self.assertFalse(self.asks.may_probe(1.1))
-        self.assertTrue(self.asks.may_probe(1.1 + PROBE_RETRY_S))
+        self.assertFalse(self.load_requests.may_probe(1.1))
+        self.assertTrue(self.load_requests.may_probe(1.1 + PROBE_RETRY_S))
 
     def test_nor_if_its_agent_had_told_of_it(self):
         self.choose(1.0, "m1", "b1")
-        self.choose(1.1, "m1", "b1", told={"m1"})
+        self.choose(1.1, "m1", "b1", reported={"m1"})
         self.listed.remove("b1")
         self.assertEqual(self.choose(1.2, "m2", "b2"), [])
 
     def test_one_that_has_ended_holds_nothing_back(self):
         self.choose(1.0, "m1", "b1")
-        self.choose(1.1, "m1", "b1", told={"m1"})
+        self.choose(1.1, "m1", "b1", reported={"m1"})
         self.choose(7.0, "m2", "b2")
         self.listed.remove("b1")
         self.choose(8.0, "m2", "b2")
-        self.assertTrue(self.asks.may_probe(8.0))
+        self.assertTrue(self.load_requests.may_probe(8.0))
--- a/tests/gateway/failures/test_store_loads.py
+++ b/tests/gateway/failures/test_store_loads.py
@@ -18,33 +18,33 @@
 
 
 @dataclass
-class StoreLoad:
+class SimulatedLoad:
     """A load under way; the store's speed is settled as it begins."""
 
     model: str
     ends_at: float
-    stretch: float
+    slowdown: float
 
 
-class CrowdedStore:
+class SimulatedStore:
     """A weight store that serves so many loads at full speed, and what a plan for it
     has engines begin."""
 
-    def __init__(self, full, models, waiting):
-        self.full = full
+    def __init__(self, full_speed_loads, models, waiting):
+        self.full_speed_loads = full_speed_loads
         specs = [samples.model(f"m{number}", load_s=LOAD_S) for number in range(models)]
         self.spec = samples.engine(*specs)
         self.demands = {name: Demand(1.5, waiting) for name in self.spec.models}
         self.under_way = {}
-        self.begun = []
+        self.started_loads = []
 
-    def begin(self, now, instance, model):
-        stretch = max(1.0, (len(self.under_way) + 1) / self.full)
-        load = StoreLoad(model, now + LOAD_S * stretch, stretch)
+    def start_load(self, now, instance, model):
+        slowdown = max(1.0, (len(self.under_way) + 1) / self.full_speed_loads)
+        load = SimulatedLoad(model, now + LOAD_S * slowdown, slowdown)
         self.under_way[instance] = load
-        self.begun.append(load)
+        self.started_loads.append(load)
 
-    def lose(self, instance):
+    def lose_engine(self, instance):
         """The engine crashes or leaves, and its load is over."""
         del self.under_way[instance]
 
@@ -58,14 +58,16 @@
                 del self.under_way[instance]
                 del self.demands[load.model]
         planner = Planner(
-            self.spec, self.full, lambda backend: backend.engine.loading.left_s
+            self.spec,
+            self.full_speed_loads,
+            lambda backend: backend.engine.loading.left_s,
         )
         plan = planner.plan(
             now, [self._backend(now, n) for n in range(ENGINES)], self.demands
         )
         for load in plan.values():
             if load.request_now and load.instance not in self.under_way:
-                self.begin(now, load.instance, load.model)
+                self.start_load(now, load.instance, load.model)
 
     def _backend(self, now, number):
         instance = f"b{number}"
@@ -77,7 +79,7 @@
         return samples.backend(instance, now, state, service="llm")
 
 
-class TestEnginesTakenOutByTheStore(unittest.TestCase):
+class TestOverloadedStore(unittest.TestCase):
     """Symptom: models with a copy are refused, as their engines wait for the store.
 
     An engine was lost in the middle of a load from the weight store. What the store had
@@ -86,14 +88,14 @@
     """
 
     def test_no_load_begins_that_the_store_can_only_serve_much_later(self):
-        for full in (1, 2, 4):
-            with self.subTest(full=full):
-                store = CrowdedStore(full, models=10, waiting=8)
-                for number in range(full + 1):
-                    store.begin(0.0, f"b{number}", f"m{number}")
-                store.lose("b0")
-                store.begun.clear()
+        for full_speed_loads in (1, 2, 4):
+            with self.subTest(full_speed_loads=full_speed_loads):
+                store = SimulatedStore(full_speed_loads, models=10, waiting=8)
+                for number in range(full_speed_loads + 1):
+                    store.start_load(0.0, f"b{number}", f"m{number}")
+                store.lose_engine("b0")
+                store.started_loads.clear()
                 store.run()
-                self.assertTrue(store.begun)
-                slowest = max(load.stretch for load in store.begun)
+                self.assertTrue(store.started_loads)
+                slowest = max(load.slowdown for load in store.started_loads)
                 self.assertLessEqual(slowest, MAX_SLOWDOWN)
--- a/tests/gateway/randomised/test_orders.py
+++ b/tests/gateway/randomised/test_orders.py
@@ -28,13 +28,13 @@
         self.rng = rng
         self.start = 0
         self.restart()
-        self.late = []
+        self.late_orders = []
 
     def restart(self):
         self.start += 1
         self.held = {}
         self.accepted = 0
-        self.doing = None
+        self.current_order = None
 
     def new_agent(self):
         pass
@@ -46,39 +46,46 @@
     def used(self):
         total = sum(MODELS[name] for name in self.held)
         total += ADAPTER_MB * sum(len(found) for found in self.held.values())
-        if self.doing is not None and self.doing[1].kind is OrderKind.LOAD:
-            total += MODELS[self.doing[1].model]
+        if (
+            self.current_order is not None
+            and self.current_order[1].kind is OrderKind.LOAD
+        ):
+            total += MODELS[self.current_order[1].model]
         return total
 
     def report(self, now):
         self.settle(now)
         held = {name: frozenset(found) for name, found in self.held.items()}
-        return EngineReport(self.instance, held, self.accepted, self.doing is not None)
+        return EngineReport(
+            self.instance, held, self.accepted, self.current_order is not None
+        )
 
     def settle(self, now):
-        for at, instance, order in [item for item in self.late if item[0] <= now]:
-            self.late.remove((at, instance, order))
-            self.carry_out(now, instance, order)
-        if self.doing is not None and self.doing[0] <= now:
-            order = self.doing[1]
+        for at, instance, order in [
+            item for item in self.late_orders if item[0] <= now
+        ]:
+            self.late_orders.remove((at, instance, order))
+            self.execute(now, instance, order)
+        if self.current_order is not None and self.current_order[0] <= now:
+            order = self.current_order[1]
             if order.kind is OrderKind.LOAD:
                 self.held[order.model] = set()
             else:
                 self.held.pop(order.model, None)
-            self.doing = None
+            self.current_order = None
 
     def order(self, now, instance, order):
         draw = self.rng.random()
         if draw < 0.2:
-            self.late.append((now + self.rng.uniform(0.1, 9), instance, order))
+            self.late_orders.append((now + self.rng.uniform(0.1, 9), instance, order))
             return OrderAnswer.UNANSWERED
-        answer = self.carry_out(now, instance, order)
+        answer = self.execute(now, instance, order)
         return OrderAnswer.UNANSWERED if draw < 0.3 else answer
 
-    def carry_out(self, now, instance, order):
+    def execute(self, now, instance, order):
         if instance != self.instance:
             return OrderAnswer.OTHER_INSTANCE
-        if self.doing is not None or order.expected != self.accepted:
+        if self.current_order is not None or order.expected != self.accepted:
             return OrderAnswer.CONFLICT
         self.accepted += 1
         if order.adapter:
@@ -87,14 +94,14 @@
             change(order.adapter)
         else:
             seconds = LOAD_S if order.kind is OrderKind.LOAD else 0.1
-            self.doing = (now + seconds, order)
+            self.current_order = (now + seconds, order)
         slots = sum(len(found) for found in self.held.values())
         if self.used() > MEMORY_MB or slots > ADAPTER_SLOTS:
             raise AssertionError(f"crashed by {order}: {self.used()} MB, {slots} slots")
         return OrderAnswer.ACCEPTED
 
 
-class RenewedEngine(FakeEngine):
+class SameNameEngine(FakeEngine):
     """Starts again under its name, so that late orders to the start before reach it.
 
     It knows the highest fencing token since its start, as each new agent has a higher
@@ -117,7 +124,7 @@
     def order(self, now, instance, order):
         return super().order(now, self.token, order)
 
-    def carry_out(self, now, instance, order):
+    def execute(self, now, instance, order):
         token = instance
         if token < self.fence:
             return OrderAnswer.FENCED
@@ -126,13 +133,13 @@
             if order.model in self.held and order.expected == self.accepted:
                 # Only a late order asks for what it holds; that takes no more memory.
                 return OrderAnswer.HOLDS
-        return super().carry_out(now, self.instance, order)
+        return super().execute(now, self.instance, order)
 
     def new_agent(self):
         self.token += 1
 
 
-def play(seed, steps, kind=FakeEngine, restarts=0.01):
+def simulate(seed, steps, kind=FakeEngine, restarts=0.01):
     rng = random.Random(seed)
     models = [
         samples.model(name, size, adapters=4, adapter_mb=ADAPTER_MB)
@@ -171,7 +178,7 @@
     def test_the_engine_is_never_ordered_beyond_its_memory(self):
         for seed in range(profiles.scale(60, 4000)):
             with self.subTest(seed=seed):
-                loads = play(seed, 300)
+                loads = simulate(seed, 300)
                 counting.add("gateway orders", 300)
                 self.assertGreater(loads, 5)
 
@@ -181,11 +188,11 @@
         before an agent that was started anew meanwhile has given its first order. Each
         names the count that the third start has at that moment, and nobody who knows
         of both is left."""
-        play(7075, 300, RenewedEngine, restarts=0.05)
+        simulate(7075, 300, SameNameEngine, restarts=0.05)
 
     def test_nor_where_it_starts_again_under_its_name(self):
         for seed in range(profiles.scale(100, 4000)):
             with self.subTest(seed=seed):
-                loads = play(seed, 300, RenewedEngine, restarts=0.05)
+                loads = simulate(seed, 300, SameNameEngine, restarts=0.05)
                 counting.add("gateway orders", 300)
                 self.assertGreater(loads, 5)
--- a/tests/gateway/randomised/test_quotas.py
+++ b/tests/gateway/randomised/test_quotas.py
@@ -21,10 +21,10 @@
 from bambootiller_standins.quotaforms._world import Network, World
 
 QUOTA = Quota(1000.0, 1000.0, QuotaUnit.TOKEN)
-TERMS = QuotaTolerance(window_s=8.0, overage=0.1, slack=1000.0)
-LIMIT = Limit.of(QUOTA, TERMS)
+TOLERANCE = QuotaTolerance(window_s=8.0, overage=0.1, slack=1000.0)
+LIMIT = Limit.of(QUOTA, TOLERANCE)
 #: What may run in a window where no call runs twice.
-MOST = USABLE_FRACTION * TERMS.allowed(QUOTA)
+MAX_WINDOW_COST = USABLE_FRACTION * TOLERANCE.allowed(QUOTA)
 NAME = "c1"
 ENTRIES = 6
 END_S = 90.0
@@ -37,7 +37,7 @@
     def __init__(self, fleet, name, incarnation):
         self.fleet, self.name, self.incarnation = fleet, name, incarnation
         self.account = QuotaAccount()
-        self.number = self.term = self.heard = 0
+        self.number = self.term = self.last_answer = 0
         self.alive, self.frozen_until = True, 0.0
         self.waiting = []
 
@@ -62,7 +62,7 @@
             )
         else:
             self.account.settle(spent)
-            self.fleet.ran(cost)
+            self.fleet.record_run(cost)
         return True
 
     def refund(self, spent):
@@ -76,7 +76,7 @@
         self.number += 1
         asked = {NAME: self.account.ask(now, LIMIT, self.waiting)}
         ask = QuotaAsk(
-            self.name, self.incarnation, self.number, self.term, self.heard, asked
+            self.name, self.incarnation, self.number, self.term, self.last_answer, asked
         )
         for allocator in self.fleet.allocators:
             target = allocator.name
@@ -93,15 +93,15 @@
                 self.frozen_until, lambda: self.answered(answer, asked_at)
             )
             return
-        if answer.term == self.term and answer.number <= self.heard:
+        if answer.term == self.term and answer.number <= self.last_answer:
             return
-        self.term, self.heard = answer.term, answer.number
+        self.term, self.last_answer = answer.term, answer.number
         grant = answer.customers[NAME]
         self.account.granted(now, LIMIT, asked_at, grant.share, grant.advance)
         self.waiting = [cost for cost in self.waiting if not self.spend(cost)]
 
 
-class Holder:
+class LeaseHolder:
     """A process that allocates while its lease holds."""
 
     def __init__(self, fleet, term):
@@ -133,31 +133,31 @@
     def __init__(self, seed):
         rng = random.Random(seed)
         self.world = World(rng, Network(lost=0.1, doubled=0.1, late=0.1, late_s=8.0))
-        self.record, self.allocators, self.terms = {}, [], 0
+        self.record, self.allocators, self.last_term = {}, [], 0
         self.entries = [Entry(self, f"e{n}", "0") for n in range(ENTRIES)]
         self.windows, self.fullest, self.admitted = deque(), 0.0, 0
         self.factors = [rng.choice((0.2, 1.0, 3.0)) for _ in range(ENTRIES)]
         self.faults_per_s = rng.choice((0.05, 0.15, 0.4))
-        self.follow()
+        self.replace_allocator()
         self.renew()
         for number in range(ENTRIES):
             self.next_call(number)
             self.review(number)
         self.fault()
 
-    def ran(self, cost):
+    def record_run(self, cost):
         now = self.world.now
         self.admitted += 1
         self.windows.append((now, cost))
-        while self.windows[0][0] < now - TERMS.window_s:
+        while self.windows[0][0] < now - TOLERANCE.window_s:
             self.windows.popleft()
         self.fullest = max(self.fullest, sum(item[1] for item in self.windows))
 
-    def follow(self):
+    def replace_allocator(self):
         """The lease of the allocator before has ended."""
         self.is_changing = False
-        self.terms += 1
-        self.allocators = [*self.allocators[-1:], Holder(self, self.terms)]
+        self.last_term += 1
+        self.allocators = [*self.allocators[-1:], LeaseHolder(self, self.last_term)]
 
     def next_call(self, number):
         gap_s = self.world.rng.expovariate(3.0 * self.factors[number])
@@ -200,7 +200,7 @@
         """The lease of the present one is renewed no more."""
         if not self.is_changing:
             self.is_changing = True
-            self.world.at(self.allocators[-1].valid_until, self.follow)
+            self.world.at(self.allocators[-1].valid_until, self.replace_allocator)
 
     def restart(self, number):
         old = self.entries[number]
@@ -238,17 +238,17 @@
 
     def test_no_window_has_more_than_is_allowed(self):
         fullest, seed = fullest_window(self.SEEDS)
-        self.assertLessEqual(fullest, MOST, f"seed {seed}")
+        self.assertLessEqual(fullest, MAX_WINDOW_COST, f"seed {seed}")
         # The load presses against the limit, so that a leak would show.
-        plain = QUOTA.rate_per_s * TERMS.window_s
+        plain = QUOTA.rate_per_s * TOLERANCE.window_s
         self.assertGreater(fullest, 0.9 * plain, f"seed {seed}")
 
     def test_half_of_the_entries_cut_off_from_a_new_allocator(self):
-        self.assertLessEqual(self.fullest_split(), MOST)
+        self.assertLessEqual(self.fullest_split(), MAX_WINDOW_COST)
 
     def test_it_takes_the_record_of_entries_that_are_not_heard(self):
-        with mock.patch.object(Holder, "members", lambda self, record: {}):
-            self.assertGreater(self.fullest_split(), MOST)
+        with mock.patch.object(LeaseHolder, "members", lambda self, record: {}):
+            self.assertGreater(self.fullest_split(), MAX_WINDOW_COST)
 
     def fullest_split(self):
         fleet = SplitFleet(seed=3)
--- a/tests/gateway/randomised/test_replays.py
+++ b/tests/gateway/randomised/test_replays.py
@@ -19,7 +19,7 @@
     @classmethod
     def setUpClass(cls):
         cls.told = [Replay(seed).run() for seed in SEEDS]
-        cls.plain = [Replay(seed, tells_time_left=False).run() for seed in SEEDS]
+        cls.plain = [Replay(seed, reports_time_left=False).run() for seed in SEEDS]
 
     def message(self):
         rows = zip(SEEDS, self.told, self.plain, strict=True)
--- a/tests/gateway/randomised/test_named_limits.py
+++ b/tests/gateway/randomised/test_reported_limits.py
@@ -20,7 +20,7 @@
         self.next_call(number)
 
 
-class TestNamedLimitsHold(unittest.TestCase):
+class TestReportedLimitsHold(unittest.TestCase):
     """Divided beforehand, a limit of two calls a second among 24 entries is less than a
     call for each; each by itself, they sent ten times as many."""
 
@@ -29,7 +29,7 @@
         with (
             mock.patch.object(test_quotas, "LIMIT", limit),
             mock.patch.object(test_quotas, "ENTRIES", ENTRIES),
-            mock.patch.object(test_quotas, "TERMS", QuotaTolerance(WINDOW_S)),
+            mock.patch.object(test_quotas, "TOLERANCE", QuotaTolerance(WINDOW_S)),
         ):
             fleet = LimitedFleet(seed)
             fleet.world.run(END_S)
--- a/tests/gateway/randomised/test_budget.py
+++ b/tests/gateway/randomised/test_retry_budget.py
@@ -9,13 +9,13 @@
 RATIO, SLACK, WINDOW_S = 0.2, 54.0, 10.0
 
 
-def play(seed, entries):
+def simulate(seed, entries):
     """Times of calls and of second attempts, when every call wants one."""
     rng = random.Random(seed)
     budgets = [RetryBudget(RATIO, SLACK, WINDOW_S) for _ in range(entries)]
     for budget in budgets:
         budget.entries = entries
-    calls, spent, now = [], [], 0.0
+    calls, retries, now = [], [], 0.0
     for _ in range(3000):
         now += rng.expovariate(40.0 if int(now) // 7 % 2 else 8.0)
         budget = rng.choice(budgets[: rng.randint(1, entries)])
@@ -23,11 +23,11 @@
         calls.append(now)
         for _ in range(rng.randint(0, 2)):
             if budget.take(now):
-                spent.append(now)
-    return calls, spent
+                retries.append(now)
+    return calls, retries
 
 
-def within(times, begin, end):
+def count_within(times, begin, end):
     return sum(1 for at in times if begin < at <= end)
 
 
@@ -36,12 +36,12 @@
         for seed in range(profiles.scale(10, 300)):
             with self.subTest(seed=seed):
                 entries = 2 + seed % 7
-                calls, spent = play(seed, entries)
+                calls, retries = simulate(seed, entries)
                 counting.add("gateway budget", len(calls))
-                for at in spent:
+                for at in retries:
                     begin = at - WINDOW_S
-                    allowed = RATIO * within(calls, begin, at) + SLACK
-                    self.assertLessEqual(within(spent, begin, at), allowed)
+                    allowed = RATIO * count_within(calls, begin, at) + SLACK
+                    self.assertLessEqual(count_within(retries, begin, at), allowed)
 
     def test_some_second_attempts_are_allowed_at_once(self):
         budget = RetryBudget(RATIO, SLACK, WINDOW_S)
