--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -1,4 +1,4 @@
-"""The gateway's agent as a component of the application: orders for one engine."""
+"""The gateway's agent, the process beside one engine that sends it all its orders."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
 from bambootiller_core.gateway.store_permit_gate import StorePermitGate
 from bambootiller_core.ports import Committed, Compare, Found, Put
 
-#: How often the engine's report is read while nothing is going on, while an order is
-#: in progress, and after an order. Seconds.
+#: Interval between two reads of the engine's report while it is idle, while an order is
+#: in progress, and right after an order. Seconds.
 IDLE_POLL_S = 0.25
 BUSY_POLL_S = 0.05
 AFTER_ORDER_POLL_S = 0.002
-#: The pause before the store is asked again for a fencing token. Seconds.
+#: Interval between two attempts to obtain a fencing token. Seconds.
 TOKEN_RETRY_S = 0.5
-#: Where holders of fencing tokens are written.
+#: Prefix of the keys at which the holders of fencing tokens are recorded.
 HOLDERS_PREFIX = "bambootiller/holders/"
 
 
@@ -64,11 +64,14 @@
 
 
 class GatewayAgent:
-    """Stands beside one engine, and is the only one to give it orders.
+    """Runs beside one engine, and is the only process to send it orders.
 
     Example::
 
-        app.add(GatewayAgent(app, platform, engine, address, "tutor", events))
+        agent = GatewayAgent(
+            app, platform, engine, address, "tutor", events, meters
+        )
+        app.add(agent)
     """
 
     name = "gateway agent"
@@ -125,17 +128,18 @@
         )
         self._token: int | None = None
         self._silent_since: float | None = None
-        #: The load that the engine was last ordered, until that has ended.
+        #: The load that the engine was last ordered to do, until it has ended.
         self._loading: _ActiveLoad | None = None
         self._reported_at = 0.0
         self._add_gauges(meters)
         app.add_servicer(self._register)
 
     async def prepare(self) -> None:
-        """Nothing to take beforehand."""
+        """Does nothing: no resource has to be acquired before the start."""
 
     async def start(self) -> None:
-        """Follow the store, get a fencing token, and look after the engine."""
+        """Starts to watch the key-value service, to obtain a fencing token and to
+        manage the engine."""
         app = self._app
         self._stall_monitor.start()
         self._gateway_state.on_config(self._configured)
@@ -158,18 +162,20 @@
         self._events.emit(lines.Started("agent", app.settings.zone))
 
     async def drain(self, seconds: float) -> None:
-        """Nothing is under way here that a stop could cut."""
+        """Logs the stop; the agent has no work in progress that a stop could
+        interrupt."""
         self._events.emit(lines.Stopping("agent"))
 
     async def stop(self) -> None:
-        """Close the connections to the engine."""
+        """Releases the quota allocation and closes the connections to the engine."""
         await self._quotas.release()
         await self._engine.close()
         self._events.emit(lines.Stopped("agent"))
 
     def _has_no_live_entry(self) -> bool:
-        """Entries pass on all documents. While one is heard, the store is left alone:
-        each of its calls is paid for, and the registry changes many times a second."""
+        """Whether the key-value service has to be read. Entries forward all documents,
+        so as long as one is live the service is left alone: each call to it is paid
+        for, and the registry changes many times a second."""
         return not self._updates.has_live_entry()
 
     def _register(self, server: object) -> None:
@@ -187,7 +193,7 @@
         self._quotas.received(update, peer_stream)
 
     def _load_requested(self) -> None:
-        """An entry wants a load; see to it now."""
+        """Wakes the agent, as an entry has requested a load."""
         self._wake.set()
 
     def _add_gauges(self, meters: Meters) -> None:
@@ -207,7 +213,8 @@
     def _state_reader(
         self, read: Callable[[EngineState], float]
     ) -> Callable[[], float]:
-        """Reads a figure of the engine's state, 0 while there is none."""
+        """Returns a function that reads a figure of the engine's state, or 0 while
+        there is no state."""
 
         def current() -> float:
             book = self._book
@@ -230,10 +237,12 @@
         self._wake.set()
 
     async def _maintain_token(self) -> None:
-        """Hold a fencing token of the store's making.
+        """Obtains and keeps a fencing token, which is a revision of the key-value
+        service.
 
-        The store's revisions grow and are never given twice, so each start of an agent
-        has a token above all that an engine may have seen, whoever ordered it before.
+        Revisions grow and are never used twice, so the token of each start of an agent
+        is higher than any that the engine may have seen before, whichever agent sent
+        it.
         """
         key = HOLDERS_PREFIX + self._app.instance
         while True:
@@ -271,15 +280,17 @@
             self._wake.clear()
 
     async def _step(self) -> float:
-        """Read the report, send one order if there is one; returns the pause."""
+        """Reads the engine's report and sends at most one order; returns the delay
+        before the next step, in seconds."""
         if self._book is None:
             return IDLE_POLL_S
         began = self._stall_monitor.stall_check.now()
         report = await self._engine.report()
         if isinstance(report, ReportFailed):
             if self._stall_monitor.stall_check.was_stalled(began):
-                # Told to entries, one own standstill and one pause of a stream would
-                # have them take the engine for lost.
+                # The failure isn't reported to entries: one stall of this process
+                # together with one pause of a stream would make them consider the
+                # engine lost.
                 return BUSY_POLL_S
             if self._silent_since is None:
                 self._silent_since = self._app.now()
@@ -302,7 +313,7 @@
             self._events.emit(lines.DependencyRegained("engine", away_ms))
         is_busy, report = report.busy, self._identify(report)
         if report is None:
-            # Listed no more, it goes on with its load until it ends.
+            # An engine that isn't listed any more continues its load until that ends.
             self._permit_holder.release_if_unused(
                 self._reported_at, load_in_progress=is_busy
             )
@@ -320,8 +331,8 @@
         return AFTER_ORDER_POLL_S
 
     def _is_unlisted(self) -> bool:
-        """Whether the registry, as far as it is known here, lists the engine no
-        more."""
+        """Whether the registry, as far as this agent knows it, doesn't list the engine
+        any more."""
         fleet = self._gateway_state.fleet
         return (
             any(True for _ in fleet) and registration_at(fleet, self._address) is None
@@ -355,8 +366,8 @@
         self._events.emit(line)
 
     def _record_engine_lost(self, incarnation: Incarnation | None = None) -> None:
-        """The engine answers no more, or in another start; its load may have ended
-        it."""
+        """Records that the engine doesn't respond or has restarted, possibly crashed by
+        its load."""
         report = self._book.report
         if self._loading is None or report is None:
             return
@@ -417,7 +428,8 @@
         if report is None:
             return
         self._process_report(report)
-        # A late report of the start before isn't taken over, and settles nothing.
+        # A late report of the engine's previous start isn't applied, and doesn't settle
+        # the conflict.
         if self._book.report is report and report.accepted <= order.expected:
             self._book.conflict_confirmed(order)
 
--- a/packages/bambootiller/src/bambootiller/gateway/agent_updates.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent_updates.py
@@ -1,7 +1,8 @@
-"""What an agent tells the entries, and what they have told it.
+"""Messages of an agent to the entries, and what the entries have reported to it.
 
-Both sides keep what they were told on a stream until they are told otherwise there, so
-only changes travel. What holds is heard with every message, an empty one too.
+Both sides keep what was reported on a stream until it is replaced there, so only
+changes are sent. Any message, also an empty one, confirms that what was reported still
+holds.
 """
 
 from __future__ import annotations
@@ -24,22 +25,22 @@
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 from bambootiller_core.gateway.orders import OrderBook
 
-#: Entries heard within this time count. Seconds.
+#: An entry counts as live for this long after its last message. Seconds.
 ENTRY_TIMEOUT_S = 3.0
-#: Load figures go out no more often than makes so many messages a second to all entries
-#: together: telling 68 entries twice a second would take a tenth of a core.
+#: Maximum rate of messages with load figures to all entries together, per second:
+#: sending them to 68 entries twice a second would take a tenth of a core.
 FIGURES_PER_S = 80
-#: But no less often than this: a beat is due then anyway (``exchange.SERVER_HEARTBEAT_S``).
-#: Seconds.
+#: Maximum interval between messages with load figures: a heartbeat is due by then
+#: anyway (``exchange.SERVER_HEARTBEAT_S``). Seconds.
 MAX_FIGURES_INTERVAL_S = 0.7
-#: An entry that wished for a load is told of all changes at once for so long: it wishes
-#: anew several times a second while a call waits. Seconds.
+#: An entry that has requested a load is sent all changes at once for this long; it
+#: repeats the request several times a second while a call waits. Seconds.
 PROMPT_UPDATE_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class EntryReport:
-    """What an entry has said on its stream, until it says otherwise there."""
+    """What an entry has reported on its stream; holds until it is replaced there."""
 
     demands: Mapping[str, Demand]
     in_use: Mapping[str, int]
@@ -47,13 +48,13 @@
 
 
 class AgentUpdates:
-    """Fills the messages of one agent to all entries, and takes in theirs.
+    """Fills the messages of one agent to all entries, and handles theirs.
 
     Example::
 
-        words = AgentUpdates(exchanger, events, clock, wake)
-        words.begin(book)
-        words.tell()
+        updates = AgentUpdates(exchanger, events, clock, load_requested, quarantine)
+        updates.begin(book)
+        updates.send_changes()
     """
 
     def __init__(
@@ -78,23 +79,23 @@
         self._collecting_entries: set[str] = set()
         self._cached_report: Update | None = None
         self._sent_at = float("-inf")
-        #: Something has changed that not all entries were told at once.
+        #: Whether the last change was sent to some of the entries only.
         self._partially_sent = False
         self._load_requested_at: dict[str, float] = {}
 
     @property
     def entry_count(self) -> int:
-        """How many entries have been heard lately."""
+        """Number of live entries."""
         return len(self._entries)
 
     def has_live_entry(self) -> bool:
-        """Whether an entry has been heard lately."""
+        """Whether any entry is live."""
         now = self._clock()
         return any(now - at < ENTRY_TIMEOUT_S for at in self._entries.values())
 
     def begin(self, book: OrderBook) -> None:
-        """The engine's configuration is known. Entries that spoke before that don't
-        repeat it."""
+        """Sets the order book, once the engine's configuration is known. Entries that
+        have reported before don't repeat their reports, so these are applied now."""
         self._book = book
         now = self._clock()
         for peer_stream in self._exchanger.streams():
@@ -102,21 +103,23 @@
                 self._refresh_entry(peer_stream, is_new=True)
 
     def set_can_order(self, orders: bool) -> None:
-        """Whether there is a fencing token."""
+        """Sets whether the agent holds a fencing token, without which it can't
+        order."""
         self._can_order = orders
         self._send_new_report()
 
     def set_engine_responsive(self, answers: bool) -> None:
-        """Whether the engine answers the agent."""
+        """Sets whether the engine responds to the agent."""
         self._engine_silent = not answers
         self._send_new_report()
 
     def send_changes(self) -> None:
-        """Tell at once what entries decide on, and other figures after a while.
+        """Sends changes that entries decide on at once, and other figures with a delay.
 
-        What takes away from what the engine offers is told to all. What adds to it is
-        told at once to those who look for it: told to all as well, the loads of an
-        engine would be most of what a large fleet's processes read.
+        A change by which the engine offers less is sent to all entries. A change by
+        which it offers more is sent at once only to the entries that need it. Sent to
+        all, the loads of engines would be most of what the processes of a large fleet
+        read.
         """
         if self._book is None:
             return
@@ -142,8 +145,8 @@
     def _send_to_concerned(
         self, now: float, state: EngineState, added: Collection[str]
     ) -> None:
-        """Tell the entries that see to loads, those that wished for one lately, and
-        those whose callers ask for what is there now."""
+        """Sends the state to the entries that are responsible for loads, those that
+        requested one lately, and those with demand for the models in ``added``."""
         self._sent, self._cached_report = state, None
         self._partially_sent = True
         responsible = planners(tuple(sorted(self._entries)))
@@ -158,7 +161,7 @@
                 peer_stream.send_now()
 
     def fill(self, update: Update, peer_stream: PeerStream) -> None:
-        """Put into a message what its receiver hasn't been told yet."""
+        """Adds to a message what its receiver hasn't been sent yet."""
         self._quarantine.fill(update, peer_stream, own=False)
         report = self._report()
         if report is None:
@@ -170,7 +173,7 @@
         self._fill_total_demand(update, peer_stream, report)
 
     def received(self, update: Update, peer_stream: PeerStream) -> None:
-        """Take in an entry's message."""
+        """Handles a message of an entry."""
         self._quarantine.take(update, peer_stream)
         if update.begins:
             peer_stream.report = None
@@ -186,7 +189,7 @@
             return
         self._load_requested_at[peer_stream.peer] = self._clock()
         if peer_stream.last_sent.get("engine") is not self._report():
-            # It decides on what it was told before.
+            # The entry decided on an outdated state of the engine.
             peer_stream.send_now()
         for message in update.wishes:
             load_request = message_codec.load_request_of(message)
@@ -194,7 +197,7 @@
         self._load_requested()
 
     def _figures_interval_s(self) -> float:
-        """How long load figures wait for the next."""
+        """Minimum interval between two messages with load figures, in seconds."""
         return min(
             MAX_FIGURES_INTERVAL_S,
             max(UPDATE_INTERVAL_S, len(self._entries) / FIGURES_PER_S),
@@ -217,8 +220,8 @@
     def _fill_total_demand(
         self, update: Update, peer_stream: PeerStream, report: Update
     ) -> None:
-        """The demand of all, for an entry that has asked for it, and once nothing for
-        one that asks no more."""
+        """Adds the total demand for an entry that collects it, and an empty one once
+        when the entry has stopped collecting."""
         collected = None
         if peer_stream.peer in self._collecting_entries:
             collected = (report, tuple(sorted(self._entries)))
@@ -232,10 +235,10 @@
             update.total_demand.extend(report.total_demand)
 
     def _report(self) -> Update | None:
-        """What all entries are told, made once for all streams until it changes.
+        """The report to all entries, built once for all streams until it changes.
 
-        A change goes out on all of them in the same moment; made for each, it would
-        cost an agent more the more entries there are.
+        A change is sent on all streams at the same time. Built for each stream, the
+        report would cost an agent more the more entries there are.
         """
         if self._cached_report is not None:
             return self._cached_report
@@ -262,7 +265,7 @@
                 self._exchanger.send_later()
 
     def _refresh_entry(self, peer_stream: PeerStream, is_new: bool) -> None:
-        """What an entry said holds on, though it isn't said again."""
+        """Applies an entry's report, which stays valid although it isn't repeated."""
         entry_report, entry = peer_stream.report, peer_stream.peer
         if self._book is None or not isinstance(entry_report, EntryReport):
             return
@@ -287,8 +290,8 @@
 
 
 def _omit_known_copies(update: Update, peer_stream: PeerStream) -> None:
-    """Which copies an engine has changes once in seconds, and with many models is most
-    of the message."""
+    """Leaves out the list of copies if the peer has it. It changes only once in several
+    seconds, and is most of the message when there are many models."""
     engine = update.engine
     start = (engine.instance, engine.started_ms)
     copies = (start, tuple(engine.in_memory), tuple(engine.on_disk))
@@ -301,7 +304,8 @@
 
 
 def _differs(last_sent: EngineState, state: EngineState) -> bool:
-    """Whether entries would decide otherwise; load figures can wait."""
+    """Whether the change affects the decisions of entries; mere load figures can
+    wait."""
     return (
         last_sent.incarnation != state.incarnation
         or last_sent.holdings != state.holdings
@@ -312,8 +316,8 @@
 
 
 def _offers_less(last_sent: EngineState, state: EngineState) -> bool:
-    """Whether the engine offers less than entries believe: a call sent there for a
-    model that is gone would be turned away, and may have no other attempt."""
+    """Whether the engine offers less than entries have been sent. A call sent there for
+    a model that has been unloaded would be rejected, and may have no attempts left."""
     if last_sent.incarnation != state.incarnation:
         return True
     if last_sent.orderable and not state.orderable:
@@ -326,7 +330,8 @@
 
 
 def _added(last_sent: EngineState, state: EngineState) -> set[str]:
-    """The models of which the engine holds more than was told, or that it loads."""
+    """The models for which the engine holds more than was last sent, or that it
+    loads."""
     models = {
         model
         for model, adapters in state.holdings.items()
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -1,4 +1,5 @@
-"""An entry's demand for models, and the plans that it makes of all entries' demand."""
+"""An entry's demand for models, and its load plans, made from the demand of all
+entries."""
 
 from __future__ import annotations
 
@@ -37,20 +38,22 @@
 )
 from bambootiller_core.gateway.store_idle import StoreIdleTracker
 
-#: A plan no older than this is of this moment, in pauses between two plans: a call that
-#: looks at it would otherwise be quicker than the next plan.
+#: A plan no older than this many plan intervals counts as current. With one interval, a
+#: call that needs the plan would often come just before the next plan and have one made
+#: itself.
 MAX_PLAN_AGE_INTERVALS = 2
-#: An engine that the registry lists is known here within the pause between two reads
-#: and this. Seconds.
+#: An engine that the registry lists is known to this entry within the interval between
+#: two reads of the registry plus this. Seconds.
 REGISTRY_READ_DELAY_S = 0.3
 
 
 class EnginePlans:
-    """The demand and the plans for all services of engines.
+    """The demand and the load plans of all services that have engines.
 
-    Calls that need a model ask :meth:`plan_for` when it can be used, and say in
-    :meth:`demand` while they wait, so that the plan counts them. ``load_request`` asks the
-    agent beside an engine for a load, ``admits`` tells whether a model may be loaded.
+    Calls that need a model ask :meth:`plan_for` when it will be available, and register
+    with :meth:`demand` while they wait, so that the plan counts them. ``load_request``
+    requests a load from the agent beside an engine, ``admits`` tells whether a model
+    may be loaded.
     """
 
     def __init__(
@@ -66,7 +69,7 @@
         self._request_load = load_request
         self._emit = emit
         self._admits = admits
-        #: The entries that agents hear, this one among them.
+        #: The entries that are live to the agents, this one among them.
         self.entries: tuple[str, ...] = ()
         self._demand_trackers: dict[str, DemandTracker] = {}
         self._own_demands: dict[str, dict[str, Demand]] = {}
@@ -93,11 +96,11 @@
         )
 
     def start(self, now: float) -> None:
-        """Begin to plan."""
+        """Starts to make plans."""
         self._scheduler.start(self._app.timers, now)
 
     def changed(self, now: float) -> None:
-        """Something that plans are made of has changed."""
+        """Has the plans updated soon, as something that they depend on has changed."""
         self._scheduler.changed(now)
 
     def demand(self, service: str) -> DemandTracker:
@@ -109,8 +112,8 @@
         return self._adapter_prefetch.setdefault(service, AdapterPrefetch())
 
     def agent_reported(self, now: float, backend: Backend) -> None:
-        """An agent told something new: ask it for the adapters of refused callers whose
-        models are there."""
+        """Requests, after an agent's new report, the adapters that refused callers will
+        need and whose models its engine holds."""
         service = backend.registration.service
         due = self._adapter_prefetch.get(service)
         if due is None:
@@ -122,21 +125,21 @@
     def totals_reported(
         self, now: float, service: str, host: str, totals: Mapping[str, Demand]
     ) -> None:
-        """A collecting agent told the demand of all entries."""
+        """Records the demand of all entries, as reported by a collector."""
         self._totals.reported(now, service, host, totals)
 
     def total_demands(self, service: str, own: dict[str, Demand]) -> dict[str, Demand]:
-        """The demand of all entries for the models of a service, as its collectors
-        told it last, and not less than what this entry knows of its own."""
+        """The demand of all entries for the models of a service, as its collectors last
+        reported it, but at least this entry's own."""
         return merge_max(self._totals.demands(self._app.now(), service), own)
 
     def own_demands(self, service: str) -> dict[str, Demand]:
-        """This entry's demand, as agents are told it."""
+        """This entry's demand, as it is reported to agents."""
         demands = self._own_demands.get(service)
         return self._demands(service) if demands is None else demands
 
     def planned(self, service: str, model: str) -> PlannedLoad | None:
-        """The load of the model that is under way or planned."""
+        """The load of the model that is in progress or planned."""
         return self._plans.get(service, {}).get(model)
 
     def planned_demand(self, service: str, model: str) -> Demand:
@@ -151,12 +154,12 @@
         return planner.obstacles(model, self.planned_demand(service, model))
 
     def store_idle_s(self) -> float:
-        """For how long altogether the weight store served nobody while callers waited
-        for models that no engine has a copy of, by this entry's plans."""
+        """Total time in seconds for which, by this entry's plans, the weight store was
+        idle while callers waited for models that no engine has a copy of."""
         return sum(idle.total_s for idle in self._store_idle.values())
 
     def copies_seen(self, service: str, model: str) -> tuple[ModelCopy, ...]:
-        """The engines that have a copy of the model, and what keeps it there."""
+        """The engines that have a copy of the model, and why it is kept there."""
         engines = {item.name: item.engine for item in self._engine_services()}
         engine = engines.get(service)
         spec = engine.models.get(model) if engine is not None else None
@@ -166,7 +169,8 @@
         return copies_seen(now, fleet, service, spec, engine.memory_mb)
 
     def store_loads_under_way(self, service: str) -> int:
-        """How many loads from the weight store agents tell of."""
+        """Number of loads from the weight store that agents report to be in
+        progress."""
         return sum(
             backend.engine is not None
             and backend.engine.loading is not None
@@ -175,21 +179,21 @@
         )
 
     def all_store_loads_under_way(self) -> int:
-        """The same of all services."""
+        """Number of loads from the weight store in progress, for all services."""
         services = self._engine_services()
         return sum(self.store_loads_under_way(service.name) for service in services)
 
     def store_loads(self) -> float:
-        """How many loads the weight store is taken to serve at full speed."""
+        """The estimated number of loads that the weight store serves at full speed."""
         return self._store_concurrency.min_loads
 
     def plan_for(self, service: str, model: str) -> PlannedLoad | None:
-        """The load of the model for a call that waits now: the plan is made anew unless
-        it is of this moment.
+        """The load of the model for a call that waits now. A new plan is made unless
+        the last one is current.
 
-        A model that can't be loaded anywhere isn't in the plan at all. A plan that left
-        it out is an answer too, for the calls that it counted; made anew for each look
-        of each of them, plans would leave a starting entry time for nothing else.
+        A model that can't be loaded anywhere is missing from the plan. That is a valid
+        result for the calls that this plan counted. If each check of each such call
+        made a new plan, an entry that has just started would be busy with nothing else.
         """
         now = self._app.now()
         planned = self.planned(service, model)
@@ -202,8 +206,8 @@
         return planned
 
     def make_plans(self, now: float) -> None:
-        """Make the plans of all services, and ask for the loads that this entry sees
-        to."""
+        """Makes the plans of all services, and requests the loads that this entry is
+        responsible for."""
         self._scheduler.plan_started(now)
         self._planned_at = now
         pairs = 0
@@ -241,8 +245,9 @@
         self._scheduler.interval_s = interval_s(pairs)
 
     def _admitted(self, demands: Mapping[str, Demand]) -> Mapping[str, Demand]:
-        """The demand for models that may be loaded. One whose load isn't admitted would
-        have the store's next turn in each plan, and never take it."""
+        """The demand for models that may be loaded. A model whose load isn't admitted
+        would be next in the queue for the weight store in each plan, and block it
+        without ever being loaded."""
         refused = [
             name
             for name, demand in demands.items()
@@ -272,14 +277,15 @@
         )
 
     def _demands(self, service: str) -> dict[str, Demand]:
-        """This entry's demand; models that engines hold are in it also if nobody asks
-        for them, as agents have to know which of them other engines have as well."""
+        """This entry's demand. It includes models that engines hold and nobody asks
+        for, as agents have to know which of their models other engines hold too."""
         now = self._app.now()
         holders: Counter[str] = Counter()
         copies: Counter[str] = Counter()
         for backend in self._gateway_state.fleet.of_service(service):
             if backend.lost(now):
-                # Nobody is served there, and others mustn't make way for what it holds.
+                # A lost engine serves nobody; its models are no reason for other
+                # engines to evict theirs.
                 continue
             holders.update(backend.holdings.keys())
             copies.update(models_with_copy(backend))
@@ -290,19 +296,19 @@
         return demands
 
     def _refresh_demands(self, service: str) -> dict[str, Demand]:
-        """This entry's demand as it is now, as agents are told it; the same table as
-        before where nothing has changed."""
+        """This entry's current demand, as it is reported to agents. Returns the same
+        dict as before if nothing has changed."""
         demands = self._demands(service)
         if demands != self._own_demands.get(service):
             self._own_demands[service] = demands
         return self._own_demands[service]
 
     def _plan_due(self, now: float) -> None:
-        """Make the plan if this entry acts on it; if not, only what comes of it for
-        others: its own demand, which agents are told, and the store's speed.
+        """Makes the plan if this entry acts on it. Otherwise updates only what others
+        need: its own demand, which agents are sent, and the store concurrency.
 
-        Made by all of many entries, it would be made in vain by most: a few ask for the
-        loads.
+        In a large fleet only a few entries request loads, so a plan made by every entry
+        would be unused at most of them.
         """
         if self._is_planner() or self._has_own_waiting():
             self.make_plans(now)
@@ -315,10 +321,10 @@
                 self._scheduler.mark_not_empty()
 
     def _plan_for_waiting(self, now: float) -> None:
-        """Calls wait: make the plan if this entry acts on it.
+        """Makes the plan while calls wait, if this entry acts on it.
 
-        Of many entries one asks for the load. The store's speed is learnt from when
-        loads begin and end, by all of them.
+        Only one of many entries requests the load. All of them learn the store
+        concurrency from the times at which loads begin and end.
         """
         if self._acts_on_plan(now):
             self.make_plans(now)
@@ -326,8 +332,9 @@
             self._observe_all(now)
 
     def _acts_on_plan(self, now: float) -> bool:
-        """Whether this entry asks for loads that calls wait for: they are its own, or
-        it is the one to see to their model. Others make the plan when a call comes."""
+        """Whether this entry requests loads that calls wait for: the calls are its own,
+        or it is responsible for their model. Other entries make the plan when a call
+        arrives."""
         if self._has_own_waiting():
             return True
         awaited = self._totals.models_waited_for(now)
@@ -340,12 +347,12 @@
         )
 
     def _has_own_waiting(self) -> bool:
-        """Whether calls of this entry wait, or of one that sees to loads refused
-        callers are due back.
+        """Whether calls of this entry wait or, if it is one of the planners, refused
+        callers of its own are due back.
 
-        Those who see to loads hear of the refused callers of others from the
-        collectors. While a store is short of time most entries have some, and each
-        would make the plan that a few act on.
+        Planners learn of the refused callers of other entries from the collectors.
+        While a weight store is overloaded most entries have some, and each would make a
+        plan that only a few act on.
         """
         if any(demand.has_waiting_calls for demand in self._demand_trackers.values()):
             return True
@@ -368,7 +375,7 @@
             self._observe(now, service)
 
     def _observe(self, now: float, service: ServiceSpec) -> StoreConcurrency:
-        """Take a look at the loads under way, at engines that leave too."""
+        """Observes the loads in progress, also at engines that are leaving."""
         backends = self._gateway_state.fleet.all_of_service(service.name)
         return self._store_concurrency.observe(now, service, backends)
 
@@ -380,7 +387,7 @@
     def _is_discovery_complete(
         self, now: float, service: str, backends: Collection[Backend]
     ) -> bool:
-        """Whether copies of models can be at no engine that this entry hasn't heard of
+        """Whether this entry has heard of all engines that may hold copies of models
         since it started."""
         discovery = self._discoveries.setdefault(service, InitialDiscovery())
         quiet_s = self._gateway_state.batch_delay_s + REGISTRY_READ_DELAY_S
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -1,4 +1,4 @@
-"""An entry's streams to the agents beside the engines: what either tells the other."""
+"""An entry's streams to the agents beside the engines."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from bambootiller_core.gateway.order_messages import LoadRequest
 from bambootiller_core.gateway.wakeups import wakes_waiting_calls
 
-#: How often streams to agents are opened for new engines, and closed for gone ones.
-#: Seconds.
+#: Interval between two reviews, which open streams for new engines and close those for
+#: removed ones. Seconds.
 REVIEW_INTERVAL_S = 0.25
 
 
@@ -47,7 +47,7 @@
 
 
 class Engines:
-    """Keeps streams to all agents, and asks them for the loads of the
+    """Keeps a stream to each agent, and sends the load requests of the
     :attr:`plans`."""
 
     def __init__(
@@ -77,7 +77,7 @@
         self._reachability: list[tuple[str, bool, bool]] = []
 
     def start(self) -> None:
-        """Begin to review and to plan."""
+        """Starts the timers for reviews, reports and plans."""
         now = self._app.now()
         self._app.timers.every("engine links", REVIEW_INTERVAL_S, now, self._review)
         self._app.timers.every("figures", UPDATE_INTERVAL_S, now, self._send_changes)
@@ -93,8 +93,9 @@
         self._events.emit(line)
 
     def load_request(self, backend: Backend, load_request: LoadRequest) -> bool:
-        """Ask the agent beside the engine for a load; False if there is none, or if
-        the load ends engines."""
+        """Queues a load request for the agent beside the engine. Returns False if there
+        is no stream to it, or if the model is quarantined because its loads crash
+        engines."""
         if not load_request.adapter and not self._admits_load(load_request.model):
             return False
         link = self._links.get(backend.registration.host)
@@ -109,12 +110,12 @@
         return admission.decision is AdmissionDecision.ADMITTED
 
     def stream_count(self) -> int:
-        """How many streams to agents are kept."""
+        """Number of streams that are kept open to agents."""
         return len(self._links)
 
     def has_collector_reports(self) -> bool:
-        """Whether what all entries have to know has been heard, as far as there is
-        somebody to hear it from."""
+        """Whether a collector of each service has reported, as far as the service has
+        any. Collectors report what all entries need to know."""
         config, now = self._gateway_state.config, self._app.now()
         engines: dict[str, dict[str, Backend]] = {}
         for backend in self._gateway_state.fleet:
@@ -131,7 +132,7 @@
         )
 
     def stop(self) -> None:
-        """Close all streams."""
+        """Closes all streams."""
         for link in self._links.values():
             link.task.cancel()
         self._links.clear()
@@ -165,8 +166,8 @@
             self._choose_collectors(now, backends_by_host)
 
     def _apply_earlier_reports(self, now: float) -> None:
-        """An engine that was listed after its agent had spoken: the agent doesn't
-        repeat what it said."""
+        """Applies the report of an agent whose engine was listed only after the report
+        came: the agent doesn't repeat it."""
         for peer_stream in self._exchanger.streams():
             agent_report = peer_stream.report
             if not isinstance(agent_report, AgentReport) or agent_report.state is None:
@@ -218,7 +219,7 @@
             self._notify_collectors()
 
     def _collector_hosts(self) -> set[str]:
-        """The hosts of the agents that collect what all entries have to know."""
+        """Hosts of the agents that collect what all entries need to know."""
         return {host for hosts in self._collectors.values() for host in hosts}
 
     def _fill(self, host: str, update: Update, peer_stream: PeerStream) -> None:
@@ -244,7 +245,7 @@
         link.load_requests.clear()
 
     def _send_changes(self, now: float) -> None:
-        """Tell agents whose figures have moved."""
+        """Schedules updates to the agents for which the entry's report has changed."""
         for host, link in self._links.items():
             peer_stream = self._exchanger.stream_to(self._address(host))
             backend = self._gateway_state.fleet.get(link.instance)
@@ -254,7 +255,7 @@
                 peer_stream.send_later()
 
     def _needs_update(self, backend: Backend, peer_stream: PeerStream) -> bool:
-        """Whether the agent is to be told anew."""
+        """Whether the agent has to be sent a new report."""
         last_sent: SentReport | None = peer_stream.last_sent.get("entry")
         demands = self.plans.own_demands(backend.registration.service)
         collects = self._collects(backend)
@@ -274,12 +275,12 @@
         return registration.host in self._collectors.get(registration.service, ())
 
     def figures_for(self, backend: Backend) -> pb.EntryFigures:
-        """What the agent beside the engine is told of this entry's calls."""
+        """The entry's current report to the agent beside the engine."""
         return self._current_report(backend).message()
 
     def received(self, update: Update, peer_stream: PeerStream | None = None) -> None:
-        """Take over what the agent beside an engine says; what it said before on the
-        same stream holds on unless this replaces it."""
+        """Handles a message of an agent. What it reported before on the same stream
+        stays valid unless this message replaces it."""
         agent_report = AgentReport.after(
             update, peer_stream.report if peer_stream else None
         )
@@ -310,7 +311,7 @@
         if backend is None:
             return
         if not is_new and agent_report.state.incarnation.precedes(backend.incarnation):
-            # A beat says nothing anew of a start that has ended.
+            # A heartbeat confirms nothing about a start of the engine that has ended.
             return
         is_changed = backend.engine is not agent_report.state
         wakes = wakes_waiting_calls(backend, agent_report.state)
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -1,10 +1,10 @@
-"""The stream between two processes of the gateway.
+"""Peer streams: the bidirectional streams between two processes of the gateway.
 
-An entry opens one to the agent beside each engine, and one to a few other entries. The
-first message of each side says everything, each later one what has changed or what the
-other lacks. While nothing changes the sides send empty messages, beats: a connection
-can go silent without an error, so a stream that hasn't brought anything for a while is
-given up, and opened anew.
+An entry opens a stream to the agent beside each engine and to a few other entries. The
+first message of each side holds its whole state; each later one holds what has changed
+since or what the peer lacks. While nothing changes, both sides send empty messages as
+heartbeats. A connection can go silent without an error, so a stream on which nothing
+has been received for :data:`SILENCE_TIMEOUT_S` is closed and opened again.
 """
 
 from __future__ import annotations
@@ -29,42 +29,47 @@
 from bambootiller_core.gateway.update_filter import UpdateFilter
 from bambootiller_core.ports import Changed, Record
 
-#: The longest silence of a side that is well and whose stream is given up when it is
-#: silent: a beat may be late by a fifth of a second before load figures are taken for
-#: old (``fleet.FIGURES_TTL_S``), and by 0.7 s before an agent counts as silent
+#: Heartbeat interval of the side that serves a stream, the longest silence of that side
+#: while it is healthy; the peer closes the stream if it is silent for longer than
+#: :data:`SILENCE_TIMEOUT_S`. A heartbeat may be late by 0.2 s before load figures count
+#: as outdated (``fleet.FIGURES_TTL_S``), and by 0.7 s before an agent counts as silent
 #: (``fleet.AGENT_TIMEOUT_S``). Seconds.
 SERVER_HEARTBEAT_S = 0.8
-#: The same of the side that opened the stream. An agent forgets an entry only after 3 s
-#: (``agent.ENTRY_TIMEOUT_S``). Seconds.
+#: Heartbeat interval of the side that opened a stream. It can be longer, as an agent
+#: drops an entry only after 3 s (``agent_updates.ENTRY_TIMEOUT_S``). Seconds.
 CLIENT_HEARTBEAT_S = 1.2
-#: What can wait, as load figures and revisions, travels no more often than this; long
-#: enough to gather, short enough that a peer isn't sent a configuration that it has
-#: (``relaying.SELF_UPDATE_GRACE_S``). Seconds.
+#: Minimum interval between messages that carry only changes that can wait, such as load
+#: figures and revisions. It is long enough to batch them, and short enough that a peer
+#: isn't sent a configuration that it has already
+#: (``document_propagation.SELF_UPDATE_GRACE_S``). Seconds.
 UPDATE_INTERVAL_S = 0.4
-#: A stream that has been silent for so long is given up. Seconds.
+#: A stream on which nothing is received for this long is closed. Seconds.
 SILENCE_TIMEOUT_S = 1.5
-#: The pause before a stream is opened anew; doubled up to the longest. Seconds.
+#: Delay before a stream is opened again, doubled after each failure up to the maximum.
+#: Seconds.
 REOPEN_DELAY_S = 0.2
 MAX_REOPEN_DELAY_S = 1.0
-#: Changes closer together than this travel in one message. Seconds.
+#: Changes within this time of each other are sent in one message. Seconds.
 BATCH_DELAY_S = 0.003
 
 Update = pb.ResidencyUpdate
-#: Fills a message to a peer with what this side has to say beside documents.
+#: Adds what this side has to report, apart from documents, to a message to a peer.
 FillUpdate = Callable[[Update, "PeerStream"], None]
-#: Takes over a message, and what still holds of those before.
+#: Handles a message that was received from a peer.
 HandleUpdate = Callable[[Update, "PeerStream"], None]
 
 
 class PeerStream:
-    """One side of a stream: gathers documents and figures, and beats.
-
-    ``peer`` is the other side's name, empty as long as it hasn't spoken, and
-    ``last_received_at`` when it spoke last. ``last_sent`` is for :data:`FillUpdate`, to remember what
-    needn't be said again, and ``report`` for :data:`HandleUpdate`, to keep what the other
-    side won't repeat; both end with the stream. ``to_entry`` is whether an entry tells
-    another one; these say soon up to where they have everything, as neither beats often
-    enough for the other to know in time what it needn't pass on.
+    """One side of a stream: sends documents, reports and heartbeats.
+
+    ``peer`` is the name of the other side, empty until its first message, and
+    ``last_received_at`` the time of its last message. ``last_sent`` lets
+    :data:`FillUpdate` remember what the peer has been sent, and ``report`` lets
+    :data:`HandleUpdate` keep what the peer has reported and won't repeat; both end with
+    the stream. ``to_entry`` is whether both sides are entries. Entries also send each
+    other, with a short delay, the revisions up to which they are complete, as their
+    heartbeats are too rare for the peer to learn in time which documents it needn't
+    forward.
     """
 
     def __init__(
@@ -87,8 +92,8 @@
         self.last_received_at = float("-inf")
         self.last_sent: dict[str, object] = {}
         self.report: object = None
-        #: Whether the other side keeps what it isn't told anew; one of an earlier
-        #: version takes what isn't repeated for gone.
+        #: Whether the peer retains what isn't sent again. A peer of an earlier version
+        #: treats what isn't repeated as removed.
         self._peer_retains_state = False
         self._loop = asyncio.get_running_loop()
         self._wake = asyncio.Event()
@@ -100,7 +105,7 @@
             self._documents.add(now, change, rank=0)
 
     def document(self, change: Changed) -> None:
-        """The other side may lack a document."""
+        """Queues a document that the peer may lack."""
         rank = self._rank()
         self_update_grace_s = SELF_UPDATE_GRACE_S
         if not self._gateway_state.is_configuration(change.record.key):
@@ -114,7 +119,7 @@
             self.send_now()
 
     def heard(self, update: Update) -> None:
-        """The other side has spoken."""
+        """Records that a message was received from the peer."""
         first = not self.peer
         self.peer = update.sender or self.peer
         self.last_received_at = self._loop.time()
@@ -126,9 +131,10 @@
             self.send_now()
 
     def update_filter(self, what: str, version: int, own: bool) -> UpdateFilter | None:
-        """What the other side hasn't been told of ``what``, None if that is at
-        ``version`` already; from now on it has. ``own`` leaves out what others told,
-        unless the other side hasn't been told anything."""
+        """Selects the changes of ``what`` that the peer hasn't been sent; None if it
+        has been sent ``version``. Records ``version`` as sent. ``own`` leaves out
+        changes that other processes reported, unless the peer hasn't been sent anything
+        yet."""
         last_sent = self.last_sent.get(what)
         if last_sent == version:
             return None
@@ -137,16 +143,18 @@
         return UpdateFilter(last_sent if known else 0, own and known, self.peer)
 
     def send_now(self) -> None:
-        """Have the figures sent at once, with what else changes in the same moment."""
+        """Sends a message at once, with whatever else changes within
+        :data:`BATCH_DELAY_S`."""
         self._batching = True
         self._wake.set()
 
     def send_later(self) -> None:
-        """Have what has changed sent when it is time for the next message."""
+        """Sends a message as soon as :data:`UPDATE_INTERVAL_S` has passed since the
+        last."""
         self._wake_at(self._sent_at + UPDATE_INTERVAL_S)
 
     async def updates(self) -> AsyncIterator[Update]:
-        """The messages, for as long as the stream lives."""
+        """Yields the messages to send for as long as the stream is open."""
         try:
             while True:
                 update = self._next_update()
@@ -163,7 +171,8 @@
             self._cancel_timer()
 
     def _arm(self) -> None:
-        """Wake when the next document is due, or the next beat."""
+        """Schedules a wake-up for the next document that is due or the next
+        heartbeat."""
         due = self._documents.next_due()
         heartbeat = self._sent_at + self._heartbeat_s
         self._wake_at(heartbeat if due is None else min(due, heartbeat))
@@ -209,11 +218,11 @@
 
 
 class _WatchedPeer:
-    """The other side of a stream, as its silence is watched.
+    """The other side of a stream, as a :class:`SilenceDetector` watches it.
 
-    Silence ends the stream at the call itself. A timeout around each read would be a
-    timer for each message, and would end in the turn of the loop that reads what came
-    while this process stood still.
+    Silence cancels the call itself. A timeout around each read would need a timer for
+    each message, and would expire in the same iteration of the event loop that reads
+    the messages received while this process was stalled.
     """
 
     awaited = True
@@ -226,13 +235,14 @@
         self.silent = False
 
     def signal_silence(self, seconds: float) -> None:
-        """Give the stream up."""
+        """Cancels the call."""
         self.silent = True
         self._call.cancel()
 
 
 class Exchanger:
-    """All streams of one process, in both directions."""
+    """Holds all streams of this process, both those that it opened and those that it
+    serves."""
 
     def __init__(
         self,
@@ -254,31 +264,32 @@
         gateway_state.on_revision(self._revision)
 
     def send_now(self) -> None:
-        """Figures have changed; tell all peers soon."""
+        """Sends a message to all peers at once."""
         for peer_stream in self._peer_streams:
             peer_stream.send_now()
 
     def send_later(self) -> None:
-        """Figures have changed that can wait."""
+        """Sends a message to all peers after :data:`UPDATE_INTERVAL_S`."""
         for peer_stream in self._peer_streams:
             peer_stream.send_later()
 
     def send_now_to(self, address: str) -> None:
-        """There is something to tell the peer at ``address`` soon."""
+        """Sends a message at once to the peer at ``address``, if a stream to it is
+        open."""
         peer_stream = self._by_address.get(address)
         if peer_stream is not None:
             peer_stream.send_now()
 
     def stream_to(self, address: str) -> PeerStream | None:
-        """This side of the stream that is kept open to ``address``, if it is open."""
+        """Returns this side of the stream to ``address``; None if none is open."""
         return self._by_address.get(address)
 
     def is_open(self, peer_stream: PeerStream) -> bool:
-        """Whether the stream of this side still lives."""
+        """Whether the stream is still open."""
         return peer_stream in self._peer_streams
 
     def streams(self) -> list[PeerStream]:
-        """This side of all streams."""
+        """This side of all open streams."""
         return list(self._peer_streams)
 
     async def keep_open(
@@ -289,9 +300,9 @@
         rank: Callable[[], int] = lambda: 1,
         to_entry: bool = False,
     ) -> None:
-        """Keep a stream to ``address`` open until cancelled; ``rank`` is when this side
-        tells the peer of a document (:mod:`document_propagation`), ``to_entry`` whether both sides
-        are entries."""
+        """Keeps a stream to ``address`` open until cancelled. ``rank`` is the order in
+        which this side forwards a document to the peer (:mod:`document_propagation`),
+        ``to_entry`` whether both sides are entries."""
         pause = REOPEN_DELAY_S
         try:
             while True:
@@ -316,7 +327,7 @@
         received: HandleUpdate,
         to_entry: bool,
     ) -> AsyncIterator[Update]:
-        """The answers to a stream that a peer has opened."""
+        """Serves a stream that a peer has opened, and yields the messages to it."""
 
         def rank() -> int:
             return 1 if to_entry else agent_rank(self._name, peer_stream.peer)
@@ -365,7 +376,8 @@
         except grpc.aio.AioRpcError:
             return heard
         except asyncio.CancelledError:
-            # Of the two that may have cancelled the read: the stream's own end goes on.
+            # The read is cancelled either by silence, after which the stream is opened
+            # again, or from outside, which has to end this task.
             if not peer.silent or asyncio.current_task().cancelling():
                 raise
             return heard
@@ -410,8 +422,8 @@
 
 
 class ResidencyServicer(api.ResidencyServicer):
-    """Serves the streams that entries open to this process; ``to_entry`` is whether it
-    is one itself."""
+    """Serves the streams that entries open to this process. ``to_entry`` is whether
+    this process is an entry too."""
 
     def __init__(
         self,
@@ -426,7 +438,7 @@
         self._to_entry = to_entry
 
     async def Exchange(self, request_iterator, context):
-        """One stream."""
+        """Serves one stream."""
         async for update in self._exchanger.serve(
             request_iterator, self._fill, self._received, self._to_entry
         ):
--- a/packages/bambootiller/src/bambootiller/gateway/stream_reports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stream_reports.py
@@ -1,7 +1,8 @@
-"""What an entry and an agent have told each other on one stream, as the entry keeps it.
+"""What an entry and an agent have reported to each other on one stream, as kept by the
+entry.
 
-What either said holds until it says otherwise on the same stream, so only changes
-travel, and nothing is worked out anew for a message that wouldn't say anything.
+A report holds until it is replaced on the same stream, so only changes are sent, and no
+report is built when its message would carry no change.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 @dataclass(slots=True)
 class SentReport:
-    """What an agent was told last, and what it was worked out from."""
+    """The last report sent to an agent, and the inputs that it was built from."""
 
     demands: Mapping[str, Demand]
     engine: EngineState | None
@@ -36,7 +37,8 @@
     def now(
         cls, now: float, demands: Mapping[str, Demand], backend: Backend, collect: bool
     ) -> SentReport:
-        """What the agent beside the engine is to know, of this entry's ``demands``."""
+        """Builds the report of this entry's ``demands`` for the agent of
+        ``backend``."""
         in_use = dict(backend.in_flight_by_model)
         part = _relevant_part(demands, backend.engine, collect)
         return cls(demands, backend.engine, collect, in_use, part, now)
@@ -44,17 +46,18 @@
     def is_outdated(
         self, now: float, demands: Mapping[str, Demand], backend: Backend, collect: bool
     ) -> bool:
-        """Whether the agent is to be told anew.
+        """Whether the agent has to be sent a new report.
 
-        Mostly a look at what it comes from is enough; it isn't worked out for each
-        agent again and again while nothing has changed.
+        In most cases comparing the inputs is enough, so that the report isn't built
+        again for each agent while nothing has changed.
         """
         if self.in_use != backend.in_flight_by_model or self.collect != collect:
             return True
         if self.demands is demands and self.engine is backend.engine:
             return False
         if _incarnation(self.engine) != _incarnation(backend.engine):
-            # An agent whose engine starts anew forgets the calls that it was told of.
+            # When its engine restarts, an agent drops the calls that were reported to
+            # it.
             return True
         part = _relevant_part(demands, backend.engine, collect)
         if demands_changed(self.part, part, now - self.sent_at):
@@ -63,13 +66,13 @@
         return False
 
     def message(self) -> pb.EntryFigures:
-        """The same, to be sent."""
+        """Encodes the report."""
         return message_codec.entry_message(self.part, self.in_use, self.collect)
 
 
 @dataclass(slots=True)
 class AgentReport:
-    """What an agent has said on its stream, until it says otherwise there."""
+    """What an agent has reported on its stream; holds until it is replaced there."""
 
     state: EngineState | None = None
     totals: Mapping[str, Demand] | None = None
@@ -77,7 +80,7 @@
 
     @classmethod
     def after(cls, update: pb.ResidencyUpdate, before: object) -> AgentReport:
-        """What holds after a message, ``before`` being what held until then."""
+        """Returns what holds after a message; ``before`` is what held until then."""
         begins = update.begins or not isinstance(before, AgentReport)
         report = cls() if begins else before
         if update.HasField("engine"):
