--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -107,9 +107,9 @@
 
     Example::
 
-        bench = EntryHarness()
-        await bench.add(StandinReplica("i-1", "plain"))
-        answer = await bench.call(path=b"/plain/x")
+        harness = EntryHarness()
+        await harness.add(StandinReplica("i-1", "plain"))
+        answer = await harness.call(path=b"/plain/x")
     """
 
     def __init__(self):
@@ -199,7 +199,7 @@
     async def call(
         self, path=b"/plain/x", method="POST", disconnect_after_s=None, **headers
     ):
-        """Send a request as a client; it disconnects after ``disconnect_after_s`` seconds."""
+        """Send a request as a client, which may disconnect after some seconds."""
         fields = [(b"host", HOST), (b"x-request-attempt", b"r-1")]
         fields += [
             (name.replace("_", "-").encode(), str(value).encode())
--- a/tests/adapter/common/rare_models.py
+++ b/tests/adapter/common/rare_models.py
@@ -64,7 +64,7 @@
 
         async with RareModelFleet(seed=1) as fleet:
             await fleet.begin()
-            await fleet.play(seconds=40.0)
+            await fleet.run_load(seconds=40.0)
             self.assertEqual(fleet.starved(), [])
     """
 
