--- a/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
+++ b/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
@@ -1,8 +1,9 @@
-"""What a process of the gateway knows from the store and from its peers.
+"""One gateway process's copy of the configuration and the registry.
 
-Documents come from the store's watch and from peers; both carry the store's revision,
-so whichever is newer wins, wherever it came from. What was last known stays in force
-while the store is away. Nothing is ever replaced by something older."""
+Documents arrive from watches of the key-value service and from peers. Both carry the
+service's revision, so the newer one wins whatever its source, and a document is never
+replaced by an older one. The last documents received stay in force while the service is
+unavailable."""
 
 from __future__ import annotations
 
@@ -25,28 +26,30 @@
 )
 from bambootiller_core.ports import Changed, Found, KeyValue, Record, Unavailable
 
-#: The pause after a failed call of the store; doubled up to the longest. Seconds. The
-#: store counts refused calls too.
+#: The delay after a failed call of the key-value service, doubled up to the maximum.
+#: Seconds. The service counts refused calls too.
 RETRY_S = 0.2
 RETRY_MAX_S = 0.8
 
-#: The pause between two answers of a watch that had something to tell, as a part of
-#: the time within which a backend server that leaves has to get no more work: news of
-#: it are so much later at most. Backend servers write to the registry about once a
-#: second each, and without a pause every write is a call of the store by every watcher;
-#: with 2 s and this, less than 2 calls a second remain.
+#: The delay after a batch of changes before the next one is read, as a fraction of the
+#: time within which a backend server that is leaving must get no more work: a change is
+#: seen at most this much later. Each backend server writes to the registry about once a
+#: second, and without a delay each write costs every watcher a call of the key-value
+#: service. With 2 s and this fraction, less than 2 calls a second remain.
 BATCH_DELAY_FRACTION = 0.3
-#: The pause shortly after the store's return: what it lost is written anew within two
-#: seconds, and taken for gone 0.3 s later (``fleet.EXPIRY_GRACE_S``). Seconds.
+#: The delay shortly after the key-value service has come back: registrations that
+#: expired are written again within two seconds, and those still missing 0.3 s later
+#: count as removed (``fleet.EXPIRY_GRACE_S``). Seconds.
 RECOVERY_BATCH_DELAY_S = 0.25
-#: How often a watcher that isn't wanted looks whether it is. Seconds.
+#: How often a watcher that isn't needed checks whether it is. Seconds.
 IDLE_POLL_S = 0.5
 
 Listener = Callable[[Changed], None]
 
 
 class GatewayState:
-    """The configuration in force, and the backend servers."""
+    """The configuration in force and the registered backend servers, as this process
+    has received them."""
 
     def __init__(
         self,
@@ -58,44 +61,48 @@
         self.config: GatewayConfig | None = None
         self.fleet = Fleet(running_time) if running_time is not None else Fleet()
         self.changed = ChangeNotifier()
-        #: The pause between two reads of the registry, here as elsewhere. Seconds.
+        #: The delay between two reads of the registry, here and in other processes.
+        #: Seconds.
         self.batch_delay_s = BATCH_DELAY_FRACTION * Bounds().leaving_s
         self._directory = directory
         self._events = events
         self._clock = clock
-        #: Up to which revision everything is known, by the part of the store.
+        #: The revision up to which all documents have been received, by prefix or key.
         self.complete: dict[str, int] = {}
-        #: How often that has changed.
+        #: How often ``complete`` has changed.
         self.completeness_version = 0
         self._records: dict[str, Changed] = {}
         self._registry = RegistryFaults(self.fleet, events)
         self._listeners: list[Listener] = []
         self._config_keys: set[str] = set()
-        #: A configuration has come since the listeners heard of a revision.
+        #: A configuration has been received since ``_complete_listeners`` were last
+        #: called.
         self._config_received = False
         self._config_listeners: list[Callable[[GatewayConfig], None]] = []
         self._complete_listeners: list[Callable[[], None]] = []
         self._revision_listeners: list[Callable[[], None]] = []
 
     def on_document(self, listener: Listener) -> None:
-        """Call ``listener`` for each document that says something new.
+        """Call ``listener`` for each document whose content is new.
 
-        Each backend server writes its entry about once a second; passed on by all to
-        all, those writes would be most of what a fleet at rest does.
+        Each backend server rewrites its registration about once a second. If every
+        process forwarded those writes to every other, they would be most of the work of
+        an idle fleet.
         """
         self._listeners.append(listener)
 
     def on_complete(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` when everything is known up to a configuration that has
-        come; other revisions are told with whatever is said next."""
+        """Call ``listener`` when all documents up to a newly received configuration
+        have arrived. Other revisions are reported with the next message."""
         self._complete_listeners.append(listener)
 
     def on_revision(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` when everything is known up to any higher revision."""
+        """Call ``listener`` when all documents up to any higher revision have
+        arrived."""
         self._revision_listeners.append(listener)
 
     def is_configuration(self, key: str) -> bool:
-        """Whether the document under the key has been a configuration."""
+        """Whether a configuration has been received under the key."""
         return key in self._config_keys
 
     def on_config(self, listener: Callable[[GatewayConfig], None]) -> None:
@@ -105,11 +112,12 @@
             listener(self.config)
 
     def documents(self) -> list[Changed]:
-        """All documents held, removals of the recent past included."""
+        """All documents held, including recent removals."""
         return list(self._records.values())
 
     def apply_document(self, change: Changed, source: str) -> bool:
-        """Take over a document, unless it is older than what is held."""
+        """Apply a document unless it is older than the one held, and return whether it
+        was applied."""
         record = change.record
         if not self._registry.can_forward(record, source):
             return False
@@ -128,14 +136,15 @@
         return True
 
     def log_forwarded(self, record: Record, peer: str, peer_has: int | None) -> None:
-        """A document goes to a peer; a configuration is large enough to be logged."""
+        """Log that a configuration is forwarded to a peer; other documents are too
+        small to be logged."""
         if self.is_configuration(record.key):
             size = len(record.value)
             line = lines.ConfigPassedOn(record.mod_revision, size, peer, peer_has)
             self._events.emit(line)
 
     def apply_listing(self, prefix: str, found: Found, source: str) -> None:
-        """Take over everything under a prefix; what isn't listed is gone."""
+        """Apply all documents under a prefix; those that aren't listed are removed."""
         keys = set()
         for record in found.records:
             keys.add(record.key)
@@ -147,8 +156,8 @@
                 self.apply_document(Changed(gone, deleted=True), source)
 
     def mark_complete(self, complete: Mapping[str, int]) -> None:
-        """Everything up to these revisions has been learnt, by the part of the store: a
-        prefix of keys, or one key."""
+        """Record that all documents up to these revisions have been applied. Each
+        revision belongs to a prefix of keys or to one key."""
         news = {
             part: revision
             for part, revision in complete.items()
@@ -181,14 +190,15 @@
         self.changed.notify()
 
     def _on_written(self, record: Record, source: str) -> bool:
-        """Take over what a document says; returns whether peers have to hear it."""
+        """Apply a written document, and return whether it has to be forwarded."""
         config = self._directory.config(record)
         if config is not None:
             self._config_keys.add(record.key)
             self._config_received = True
             self._on_config(config, record, source)
-            # Told to peers by its key: who has it from a peer, and not from the store,
-            # doesn't know that it has all up to there, and would be sent it by each.
+            # Reported by key: a process that has it from a peer, not from the key-value
+            # service, can't tell that it has all documents up to this revision, and
+            # every peer would send the configuration to it.
             self.mark_complete({record.key: record.mod_revision})
             return True
         registration = self._directory.registration(record)
@@ -206,7 +216,7 @@
         self, config: GatewayConfig | Unreadable, record: Record, source: str
     ) -> None:
         if isinstance(config, Unreadable):
-            # What was in force stays: without a configuration no call is served.
+            # The previous configuration stays in force: without one no call is served.
             line = lines.DocumentUnreadable(
                 record.key, record.mod_revision, config.detail[:MAX_DETAIL_CHARS]
             )
@@ -224,7 +234,7 @@
         self.changed.notify()
 
     def _on_registration(self, registration: Registration, source: str) -> bool:
-        """Take over an entry of the registry; returns whether it says anything new."""
+        """Apply a registration, and return whether its content is new."""
         held = self.fleet.get(registration.instance)
         before = held.registration if held is not None else None
         usability_before = self._usability(registration.instance)
@@ -232,8 +242,9 @@
         if held is not None and held.replaced:
             self.log_restart(held, source)
         if not taken:
-            # Of an earlier start, or overtaken: a peer that hears of this entry less
-            # often than the store's readers would take it for the latest.
+            # It belongs to an earlier start or is outdated. It isn't forwarded: a peer
+            # that gets this registration less often than the service's readers do would
+            # take it for the latest.
             return False
         usability = self._usability(registration.instance)
         if usability != usability_before:
@@ -252,13 +263,14 @@
         differs = before is None or _differs(before, registration, agent_reports)
         is_news = differs or usability != usability_before
         if is_news:
-            # Each backend server writes its entry about once a second. A write that
-            # says nothing new wakes nobody, and no plan is made for it.
+            # Each backend server rewrites its registration about once a second. A write
+            # without new content wakes no waiter and causes no new load plan.
             self.changed.notify()
         return is_news
 
     def log_restart(self, before: Backend, source: str) -> None:
-        """Say that another start has followed ``before``, known a moment ago."""
+        """Log that a backend server has restarted; ``before`` is its state of the
+        previous start."""
         current = self.fleet.get(before.instance)
         line = lines.BackendRestarted(
             before.instance,
@@ -269,16 +281,17 @@
         self._events.emit(line)
 
     def _usability(self, instance: str) -> tuple[bool, bool] | None:
-        """Whether a backend server is used and whether it leaves, if it is known."""
+        """Whether a backend server's registration is readable and whether it is
+        leaving; None if it isn't registered."""
         held = self.fleet.get(instance)
         return (held.readable, held.registration.leaving) if held is not None else None
 
 
 def _differs(before: Registration, current: Registration, agent_reports: bool) -> bool:
-    """Whether two registry entries differ in more than when they were written.
+    """Whether two registrations differ in more than their revision.
 
-    Where the agent tells what its engine holds, the registry's word on that is used by
-    nobody, and it changes with each load.
+    Where the agent reports what its engine holds, the holdings in the registration are
+    ignored: nothing uses them, and they change with each load.
     """
     same = {"revision": current.revision}
     if agent_reports:
@@ -287,15 +300,15 @@
 
 
 class ChangeNotifier:
-    """Wakes those who wait for the fleet or the configuration to change."""
+    """Wakes tasks that wait for a change of the fleet or of the configuration."""
 
     def __init__(self) -> None:
-        #: How many changes there have been.
+        #: The number of changes so far.
         self.count = 0
         self._waiting: set[asyncio.Future[None]] = set()
 
     def notify(self) -> None:
-        """Wake all who wait."""
+        """Wake all waiting tasks."""
         self.count += 1
         waiting, self._waiting = self._waiting, set()
         for fut in waiting:
@@ -303,7 +316,7 @@
                 fut.set_result(None)
 
     async def wait(self, seconds: float) -> None:
-        """Wait for a change, for ``seconds`` at most."""
+        """Wait for a change, at most ``seconds``."""
         fut = asyncio.get_running_loop().create_future()
         self._waiting.add(fut)
         try:
@@ -315,7 +328,8 @@
 
 
 class StoreWatcher:
-    """Keeps :class:`GatewayState` up to date from the store, one prefix at a time."""
+    """Keeps :class:`GatewayState` up to date from the key-value service, with one task
+    for each prefix."""
 
     def __init__(
         self,
@@ -338,8 +352,8 @@
     async def follow(
         self, prefix: str, wanted: Callable[[], bool] = lambda: True
     ) -> None:
-        """Read the prefix and follow its changes, for ever, but only while
-        ``wanted()``."""
+        """Read the prefix and watch its changes; never returns. Pauses while
+        ``wanted()`` is false."""
         pause = RETRY_S
         while True:
             if not wanted():
@@ -366,9 +380,10 @@
         began = self._stall_check.now()
         async for batch in self._kv.watch(prefix, revision):
             if isinstance(batch, Unavailable):
-                # After an absence, entries that vanish count as lapsed for a while. A
-                # standstill of this process isn't one: backend servers that left
-                # would be given calls all that time.
+                # After an outage, a removed registration counts as expired for a while,
+                # and its backend server keeps getting calls. A stall of this process
+                # isn't an outage: backend servers that left meanwhile would be sent
+                # calls during all that time.
                 if not self._stall_check.was_stalled(began):
                     self._on_lost(prefix, batch.detail)
                 return
@@ -381,8 +396,9 @@
             began = self._stall_check.now()
 
     def _pause(self) -> float:
-        """The pause before the next read; live backend servers that come back after the
-        store's return would be dropped if they were read of later than that."""
+        """The delay before the next read. It is short after the key-value service has
+        come back: live backend servers would be dropped if their renewed registrations
+        were read too late."""
         pause = BATCH_DELAY_FRACTION * self._bounds().leaving_s
         self._gateway_state.batch_delay_s = pause
         if self._clock() - self._regained_at < EXPIRY_GRACE_S:
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -1,9 +1,9 @@
-"""Keeps requests that end backend servers from further ones, in all processes.
+"""Quarantines requests that crash backend servers, in all processes.
 
-An entry notes the runs that it lost, and tells the agents that collect the demand;
-those tell all entries. So an entry that has just started, or that was cut off, learns
-what others saw from whichever of these agents it hears first, and what an entry saw
-outlives it.
+An entry records the runs that it lost and reports them to the agents that collect the
+demand; those report them to all entries. So an entry that has just started or was
+disconnected gets the evidence of the others from the first of these agents that it
+reaches, and an entry's evidence survives the entry.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 from bambootiller_core.gateway.log_lines import RequestCleared, RequestQuarantined
 from bambootiller_core.timers import TimerService
 
-#: How often it is looked at what became of backend servers where runs were lost. A
-#: caller's next try may come as soon. Seconds.
+#: How often the backend servers where runs were lost are checked for a crash. A
+#: caller's next attempt may come as soon as this. Seconds.
 SETTLE_INTERVAL_S = 0.1
 FORGET_INTERVAL_S = 60.0
-#: What stands before the model in the fingerprint of a load.
+#: Precedes the model's name in the fingerprint of a load.
 LOAD_PREFIX = "load "
-#: An engine that ends with a load ends as it begins; one that ends later counts half.
-#: Seconds.
+#: An engine that a load crashes ends when the load begins; one that ends later than
+#: this counts as half a crash. Seconds.
 EARLY_CRASH_S = 1.0
-#: The source of lost runs that were recorded.
+#: The source of lost runs that were read from the key-value service.
 RECORD_SOURCE = "record"
 
 Listener = Callable[[str, tuple[LostRun, ...]], None]
@@ -53,7 +53,7 @@
     Example::
 
         quarantine.run_lost(call, backend, progressed=False)
-        if quarantine.admission(call).standing is AdmissionDecision.QUARANTINED: ...
+        if quarantine.admission(call).decision is AdmissionDecision.QUARANTINED: ...
     """
 
     def __init__(
@@ -71,48 +71,49 @@
         self._listener: Listener | None = None
 
     def start(self, timers: TimerService, now: float) -> None:
-        """Begin to look after the ledger."""
+        """Start the timers that evaluate and prune lost runs."""
         timers.every("settle lost runs", SETTLE_INTERVAL_S, now, self.settle)
         timers.every("forget lost runs", FORGET_INTERVAL_S, now, self._ledger.forget)
 
     def on_quarantined(self, listener: Listener) -> None:
-        """Call ``listener`` for each request that is quarantined from now on, if a run
-        of it was lost here."""
+        """Call ``listener`` for each request that is quarantined from now on and of
+        which this process lost a run."""
         self._listener = listener
 
     def restore(self, runs: Iterable[LostRun]) -> None:
-        """Take in lost runs that were recorded before this process began."""
+        """Add lost runs that were recorded before this process started."""
         for run in runs:
             self._ledger.run_lost(run, RECORD_SOURCE)
         self.settle(self._clock())
 
     @property
     def count(self) -> int:
-        """How many requests are known to end backend servers."""
+        """The number of quarantined requests."""
         return self._ledger.quarantined_count
 
     def run_lost(self, call: Call, backend: Backend, progressed: bool) -> None:
-        """A run of the call ended without an answer."""
+        """Record that a run of the call ended without an answer."""
         if backend.registration.leaving:
-            # It was about to end whatever ran there.
+            # It was about to stop, whatever ran there.
             return
         self._record_lost(_fingerprints(call), backend.incarnation, progressed)
 
     def completed(self, call: Call) -> None:
-        """A run of the call was answered whole."""
+        """Record that a run of the call was answered completely."""
         for name in _fingerprints(call):
             self._record_completed(name)
 
     def load_lost(self, model: str, engine: Incarnation, seconds: float) -> None:
-        """The engine stopped to answer ``seconds`` after the load of a model began."""
+        """Record that the engine stopped answering ``seconds`` after the load of a
+        model began."""
         self._record_lost((LOAD_PREFIX + model,), engine, seconds > EARLY_CRASH_S)
 
     def load_completed(self, model: str) -> None:
-        """The load of a model has ended well."""
+        """Record that the load of a model has succeeded."""
         self._record_completed(LOAD_PREFIX + model)
 
     def load_admission(self, model: str) -> Admission:
-        """Whether the model may be loaded now: a load can end engines as a request
+        """Whether the model may be loaded now: a load can crash engines as a request
         can."""
         return self._ledger.admission(self._clock(), LOAD_PREFIX + model)
 
@@ -127,12 +128,12 @@
         return self.admission(call).decision is AdmissionDecision.ADMITTED
 
     def suspects(self, call: Call) -> bool:
-        """Whether runs of the request were lost and nothing has explained them yet."""
+        """Whether runs of the request were lost and haven't been explained yet."""
         return any(self._ledger.lost_runs(name) for name in _fingerprints(call))
 
     def fill(self, update: Update, peer_stream: PeerStream, own: bool) -> None:
-        """Put into a message what its receiver hasn't been told yet; ``own`` leaves out
-        what others told, unless the receiver hasn't been told anything."""
+        """Add the evidence that hasn't been sent to the receiver yet. ``own`` leaves
+        out what other processes reported, unless this is the first message to it."""
         update_filter = peer_stream.update_filter(
             "quarantine", self._ledger.version, own
         )
@@ -145,7 +146,7 @@
         update.sound.extend(unsent.sound)
 
     def take(self, update: Update, peer_stream: PeerStream) -> None:
-        """Take in what a peer tells."""
+        """Apply the evidence in a peer's message."""
         if not update.lost_runs and not update.sound:
             return
         version, now = self._ledger.version, self._clock()
@@ -178,7 +179,7 @@
             self._send_now()
 
     def settle(self, now: float) -> None:
-        """Look again at what became of backend servers where runs were lost."""
+        """Decide again which of the lost runs crashed their backend servers."""
         if self._ledger.is_empty:
             return
         fleet = self._gateway_state.fleet
@@ -194,8 +195,8 @@
 
 
 def _fingerprints(call: Call) -> tuple[str, ...]:
-    """What may end the backend servers that run the call: its whole request, or a part
-    of its prompt that others may have as well."""
+    """The fingerprints of what may crash the backend servers that run the call: the
+    whole request, and the parts of its prompt that other requests may share."""
     if call.ask is None:
         return (call.fingerprint,)
     return (call.fingerprint, *map(part_name, call.ask.shared_parts))
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine_records.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine_records.py
@@ -1,8 +1,9 @@
-"""Keeps quarantines in the key-value service.
+"""Stores quarantines in the key-value service.
 
-All processes may end at once. Without this, a request that ends engines would be given
-three more of them after each such end. A record is written once for each quarantine,
-and read once at each start of an entry; while the service is away nothing waits for it.
+All processes may end at once. Without these records, a request that crashes engines
+would be sent to three more of them after each such restart. A record is written once
+for each quarantine, and read once at each start of an entry. Nothing waits for the
+service while it is unavailable.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
     Unknown,
 )
 
-#: How often a write is tried; a quarantine that isn't recorded holds all the same.
+#: The number of attempts at a write; a quarantine that isn't recorded still holds.
 WRITE_TRIES = 10
 
 
@@ -51,11 +52,11 @@
         self._kv = kv
         self._quarantine = quarantine
         self._events = events
-        #: Whether the records of before have been read.
+        #: Whether the records of earlier processes have been read.
         self.is_loaded = False
 
     def start(self) -> None:
-        """Read what was recorded, and record from now on."""
+        """Read the stored records, and store quarantines from now on."""
         self._app.spawn("quarantine records", self._read())
         self._quarantine.on_quarantined(self._quarantined)
 
@@ -89,7 +90,7 @@
         key = quarantine_record.key_of(fingerprint)
         value = quarantine_record.encode(runs, self._app.now(), time.time())
         for _ in range(WRITE_TRIES):
-            # Others that lost a run of it write the same.
+            # Other entries that lost a run of this request write the same key.
             written = await self._kv.transact([Compare(key, 0)], [Put(key, value)])
             if not isinstance(written, (Unavailable, Unknown)):
                 return
