--- a/tests/gateway/failures/test_connections.py
+++ b/tests/gateway/failures/test_connections.py
@@ -44,13 +44,13 @@
 
 
 class TestReusedConnections(Case):
-    async def test_one_is_used_again_within_its_time(self):
+    async def test_a_connection_is_reused_within_its_idle_timeout(self):
         first, body = await self.use(0.0)
         self.assertEqual(body, b"ok")
         second, _ = await self.use(0.1)
         self.assertIs(second, first)
 
-    async def test_one_is_not_used_close_to_the_end_of_its_time(self):
+    async def test_a_connection_is_not_reused_close_to_its_idle_timeout(self):
         """Symptom: a non-idempotent call ends with an unknown outcome now and then.
 
         The backend server closes an idle connection at the moment at which a call is
@@ -63,13 +63,13 @@
         self.assertIs(second, first)
         self.assertIsNot(third, first)
 
-    async def test_one_that_is_to_be_closed_is_not_kept(self):
+    async def test_a_connection_marked_close_is_not_reused(self):
         self.extra = b"connection: close\r\n"
         first, _ = await self.use(0.0)
         second, _ = await self.use(0.0)
         self.assertIsNot(second, first)
 
-    async def test_one_that_was_closed_while_idle_is_not_used(self):
+    async def test_a_connection_closed_while_idle_is_not_reused(self):
         first, _ = await self.use(0.0)
         self.writers[0].close()
         await asyncio.sleep(0.05)
@@ -78,7 +78,7 @@
 
 
 class TestSilence(Case):
-    async def test_the_kernel_is_asked_to_notice_a_silent_other_end(self):
+    async def test_the_kernel_detects_a_silent_peer(self):
         """Symptom: calls hang until their deadline on connections that look open.
 
         The path was cut while the connection was idle; no reset ever comes.
@@ -91,7 +91,7 @@
 
 
 class TestAbandonedCalls(unittest.IsolatedAsyncioTestCase):
-    async def test_a_call_that_is_given_up_resets_its_connection(self):
+    async def test_an_abandoned_call_resets_its_connection(self):
         """Symptom: a backend server gets a call six seconds after its caller left.
 
         The path to it was cut when the call was sent. The caller leaves, the connection
@@ -124,13 +124,13 @@
 
 
 class TestLimits(Case):
-    async def test_no_more_connections_are_made_than_allowed(self):
+    async def test_no_more_connections_are_opened_than_allowed(self):
         for _ in range(2):
             await self.pool.acquire(0.0, 1.0)
         with self.assertRaises(CannotConnect):
             await self.pool.acquire(0.0, 1.0)
 
-    async def test_an_answer_cut_short_is_told_from_a_whole_one(self):
+    async def test_a_truncated_answer_raises_connection_lost(self):
         conn = await self.pool.acquire(0.0, 1.0)
         self.extra = b"transfer-encoding: chunked\r\n"
         conn.send(REQUEST, b"")
--- a/tests/gateway/failures/test_departed_callers.py
+++ b/tests/gateway/failures/test_departed_callers.py
@@ -26,7 +26,7 @@
     """The turn went to the model that had been refused most, seconds after its last
     caller had gone."""
 
-    def test_no_turn_goes_to_a_model_that_nobody_waits_for_while_others_wait(self):
+    def test_no_load_starts_for_a_model_without_callers_while_others_wait(self):
         for seed in range(8):
             shifts = [
                 (12.0, group_rates(GROUP, 0.25)),
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -73,7 +73,7 @@
         self.assertNotIn("critic", engines.plans.total_demands("tutor", {}))
         self.assertEqual(engines.plans.total_demands("judge", {})["critic"].rate, 1.0)
 
-    def test_an_entrys_own_demand_counts_where_it_is_more(self):
+    def test_an_entrys_own_demand_counts_where_it_is_higher(self):
         engines = Engines(
             App(), FakeGatewayState(), None, None, 7, samples.allocator_client()
         )
@@ -137,7 +137,7 @@
                 return model, names
         raise AssertionError("no entry that sees to a model and to the weight store")
 
-    def test_one_that_asks_for_nothing_makes_none_while_others_wait(self):
+    def test_an_entry_that_requests_nothing_plans_only_when_idle(self):
         model, names = self.entries_with_other_planner()
         self.told(model, names)
         self.engines.plans.make_plans(self.app.time)
@@ -156,7 +156,7 @@
                 return names
         raise AssertionError("no entries among which this one isn't a planner")
 
-    def test_one_of_many_that_sees_to_nothing_makes_none_at_all(self):
+    def test_an_entry_that_is_no_planner_makes_no_plans(self):
         """Symptom: the more entries, the more plans that nobody acts on.
 
         Each of 68 entries saw to a few models, and so all of them made the plan of all
@@ -170,26 +170,26 @@
             self.timers.advance(self.app.time)
         self.assertEqual(len(self.plans) - before, 0)
 
-    def test_one_that_makes_no_plan_still_tells_its_demand(self):
+    def test_an_entry_that_makes_no_plans_reports_its_demand(self):
         self.told("poet", self.entries_without_planning())
         self.engines.plans.demand("tutor").asked(self.app.time, "critic")
         self.app.time += IDLE_PLAN_INTERVAL_S
         self.timers.advance(self.app.time)
         self.assertIn("critic", self.engines.plans.own_demands("tutor"))
 
-    def test_the_one_that_sees_to_the_model_makes_one_each_beat(self):
+    def test_the_responsible_planner_plans_at_each_interval(self):
         self.told("poet", ("entry-1",))
         self.engines.plans.make_plans(self.app.time)
         self.assertEqual(self.count_plans(3), 3)
 
-    def test_one_with_a_waiting_call_makes_one_each_beat(self):
+    def test_an_entry_with_a_waiting_call_plans_at_each_interval(self):
         model, names = self.entries_with_other_planner()
         self.told(model, names)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").begin_waiting(self.app.time, "poet")
         self.assertEqual(self.count_plans(3), 3)
 
-    def test_in_a_large_fleet_plans_take_no_more_of_a_core(self):
+    def test_in_a_large_fleet_plans_are_made_less_often(self):
         """Symptom: with 39 engines and 186 models an entry that refuses a call now and
         then spends a tenth of a core on plans.
 
@@ -211,7 +211,7 @@
             self.count_plans(20), 20 * PLAN_INTERVAL_S / MAX_PLAN_INTERVAL_S + 1
         )
 
-    def test_one_whose_refused_callers_are_due_back_makes_one_each_beat(self):
+    def test_an_entry_that_expects_refused_callers_plans_at_each_interval(self):
         model, names = self.entries_with_other_planner()
         self.told(model, names)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
@@ -219,7 +219,7 @@
         self.engines.plans.make_plans(self.app.time)
         self.assertEqual(self.count_plans(3), 3)
 
-    def test_a_call_gets_a_plan_of_its_moment(self):
+    def test_a_call_gets_a_current_plan(self):
         self.engines.received(told("b1", {}))
         demand = self.engines.plans.demand("tutor")
         demand.asked(self.app.time, "poet")
@@ -234,7 +234,7 @@
         self.engines.plans.plan_for("tutor", "poet")
         self.assertEqual(len(self.plans) - before, 2)
 
-    def test_a_model_that_no_engine_can_load_is_not_planned_for_at_each_look(self):
+    def test_a_model_that_no_engine_can_load_causes_one_plan(self):
         demand = self.engines.plans.demand("tutor")
         demand.asked(self.app.time, "unheard")
         demand.begin_waiting(self.app.time, "unheard")
@@ -243,7 +243,7 @@
             self.assertIsNone(self.engines.plans.plan_for("tutor", "unheard"))
         self.assertEqual(len(self.plans) - before, 1)
 
-    def test_one_more_call_for_a_model_that_was_left_out_is_counted_at_once(self):
+    def test_a_further_call_for_an_unplanned_model_causes_a_new_plan(self):
         """Symptom: calls are refused one after the other, though together they are
         worth a load.
 
--- a/tests/gateway/failures/test_event_log.py
+++ b/tests/gateway/failures/test_event_log.py
@@ -43,7 +43,7 @@
         self.assertEqual((line["event"], line["request"]), ("answer_lost", "r-1"))
         self.assertEqual(line["instance"], "i-1")
 
-    def test_a_reader_that_stops_holds_up_nothing(self):
+    def test_a_stalled_reader_does_not_block_the_process(self):
         """Symptom: all calls stop when the log collector hangs.
 
         The pipe to it is full, and the process waits for room in it.
@@ -53,7 +53,7 @@
             events.emit(lost(number, "d" * 100))
         self.assertLessEqual(events._buffered_bytes, MAX_BUFFERED_BYTES)
 
-    def test_a_storm_of_one_kind_leaves_room_for_others(self):
+    def test_a_flood_of_one_kind_does_not_displace_others(self):
         events = EventLog("i-1", self.writer, per_s=10)
         for number in range(500):
             events.emit(lost(number))
@@ -62,7 +62,7 @@
         self.assertLess(kinds.count("answer_lost"), 30)
         self.assertIn("config_in_force", kinds)
 
-    def test_what_was_left_out_is_counted(self):
+    def test_dropped_lines_are_counted(self):
         events = EventLog("i-1", self.writer, per_s=5)
         for number in range(50):
             events.emit(lost(number))
@@ -71,7 +71,7 @@
         (line,) = [each for each in self.lines() if each["event"] == "lines_left_out"]
         self.assertGreater(line["counts"]["answer_lost"], 30)
 
-    def test_lines_of_failures_find_room_where_those_of_successes_do_not(self):
+    def test_failures_are_buffered_when_successes_are_dropped(self):
         """Symptom: after a hang of the collector the failures of that time are missing.
 
         The buffer is full of lines about what went well.
@@ -83,7 +83,7 @@
         events.emit(lost(1))
         self.assertGreater(events._buffered_bytes, before)
 
-    def test_listeners_hear_of_lines_that_are_left_out(self):
+    def test_listeners_receive_dropped_lines(self):
         events = EventLog("i-1", self.writer, per_s=5)
         heard = []
         events.on_line(heard.append)
--- a/tests/gateway/failures/test_incremental_updates.py
+++ b/tests/gateway/failures/test_incremental_updates.py
@@ -125,7 +125,7 @@
     def backend(self, instance="b1"):
         return self.gateway_state.fleet.get(instance)
 
-    def test_a_beat_keeps_figures_fresh_that_are_not_repeated(self):
+    def test_heartbeats_keep_unrepeated_figures_valid(self):
         self.receive(figures(running=3))
         for _ in range(10):
             self.clock.at += 0.6
@@ -133,14 +133,14 @@
         self.assertTrue(self.backend().agent_responsive(self.clock.at))
         self.assertEqual(self.backend().occupied(self.clock.at), 3)
 
-    def test_silence_makes_them_old_as_soon_as_ever(self):
+    def test_figures_expire_when_the_agent_is_silent(self):
         self.receive(figures(running=3))
         self.receive(Update())
         last = self.clock.at
         self.assertEqual(self.backend().occupied(last + FIGURES_TTL_S + 0.01), 0)
         self.assertFalse(self.backend().agent_responsive(last + AGENT_TIMEOUT_S))
 
-    def test_an_agent_that_began_anew_does_not_stand_for_what_the_last_one_said(self):
+    def test_a_restarted_agent_does_not_renew_its_predecessors_figures(self):
         """What goes wrong: an agent starts again and can't read its engine yet. Its
         beats would keep alive what the agent before it had said."""
         self.receive(figures(running=3))
@@ -151,7 +151,7 @@
         self.receive(Update())
         self.assertEqual(self.backend().last_received_at, sent_at)
 
-    def test_figures_of_an_engine_that_is_listed_later_are_kept_for_it(self):
+    def test_figures_received_before_the_registration_are_kept(self):
         """What goes wrong: the agent's first message comes before the registry's
         entry. It isn't repeated, so the engine would stay unknown until something
         there changes."""
@@ -163,7 +163,7 @@
         self.engines._apply_earlier_reports(self.clock.at)
         self.assertEqual(self.backend("b2").engine.running, 2)
 
-    def test_they_are_not_recalled_once_the_agent_is_silent(self):
+    def test_kept_figures_expire_when_the_agent_is_silent(self):
         self.receive(figures("b2", running=2))
         self.gateway_state.fleet.registry_changed(
             0.0, registration("b2", SERVICE, address="127.0.0.2:1")
@@ -171,14 +171,14 @@
         self.engines._apply_earlier_reports(self.clock.at + AGENT_TIMEOUT_S)
         self.assertIsNone(self.backend("b2").engine)
 
-    def test_copies_left_out_are_those_of_the_same_stream(self):
+    def test_omitted_copies_are_taken_from_the_same_stream(self):
         self.receive(figures(on_disk=frozenset({"poet"})))
         update = figures(running=1)
         update.begins, update.engine.same_copies = False, True
         self.receive(update)
         self.assertEqual(self.backend().engine.on_disk, {"poet"})
 
-    def test_a_total_holds_while_its_collector_is_heard_and_ends_with_its_silence(self):
+    def test_a_total_expires_when_its_collector_is_silent(self):
         update = figures()
         update.collected = True
         update.total_demand.extend(
@@ -194,7 +194,7 @@
         self.clock.at += 0.4
         self.assertEqual(self.engines.plans.total_demands(SERVICE, {}), {})
 
-    def test_a_collector_that_collects_no_more_takes_its_total_back(self):
+    def test_a_collector_that_stops_withdraws_its_total(self):
         update = figures()
         update.collected = True
         update.total_demand.extend(
@@ -239,7 +239,7 @@
         self.stream.last_sent["entry"] = self.engines._current_report(self.backend)
         return True
 
-    def test_what_has_not_moved_is_not_told_again(self):
+    def test_unchanged_demand_is_not_sent_again(self):
         self.assertTrue(self.take_update())
         self.assertFalse(self.take_update())
         self.engines.plans._own_demands[SERVICE] = {
@@ -247,7 +247,7 @@
         }
         self.assertFalse(self.take_update())
 
-    def test_small_steps_add_up(self):
+    def test_small_changes_accumulate(self):
         """What goes wrong: demand that fades in small steps is never told, and an
         agent keeps a model that nobody asks for."""
         self.take_update()
@@ -262,7 +262,7 @@
             self.assertLess(abs(report - rate), 0.11 * report)
         self.assertGreater(last_sent, 10)
 
-    def test_a_call_a_waiting_call_and_a_holder_are_told(self):
+    def test_calls_waiting_calls_and_holders_are_sent(self):
         self.take_update()
         self.gateway_state.fleet.get("b1").call_sent("poet")
         self.assertTrue(self.take_update())
@@ -273,12 +273,12 @@
         self.engines.plans._own_demands[SERVICE] = {"poet": Demand(1.0, 0, 2)}
         self.assertTrue(self.take_update())
 
-    def test_a_new_stream_is_told_everything(self):
+    def test_a_new_stream_gets_a_complete_update(self):
         self.take_update()
         self.stream = Stream("a1")
         self.assertTrue(self.take_update())
 
-    def test_a_call_that_waits_on_is_news_each_time(self):
+    def test_a_waiting_call_is_a_change_each_time(self):
         self.assertTrue(
             demands_changed(
                 {"m": Demand(1.0, 1, 0, 0.1)}, {"m": Demand(1.0, 1, 0, 0.5)}
@@ -286,7 +286,7 @@
         )
 
 
-class TestAgent(unittest.TestCase):
+class TestAgentUpdates(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
         self.streams = Streams()
@@ -334,13 +334,13 @@
     def in_use(self):
         return self.book.state(self.clock.at).in_use.get("tutor", 0)
 
-    def test_an_entry_that_spoke_before_the_configuration_came_is_not_lost(self):
+    def test_a_report_received_before_the_configuration_is_kept(self):
         self.receive(self.entry_update())
         self.begin()
         self.assertEqual(self.in_use(), 2)
         self.assertTrue(self.updates.has_live_entry())
 
-    def test_beats_keep_what_an_entry_said(self):
+    def test_heartbeats_keep_an_entrys_report_valid(self):
         self.begin()
         self.receive(self.entry_update())
         for _ in range(5):
@@ -349,7 +349,7 @@
             self.book.next_order(self.clock.at)
         self.assertEqual(self.in_use(), 2)
 
-    def test_a_silent_entry_is_forgotten_and_known_again_with_a_beat(self):
+    def test_a_heartbeat_restores_the_report_of_a_silent_entry(self):
         """What goes wrong: an entry is frozen for some seconds and goes on on the same
         stream. It doesn't repeat what it said, and its calls would count for nothing.
         """
@@ -364,7 +364,7 @@
         self.assertEqual(self.in_use(), 2)
         self.assertTrue(self.fill().collected)
 
-    def test_an_entry_that_begins_anew_without_figures_has_said_nothing(self):
+    def test_a_restarted_entry_discards_its_predecessors_report(self):
         self.begin()
         self.receive(self.entry_update())
         self.receive(Update(sender="e1", begins=True))
@@ -372,14 +372,14 @@
         self.receive(Update())
         self.assertFalse(self.updates.has_live_entry())
 
-    def test_what_is_the_same_is_said_once(self):
+    def test_unchanged_state_is_sent_once(self):
         self.begin()
         self.assertTrue(self.fill().HasField("engine"))
         self.clock.at += 5.0
         self.report()
         self.assertEqual(self.fill().ByteSize(), 0)
 
-    def test_a_load_figure_is_said_after_a_while_and_a_model_at_once(self):
+    def test_load_figures_are_delayed_and_models_are_sent_at_once(self):
         self.begin()
         self.fill()
         self.report(running=1)
@@ -390,7 +390,7 @@
         self.report(holdings={"tutor": frozenset(), "poet": frozenset()})
         self.assertEqual(len(self.fill().engine.holdings), 2)
 
-    def test_to_many_entries_load_figures_are_said_less_often(self):
+    def test_load_figures_are_sent_less_often_to_many_entries(self):
         """Symptom: an agent spends a quarter of a core on telling how busy it is.
 
         Each change of a load figure went out twice a second to each of 68 entries.
@@ -427,7 +427,7 @@
             stream.sent = 0
         self.report(holdings=held)
 
-    def test_a_load_is_not_told_at_once_to_those_who_do_not_look_for_it(self):
+    def test_a_load_is_sent_later_to_entries_without_interest_in_it(self):
         """Symptom: processes of a large fleet spend most of their time on streams.
 
         Each load, and each step of it, was told at once to all of 68 entries, of which
@@ -441,7 +441,7 @@
         self.report(holdings=dict.fromkeys(("tutor", "poet"), frozenset()))
         self.assertTrue(all(stream.sent for stream in others))
 
-    def test_an_entry_with_calls_for_it_is_told_at_once(self):
+    def test_a_load_is_sent_at_once_to_an_entry_with_calls_for_it(self):
         self.begin()
         self.receive(self.entry_update())
         self.add_idle_entries()
@@ -450,7 +450,7 @@
         self.report_loaded("clerk")
         self.assertTrue(self.stream.sent)
 
-    def test_an_entry_that_requested_a_load_is_told_at_once_and_brought_up_to_date(
+    def test_a_load_is_sent_at_once_to_the_entry_that_requested_it(
         self,
     ):
         self.begin()
@@ -464,7 +464,7 @@
         self.report_loaded("clerk")
         self.assertTrue(other.sent)
 
-    def test_what_is_gone_is_told_to_all_at_once(self):
+    def test_an_unload_is_sent_to_all_at_once(self):
         """What goes wrong: a call is sent to an engine that has just unloaded its
         model, and there is no second attempt."""
         self.begin()
@@ -474,7 +474,7 @@
         self.report(holdings={})
         self.assertTrue(all(stream.sent for stream in others))
 
-    def test_a_lost_engine_and_a_fencing_token_are_said_at_once(self):
+    def test_engine_loss_and_the_right_to_order_are_sent_at_once(self):
         self.begin()
         self.assertFalse(self.fill().engine.orderable)
         self.updates.set_can_order(True)
@@ -482,7 +482,7 @@
         self.updates.set_engine_responsive(False)
         self.assertTrue(self.fill().engine.silent)
 
-    def test_a_new_stream_is_told_everything_copies_too(self):
+    def test_a_new_stream_gets_copies_too(self):
         self.begin()
         self.report(on_disk=frozenset({"poet"}))
         self.clock.at += 1.0
--- a/tests/gateway/failures/test_orders.py
+++ b/tests/gateway/failures/test_orders.py
@@ -43,7 +43,7 @@
 
 
 class TestWrongInstanceAtAddress(Case):
-    def test_an_order_refused_by_another_start_is_not_repeated_at_once(self):
+    def test_an_order_refused_by_another_instance_is_not_repeated_at_once(self):
         """An engine had crashed, and its next start answered at the same address under
         a name that the registry didn't list yet. The agent went on naming the one
         before: it was refused, decided the same again and sent it, 140 times a second
@@ -63,7 +63,7 @@
         self.request_load("tutor", now=0.1)
         self.assertEqual(self.book.next_order(0.1).model, "tutor")
 
-    def test_it_is_tried_again_after_a_while(self):
+    def test_it_is_sent_again_after_the_cooldown(self):
         self.book.reported(0.0, report())
         self.request_load("tutor")
         self.send_next_order(0.0, OrderAnswer.OTHER_INSTANCE)
@@ -88,7 +88,7 @@
         self.assertEqual(self.book.next_order(0.1), first)
         self.assertEqual(first.expected, 4)
 
-    def test_a_number_that_has_moved_settles_it(self):
+    def test_a_higher_accepted_count_confirms_it(self):
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
         self.send_next_order(0.0, OrderAnswer.UNANSWERED)
@@ -96,7 +96,7 @@
         self.assertIsNone(self.book.unconfirmed)
         self.assertEqual(self.book.state(0.1).loading.model, "tutor")
 
-    def test_its_memory_counts_until_it_is_settled(self):
+    def test_its_memory_is_reserved_until_it_is_confirmed(self):
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
         self.send_next_order(0.0, OrderAnswer.UNANSWERED)
@@ -111,7 +111,7 @@
 
 
 class TestRefusedOrders(Case):
-    def test_nothing_is_ordered_while_a_model_comes(self):
+    def test_nothing_is_ordered_while_a_model_loads(self):
         """Symptom: thousands of orders for adapters, all turned down.
 
         An engine that carries out an order for a model refuses those for adapters too.
@@ -129,7 +129,7 @@
         self.assertIsNone(self.book.next_order(0.1))
         self.assertFalse(self.book.state(0.1).orderable)
 
-    def test_a_conflict_without_a_moved_number_frees_the_order(self):
+    def test_a_conflict_with_an_unchanged_count_releases_the_order(self):
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
         order = self.send_next_order(0.0, OrderAnswer.CONFLICT)
@@ -139,7 +139,7 @@
 
 
 class TestRestarts(Case):
-    def test_a_new_start_of_the_engine_knows_nothing_of_the_last(self):
+    def test_a_restart_discards_the_unconfirmed_order(self):
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
         self.send_next_order(0.0, OrderAnswer.UNANSWERED)
@@ -163,7 +163,7 @@
     def report_restart(self, now, accepted=0, **fields):
         self.book.reported(now, report(accepted=accepted, started_ms=2, **fields))
 
-    def test_the_expected_number_starts_anew(self):
+    def test_the_expected_count_is_that_of_the_new_start(self):
         for accepted in (0, 4, 9):
             self.setUp()
             self.request_load("tutor")
@@ -174,14 +174,14 @@
             order = self.book.next_order(0.1)
             self.assertEqual((order.model, order.expected), ("tutor", accepted))
 
-    def test_a_load_of_the_start_before_is_over(self):
+    def test_a_load_of_the_previous_start_is_over(self):
         self.request_load("tutor")
         self.send_next_order(0.0, OrderAnswer.ACCEPTED)
         self.report_restart(0.1, accepted=9)
         self.assertIsNone(self.book.state(0.1).loading)
         self.assertEqual(self.book.state(0.1).started_ms, 2)
 
-    def test_a_report_of_the_start_before_changes_nothing(self):
+    def test_a_report_of_the_previous_start_is_ignored(self):
         self.report_restart(0.1)
         self.request_load("tutor", now=0.1)
         self.send_next_order(0.1, OrderAnswer.ACCEPTED)
@@ -190,7 +190,7 @@
         self.assertEqual(self.book.state(0.2).loading.model, "tutor")
         self.assertIsNone(self.book.next_order(0.2))
 
-    def test_an_earlier_start_that_is_told_for_long_is_the_next_one(self):
+    def test_an_earlier_start_time_is_accepted_after_the_takeover_silence(self):
         """The clock was set back between the two starts."""
         self.report_restart(0.1)
         self.book.reported(1.0, report(started_ms=1))
@@ -198,7 +198,7 @@
         self.book.reported(0.1 + TAKEOVER_SILENCE_S, report(started_ms=1))
         self.assertEqual(self.book.report.started_ms, 1)
 
-    def test_calls_on_the_start_before_hold_no_model(self):
+    def test_calls_on_the_previous_start_do_not_keep_a_model_in_use(self):
         self.book.entry_reported(0.0, "e1", {}, {"clerk": 3})
         self.report_restart(0.1)
         self.assertEqual(self.book.state(0.1).in_use, {})
@@ -209,7 +209,7 @@
         self.request_load("tutor")
         self.send_next_order(0.0, OrderAnswer.UNANSWERED)
 
-    def test_nothing_is_ordered_that_leaves_no_room_for_a_late_order(self):
+    def test_memory_is_reserved_for_a_late_order(self):
         """The late order takes effect once the number is the one that it names."""
         self.send_unanswered_load(accepted=1)
         self.report_restart(1.0, holdings=["poet"])
@@ -219,7 +219,7 @@
         order = self.book.next_order(1.0)
         self.assertEqual((order.kind, order.model), (OrderKind.LOAD, "tutor"))
 
-    def test_a_late_order_is_waited_for_no_longer_than_it_can_take(self):
+    def test_the_reservation_for_a_late_order_expires(self):
         self.send_unanswered_load(accepted=1)
         self.report_restart(1.0, holdings=["poet"])
         self.request_load("clerk", now=1.0)
@@ -228,7 +228,7 @@
         self.request_load("clerk", now=now)
         self.assertEqual(self.book.next_order(now).model, "clerk")
 
-    def test_a_late_order_counts_though_a_copy_of_it_was_answered(self):
+    def test_memory_is_reserved_though_a_repetition_was_answered(self):
         self.send_unanswered_load(accepted=1)
         self.book.reported(0.05, report(accepted=1, started_ms=1))
         self.send_next_order(0.05, OrderAnswer.ACCEPTED)
@@ -236,7 +236,7 @@
         self.request_load("clerk", now=1.0)
         self.assertIsNone(self.book.next_order(1.0))
 
-    def test_a_late_order_whose_number_is_past_costs_no_room(self):
+    def test_no_memory_is_reserved_for_an_outdated_expected_count(self):
         self.send_unanswered_load(accepted=1)
         for accepted in (1, 2):
             self.report_restart(0.1 + accepted, accepted, holdings=["poet"])
@@ -246,7 +246,7 @@
 
 
 class TestMemory(Case):
-    def test_room_is_made_before_a_model_is_loaded(self):
+    def test_a_model_is_evicted_before_another_is_loaded(self):
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
         self.book.entry_reported(0.0, "e1", {"tutor": Demand(5.0)}, {})
         self.request_load("clerk")
@@ -256,7 +256,7 @@
         order = self.book.next_order(0.2)
         self.assertEqual((order.kind, order.model), (OrderKind.LOAD, "clerk"))
 
-    def test_while_room_is_made_the_load_counts_as_begun(self):
+    def test_the_load_is_reported_during_the_eviction(self):
         """Symptom: the weight store is asked for each model twice.
 
         While an engine unloads one model for another it looked merely busy, so entries
@@ -276,7 +276,7 @@
         self.send_next_order(0.0, OrderAnswer.ACCEPTED)
         self.assertNotIn("poet", self.book.state(0.0).holdings)
 
-    def test_a_model_just_loaded_keeps_its_turn(self):
+    def test_a_model_just_loaded_is_not_evicted(self):
         self.book.reported(0.0, report(holdings=["poet"]))
         self.request_load("tutor")
         self.send_next_order(0.0, OrderAnswer.ACCEPTED)
@@ -285,7 +285,7 @@
         self.request_load("clerk", now=6.0)
         self.assertIsNone(self.book.next_order(6.0))
 
-    def test_an_idle_adapter_makes_way_for_another(self):
+    def test_an_idle_adapter_is_evicted_for_another(self):
         adapters = {"tutor": frozenset({"a1", "a2"})}
         self.book.reported(9.0, report(adapters=adapters))
         self.book.entry_reported(9.0, "e1", {}, {"tutor/a1": 1})
@@ -293,7 +293,7 @@
         order = self.book.next_order(9.0)
         self.assertEqual((order.kind, order.adapter), (OrderKind.UNLOAD, "a2"))
 
-    def test_a_model_without_a_description_fills_the_memory(self):
+    def test_a_model_of_unknown_size_fills_the_memory(self):
         self.book.reported(0.0, report(holdings=["unknown"]))
         self.request_load("tutor")
         self.assertIsNone(self.book.next_order(0.0))
--- a/tests/gateway/failures/test_peer_streams.py
+++ b/tests/gateway/failures/test_peer_streams.py
@@ -20,7 +20,7 @@
         self.lines.append(line)
 
 
-class TestMessages(unittest.IsolatedAsyncioTestCase):
+class TestPeerStreamUpdates(unittest.IsolatedAsyncioTestCase):
     """What one side of a stream sends, first and later."""
 
     async def asyncSetUp(self):
@@ -36,9 +36,9 @@
 
         self.events = Events()
         self.gateway_state = GatewayState(Directory(), self.events, lambda: 0.0)
-        self.peer_stream = self.new()
+        self.peer_stream = self.new_peer_stream()
 
-    def new(self):
+    def new_peer_stream(self):
         return PeerStream("e1", self.gateway_state, self.fill, lambda: 1, 60.0)
 
     @staticmethod
@@ -47,33 +47,33 @@
             peer_stream.last_sent["said"] = True
             update.entry.collect = True
 
-    def peer(self, begins=True, complete=None):
+    def peer_update(self, begins=True, complete=None):
         return Update(sender="a1", begins=begins, complete=complete or {})
 
-    async def test_the_first_message_is_whole_and_a_beat_is_empty(self):
+    async def test_the_first_update_is_complete_and_a_heartbeat_is_empty(self):
         first = self.peer_stream._next_update()
         self.assertTrue(first.begins and first.entry.collect)
-        self.peer_stream.heard(self.peer())
+        self.peer_stream.heard(self.peer_update())
         self.peer_stream._next_update()
         self.peer_stream._next_update()
         self.assertEqual(self.peer_stream._next_update().ByteSize(), 0)
 
-    async def test_until_the_peer_has_spoken_everything_is_said_again(self):
+    async def test_updates_are_complete_until_the_peer_has_sent_one(self):
         self.peer_stream._next_update()
         again = self.peer_stream._next_update()
         self.assertTrue(again.begins and again.entry.collect)
 
-    async def test_a_peer_of_an_earlier_version_is_told_everything_each_time(self):
+    async def test_updates_to_a_peer_of_an_earlier_version_are_complete(self):
         """What goes wrong: it takes what isn't repeated for gone, and would hold this
         side silent."""
-        self.peer_stream.heard(self.peer(begins=False))
+        self.peer_stream.heard(self.peer_update(begins=False))
         for _ in range(3):
             update = self.peer_stream._next_update()
             self.assertEqual(update.sender, "e1")
             self.assertTrue(update.HasField("entry"))
 
-    async def test_a_new_revision_is_told_once(self):
-        self.peer_stream.heard(self.peer())
+    async def test_a_new_revision_is_sent_once(self):
+        self.peer_stream.heard(self.peer_update())
         self.peer_stream._next_update()
         self.peer_stream._next_update()
         self.gateway_state.mark_complete({"servers/": 8})
@@ -84,13 +84,13 @@
         self.gateway_state.mark_complete({"servers/": 7})
         self.assertEqual(self.peer_stream._next_update().ByteSize(), 0)
 
-    async def test_a_beat_does_not_take_back_what_the_peer_has(self):
-        self.peer_stream.heard(self.peer(complete={"servers/": 8}))
+    async def test_a_heartbeat_does_not_reset_the_peers_revisions(self):
+        self.peer_stream.heard(self.peer_update(complete={"servers/": 8}))
         self.peer_stream.heard(Update())
         self.peer_stream.document(Changed(Record("servers/b1", b"", 8)))
         self.assertTrue(self.peer_stream._documents.is_empty)
 
-    async def test_a_heartbeat_of_a_backend_server_is_not_passed_on(self):
+    async def test_a_registry_heartbeat_is_not_forwarded(self):
         """Symptom: a fleet at rest spends most of its processor time on telling.
 
         Each backend server writes its entry about once a second. Each of those writes
@@ -104,7 +104,7 @@
             self.gateway_state.apply_document(Changed(record), "store")
         self.assertEqual(len(passed_on), 1)
 
-    async def test_what_the_agent_tells_itself_is_not_passed_on(self):
+    async def test_registry_changes_that_the_agent_reports_are_not_forwarded(self):
         """Symptom: entries of a large fleet spend a sixth of their work on documents.
 
         Each load and unload changed what the registry says of an engine, and each
@@ -112,21 +112,21 @@
         """
         passed_on = []
         self.gateway_state.on_document(passed_on.append)
-        self.hold({"tutor"}, revision=3)
+        self.apply_registration({"tutor"}, revision=3)
         state = engine_state("b1", ("tutor",))
         self.gateway_state.fleet.engine_reported(0.0, state)
-        self.hold({"poet"}, revision=4)
+        self.apply_registration({"poet"}, revision=4)
         self.assertEqual(len(passed_on), 1)
         self.assertEqual(self.gateway_state.changed.count, 1)
 
-    async def test_what_only_the_registry_tells_is_passed_on(self):
+    async def test_registry_changes_without_an_agent_are_forwarded(self):
         passed_on = []
         self.gateway_state.on_document(passed_on.append)
-        self.hold({"tutor"}, revision=3)
-        self.hold({"poet"}, revision=4)
+        self.apply_registration({"tutor"}, revision=3)
+        self.apply_registration({"poet"}, revision=4)
         self.assertEqual(len(passed_on), 2)
 
-    def hold(self, models, revision):
+    def apply_registration(self, models, revision):
         self.gateway_state._directory.registration = lambda record: registration(
             "b1",
             revision=revision,
@@ -136,7 +136,7 @@
             Changed(Record("servers/b1", b"", revision)), "store"
         )
 
-    async def test_a_late_write_of_an_earlier_start_is_not_passed_on(self):
+    async def test_a_late_write_of_a_previous_start_is_not_forwarded(self):
         """Symptom: an agent takes its engine for an earlier start of it.
 
         A write was held up until after the engine's restart. Who reads the registry has
@@ -156,7 +156,7 @@
             self.gateway_state.apply_document(Changed(record), "store")
         self.assertEqual([one.record.mod_revision for one in passed_on], [3])
 
-    async def test_a_peer_that_reads_the_registry_seldom_is_not_told_what_it_reads(
+    async def test_forwarding_waits_for_the_peers_own_read_of_the_registry(
         self,
     ):
         """Symptom: each change of the registry crosses every stream after all.
@@ -164,19 +164,19 @@
         Where more time is allowed until a leaving backend server gets no work, the
         registry is read less often, and a peer was told meanwhile what it was to read.
         """
-        self.peer_stream.heard(self.peer(complete={"servers/": 7}))
+        self.peer_stream.heard(self.peer_update(complete={"servers/": 7}))
         self.gateway_state.batch_delay_s = 1.2
         self.peer_stream.document(Changed(Record("servers/b1", b"", 8)))
         due = self.peer_stream._documents.next_due()
         self.assertGreater(due - asyncio.get_running_loop().time(), 1.2 + 0.8)
 
-    async def test_a_peer_hears_of_a_higher_revision_with_the_next_message(self):
+    async def test_a_higher_registry_revision_causes_no_extra_update(self):
         last_sent = []
         self.gateway_state.on_complete(lambda: last_sent.append(1))
         self.gateway_state.mark_complete({"servers/": 8})
         self.assertEqual(last_sent, [])
 
-    async def test_a_peer_hears_soon_that_a_configuration_has_come(self):
+    async def test_a_new_configuration_is_reported_immediately(self):
         last_sent = []
         self.gateway_state.on_complete(lambda: last_sent.append(1))
         self.gateway_state._directory.config = lambda record: Unreadable("none")
@@ -184,47 +184,53 @@
         self.gateway_state.mark_complete({"op/": 9})
         self.assertEqual(last_sent, [1])
 
-    async def test_a_configuration_that_is_passed_on_is_logged(self):
+    async def test_a_forwarded_configuration_is_logged(self):
         self.gateway_state._directory.config = lambda record: Unreadable("none")
-        self.peer_stream.heard(self.peer(complete={"op/": 6, "servers/": 40}))
+        self.peer_stream.heard(self.peer_update(complete={"op/": 6, "servers/": 40}))
         change = Changed(Record("op/config", b"12345", 9))
         self.gateway_state.apply_document(change, "store")
         self.peer_stream._documents.add(0.0, change, rank=0)
         self.peer_stream._next_update()
         line = self.events.lines[-1]
         self.assertEqual(
-            (line.event, line.revision, line.size_bytes, line.peer, line.peer_has),
+            (
+                line.event,
+                line.revision,
+                line.size_bytes,
+                line.peer_update,
+                line.peer_has,
+            ),
             ("config_passed_on", 9, 5, "a1", 6),
         )
 
-    def learn_config(self, revision, source):
+    def apply_config(self, revision, source):
         self.gateway_state._directory.config = lambda record: Unreadable("none")
         change = Changed(Record("op/config", b"12345", revision))
         self.gateway_state.apply_document(change, source)
 
-    async def test_who_has_a_configuration_from_a_peer_says_so(self):
+    async def test_a_configuration_received_from_a_peer_is_acknowledged(self):
         """Symptom: a store that loses answers has links filled with configurations.
 
         Who learnt one from a peer didn't know that it had all up to there, and so never
         said that it had it. All others sent it once more, its sender was sent it back.
         """
-        self.peer_stream.heard(self.peer(complete={"op/": 6}))
+        self.peer_stream.heard(self.peer_update(complete={"op/": 6}))
         self.peer_stream._next_update()
         last_sent = []
         self.gateway_state.on_complete(lambda: last_sent.append(1))
-        self.learn_config(9, "a1")
+        self.apply_config(9, "a1")
         self.assertEqual(last_sent, [1])
         self.assertEqual(
             dict(self.peer_stream._next_update().complete), {"op/config": 9}
         )
 
     async def test_a_configuration_is_not_sent_back(self):
-        update = self.peer(complete={"op/": 6, "op/config": 9})
+        update = self.peer_update(complete={"op/": 6, "op/config": 9})
         self.peer_stream.heard(update)
-        self.learn_config(9, "a1")
+        self.apply_config(9, "a1")
         self.assertTrue(self.peer_stream._documents.is_empty)
 
-    async def test_a_write_that_says_nothing_new_wakes_nobody(self):
+    async def test_a_write_without_changes_notifies_nobody(self):
         for revision in (3, 4, 5):
             record = Record("servers/b1", b"", revision)
             self.gateway_state.apply_document(Changed(record), "store")
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -44,12 +44,12 @@
     holds nothing. All that was known stood under its name, and went on to count.
     """
 
-    def test_its_holdings_and_figures_are_forgotten(self):
+    def test_holdings_and_load_figures_are_discarded(self):
         second = self.restart()
         self.assertEqual(second.holdings, {})
         self.assertFalse(second.agent_responsive(1.0))
 
-    def test_marks_against_it_are_forgotten(self):
+    def test_denials_and_unreachability_are_discarded(self):
         self.first.record_denial(1.0, "poet", "")
         self.first.mark_unreachable(1.0)
         second = self.restart(holdings={"poet": frozenset()})
@@ -57,14 +57,14 @@
         self.fleet.engine_reported(1.0, reported_state(SECOND_MS, silent=True))
         self.assertFalse(second.lost(1.0))
 
-    def test_that_it_was_leaving_does_not_hold_for_the_second_start(self):
+    def test_leaving_does_not_carry_over_to_the_next_start(self):
         leaving = registration(FIRST_MS, leaving=True, revision=2)
         self.fleet.registry_changed(0.5, leaving)
         self.assertEqual(self.fleet.of_service("llm"), [])
         second = self.restart()
         self.assertEqual(self.fleet.of_service("llm"), [second])
 
-    def test_a_start_that_is_not_known_says_nothing(self):
+    def test_an_unknown_start_time_does_not_replace_the_current_start(self):
         self.fleet.registry_changed(1.0, registration(None, revision=5))
         self.assertIs(self.fleet.get("b1"), self.first)
         self.assertEqual(self.first.incarnation.started_ms, FIRST_MS)
@@ -78,7 +78,7 @@
     the second start.
     """
 
-    def test_their_ends_free_no_place_at_the_second(self):
+    def test_their_ends_free_no_slot_at_the_next_start(self):
         self.first.call_sent("tutor")
         second = self.restart()
         second.call_sent("tutor")
@@ -86,7 +86,7 @@
         self.assertEqual(second.in_flight, 1)
         self.assertEqual(second.in_flight_by_model, {"tutor": 1})
 
-    def test_whoever_waits_there_learns_that_it_is_lost(self):
+    def test_calls_waiting_there_see_it_as_lost(self):
         self.assertFalse(self.first.lost(0.5))
         self.restart()
         self.assertTrue(self.first.lost(0.5))
@@ -106,7 +106,7 @@
         self.fleet.engine_reported(1.0, reported_state(SECOND_MS, ["poet"]))
         self.second = self.fleet.get("b1")
 
-    def test_its_word_begins_the_second_start(self):
+    def test_its_report_replaces_the_previous_start(self):
         self.assertIsNot(self.second, self.first)
         self.assertEqual(set(self.second.holdings), {"poet"})
         self.assertEqual(self.fleet.of_service("llm"), [self.second])
@@ -114,7 +114,7 @@
     def test_the_registry_lists_the_same_start_later(self):
         self.assertIs(self.restart(2.0), self.second)
 
-    def test_the_end_of_the_entry_before_leaves_it_time_to_be_listed(self):
+    def test_removal_of_the_previous_registration_starts_the_grace_period(self):
         self.fleet.registry_removed(2.0, "b1")
         self.assertEqual(self.fleet.sweep(2.0), [])
         self.assertIs(self.fleet.get("b1"), self.second)
@@ -128,7 +128,7 @@
     is known; a write of the start before may even have the higher revision.
     """
 
-    def test_of_the_registry(self):
+    def test_late_registration_is_ignored(self):
         second = self.restart()
         late = registration(
             FIRST_MS, leaving=True, revision=9, holdings={"tutor": frozenset()}
@@ -138,7 +138,7 @@
         self.assertEqual(second.registration.revision, 5)
         self.assertEqual(self.fleet.of_service("llm"), [second])
 
-    def test_of_its_agent(self):
+    def test_late_agent_report_is_ignored(self):
         second = self.restart()
         self.assertFalse(
             self.fleet.engine_reported(2.0, reported_state(FIRST_MS, ["tutor"]))
@@ -156,7 +156,7 @@
 
     BACK_MS = FIRST_MS - 60_000
 
-    def test_it_counts_once_nothing_is_heard_of_the_start_before(self):
+    def test_registration_counts_after_the_takeover_silence(self):
         back = registration(self.BACK_MS, revision=5)
         self.assertFalse(self.fleet.registry_changed(1.0, back))
         back = registration(self.BACK_MS, revision=6)
@@ -164,14 +164,14 @@
         self.assertIsNot(self.fleet.get("b1"), self.first)
         self.assertTrue(self.first.replaced)
 
-    def test_its_agents_word_does_too(self):
+    def test_agent_report_counts_after_the_takeover_silence(self):
         self.assertFalse(self.fleet.engine_reported(1.0, reported_state(self.BACK_MS)))
         self.assertTrue(
             self.fleet.engine_reported(TAKEOVER_SILENCE_S, reported_state(self.BACK_MS))
         )
         self.assertEqual(self.fleet.get("b1").incarnation.started_ms, self.BACK_MS)
 
-    def test_word_of_the_start_that_lives_renews_its_time(self):
+    def test_reports_of_the_current_start_extend_the_takeover_silence(self):
         self.fleet.engine_reported(
             TAKEOVER_SILENCE_S - 1, reported_state(FIRST_MS, ["tutor"])
         )
@@ -187,7 +187,7 @@
     as outdated by it.
     """
 
-    def test_the_address_of_the_start_before_is_free(self):
+    def test_the_address_of_the_previous_start_is_free(self):
         self.restart(address="127.0.0.1:2")
         other = samples.registration("b2", service="llm", revision=3)
         self.fleet.registry_changed(1.0, other)
@@ -202,7 +202,7 @@
     Cut off at the right moment, it looked like one that ran at full speed.
     """
 
-    def test_a_load_that_its_engine_did_not_survive_has_not_ended(self):
+    def test_a_load_cut_off_by_a_crash_is_not_counted_as_ended(self):
         spec = samples.engine(samples.model("tutor", load_s=6.0))
         speed = StoreConcurrency(1)
         self.fleet.registry_changed(0.0, samples.registration("b2", service="llm"))
@@ -233,32 +233,32 @@
         report = EngineReport("", {}, 3, started_ms=report_ms)
         return with_identity(report, registration(listed_ms))
 
-    def test_its_own_word_on_its_start_counts(self):
+    def test_the_reports_own_start_time_takes_precedence(self):
         self.assertEqual(
             self.name(SECOND_MS, FIRST_MS).incarnation, Incarnation("b1", SECOND_MS)
         )
 
-    def test_the_registrys_counts_if_it_has_none(self):
+    def test_without_one_the_registered_start_time_is_used(self):
         self.assertEqual(
             self.name(None, FIRST_MS).incarnation, Incarnation("b1", FIRST_MS)
         )
 
-    def test_one_of_an_ended_start_is_nobodys(self):
+    def test_a_report_of_a_previous_start_is_dropped(self):
         self.assertIsNone(self.name(FIRST_MS, SECOND_MS))
 
-    def test_one_from_an_address_that_nobody_has_is_nobodys(self):
+    def test_a_report_from_an_unregistered_address_is_dropped(self):
         self.assertIsNone(
             with_identity(EngineReport("", {}, 3), registration_at([], "127.0.0.1:1"))
         )
 
 
 class TestEngineMessages(unittest.TestCase):
-    def test_the_start_travels_with_the_figures(self):
+    def test_the_start_time_is_sent_with_the_state(self):
         for started_ms in (FIRST_MS, None):
             message = message_codec.engine_message(reported_state(started_ms))
             self.assertEqual(message_codec.engine_state(message).started_ms, started_ms)
 
-    def test_copies_of_the_start_before_are_not_carried_over(self):
+    def test_copies_of_the_previous_start_are_not_carried_over(self):
         """Symptom: a load from memory is planned at an engine that has just started.
 
         A message leaves out the copies if they are as the one before told them. The
--- a/tests/gateway/failures/test_stalls.py
+++ b/tests/gateway/failures/test_stalls.py
@@ -26,10 +26,10 @@
         self._loop = asyncio.get_running_loop()
         self._reading = None
         self.cancelled = False
-        self.speaks = threading.Event()
-        self.speaks.set()
+        self.is_sending = threading.Event()
+        self.is_sending.set()
         self.ended = threading.Event()
-        self._thread = threading.Thread(target=self._speak, daemon=True)
+        self._thread = threading.Thread(target=self._send_updates, daemon=True)
         self._thread.start()
 
     def end(self):
@@ -37,9 +37,9 @@
         self.ended.set()
         self._thread.join()
 
-    def _speak(self):
+    def _send_updates(self):
         while not self.ended.wait(0.1):
-            if self.speaks.is_set():
+            if self.is_sending.is_set():
                 update = Update(sender="agent-1")
                 self._loop.call_soon_threadsafe(self._updates.put_nowait, update)
 
@@ -79,7 +79,7 @@
         loop = asyncio.get_running_loop()
         self.events, self.channels = Events(), Channels()
         self.running = RunningClock(loop.time())
-        self.heard = []
+        self.received_at = []
         gateway_state = GatewayState(Directory(), self.events, loop.time)
         exchanger = Exchanger(
             "entry-1",
@@ -89,7 +89,9 @@
             lambda: self.running.running_time(loop.time()),
         )
         stream = exchanger.keep_open(
-            "10.0.0.1:7", lambda *_: None, lambda *_: self.heard.append(loop.time())
+            "10.0.0.1:7",
+            lambda *_: None,
+            lambda *_: self.received_at.append(loop.time()),
         )
         self.tasks = [loop.create_task(stream), loop.create_task(self.tick())]
 
@@ -105,7 +107,7 @@
             self.running.tick(asyncio.get_running_loop().time())
             await asyncio.sleep(TICK_S)
 
-    async def test_they_are_kept_if_the_peers_went_on_speaking(self):
+    async def test_streams_are_kept_if_the_peers_went_on_sending(self):
         """An entry stood still for 2 s, and in the same second gave up its streams to
         30 agents that had spoken all the while: 285 lines peer_silent in 12 s. Opening
         them anew, with everything said once more, took the little time that it got.
@@ -114,9 +116,9 @@
         time.sleep(2.0)
         await asyncio.sleep(0.5)
         self.assertEqual(len(self.channels.calls), 1)
-        self.assertGreater(len(self.heard), 3)
+        self.assertGreater(len(self.received_at), 3)
 
-    async def test_one_cancelled_as_its_peer_falls_silent_ends(self):
+    async def test_a_stream_cancelled_as_its_peer_falls_silent_ends(self):
         """The engine of a silent agent left the registry in the same turn of the loop
         in which the silence was noticed. The cancellation of the stream was taken for
         that of its call: the stream was opened anew, and again, and nobody held it."""
@@ -130,13 +132,13 @@
             stream.cancel()
 
         call.cancel = cancel
-        call.speaks.clear()
+        call.is_sending.clear()
         await asyncio.sleep(2.5)
         self.assertTrue(stream.done())
 
-    async def test_one_whose_peer_is_silent_is_still_given_up(self):
+    async def test_a_stream_whose_peer_is_silent_is_closed(self):
         await asyncio.sleep(0.3)
-        self.channels.calls[0].speaks.clear()
+        self.channels.calls[0].is_sending.clear()
         await asyncio.sleep(2.2)
         self.assertTrue(self.channels.calls[0].cancelled)
         self.assertEqual(len(self.channels.calls), 2)
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -39,7 +39,7 @@
                     self.replay(seed).longest_store_idle_s(), MAX_STORE_IDLE_S
                 )
 
-    def test_everybody_is_served_that_the_store_can_serve(self):
+    def test_no_model_or_adapter_starves(self):
         for seed in range(5):
             with self.subTest(seed=seed):
                 self.assertEqual(self.replay(seed).starved(), [])
@@ -49,7 +49,7 @@
     """A model whose callers were all refused was passed over by each busier one that
     lost its copies later."""
 
-    def test_models_that_come_later_do_not_pass_it_over_for_ever(self):
+    def test_models_that_lose_copies_later_do_not_starve_it(self):
         later = [f"m{number}" for number in range(16)]
         rates = {"early": 0.4, **dict.fromkeys(later, 1.2)}
         losses = [(2.4 * number, model) for number, model in enumerate(later)]
@@ -79,7 +79,7 @@
 class TestModelsWhoseCallersAreAllRefused(unittest.TestCase):
     """Another model took the store's turn each time, for a caller who could wait."""
 
-    def test_the_one_refused_most_goes_first(self):
+    def test_the_model_refused_most_is_loaded_first(self):
         names = ("refused", "waited")
         spec = samples.engine(*[samples.model(name, load_s=13.0) for name in names])
         demands = {
@@ -93,7 +93,7 @@
 class TestAdaptersOfNewlyLoadedModel(unittest.TestCase):
     """Its one engine took a load of 13 s: no call had missed an adapter yet."""
 
-    def test_a_long_load_goes_elsewhere(self):
+    def test_a_long_load_is_planned_at_another_engine(self):
         plain = [f"p{number}" for number in range(4)]
         models = [samples.model("tutor", adapters=10, load_s=13.0)]
         rare = [f"r{number}" for number in range(20)]
@@ -145,11 +145,11 @@
         with mock.patch.object(Placement, "_plan_snapshot", return_value=None):
             return (await placement.place()).come_back_s
 
-    async def test_they_are_told_when_the_model_is_to_be_there(self):
+    async def test_the_delay_is_the_planned_time_until_the_model_is_ready(self):
         planned = PlannedLoad("tutor", "", 26.0, False, True)
         self.assertEqual(await self.told(planned), 26.0)
 
-    async def test_without_a_plan_they_are_told_to_come_back_soon(self):
+    async def test_without_a_plan_the_delay_is_short(self):
         self.assertEqual(await self.told(None), UNPLANNED_RETRY_S)
 
 
@@ -173,7 +173,7 @@
         held = samples.engine_state("b1", ["tutor"])
         self.assertEqual(self.requested(3.0, held), [("tutor", "physics")])
 
-    def test_an_engine_in_a_load_takes_none(self):
+    def test_none_are_loaded_during_another_load(self):
         loading = Loading("poet", 9.0, True)
         held = samples.engine_state("b1", ["tutor"], loading=loading, busy=True)
         self.assertEqual(self.requested(3.0, held), [])
--- a/tests/gateway/failures/test_store_load_requests.py
+++ b/tests/gateway/failures/test_store_load_requests.py
@@ -69,7 +69,7 @@
         plans.make_plans(app.at)
         return app, plans, requested
 
-    def test_of_all_entries_one_gives_it(self):
+    def test_exactly_one_entry_requests_the_load(self):
         giving = set()
         for instance in planners(ENTRIES):
             for first in MODELS:
@@ -79,7 +79,7 @@
                     giving.add(instance)
         self.assertEqual(len(giving), 1)
 
-    def test_the_log_tells_which_turn_was_given(self):
+    def test_the_log_line_has_the_start_reason(self):
         asked = []
         for instance in planners(ENTRIES):
             self.entry(instance, {"m1": Demand(0.5, 2)})
@@ -88,7 +88,7 @@
         (line,) = asked
         self.assertEqual((line.turn, line.full_speed), ("free", 1))
 
-    def test_an_entry_does_not_change_its_mind_until_the_agent_has_spoken(self):
+    def test_an_entry_keeps_its_choice_until_the_agent_reports(self):
         for instance in planners(ENTRIES):
             first = {**dict.fromkeys(MODELS, Demand(0.1, 1)), "m1": Demand(0.5, 2)}
             app, plans, requested = self.entry(instance, first)
@@ -126,11 +126,11 @@
             plans.make_plans(app.at)
         return requested
 
-    def test_a_model_whose_load_is_not_admitted_takes_no_turn(self):
+    def test_a_load_that_is_not_admitted_takes_no_slot(self):
         requested = self.plans(admits=lambda model: model != "m1")
         self.assertEqual(set(requested), {"m2"})
 
-    def test_agents_that_do_not_begin_one_are_not_asked_for_it_again_at_once(self):
+    def test_a_load_that_does_not_start_is_not_requested_again_at_once(self):
         self.assertEqual(set(self.plans(admits=lambda model: True)), {"m1", "m2"})
 
 
@@ -145,16 +145,16 @@
         )
         return [load.model for load in chosen]
 
-    def test_what_was_asked_for_takes_a_turn(self):
+    def test_a_requested_load_takes_a_slot(self):
         self.assertEqual(self.choose(1.0, "m1"), ["m1"])
         self.assertEqual(self.choose(1.1, "m2"), ["m1"])
         self.assertEqual(self.choose(1.2, "m2", "m3"), ["m1", "m2"])
 
-    def test_one_that_its_agent_tells_of_takes_none_any_more(self):
+    def test_a_reported_load_takes_no_slot_of_requests(self):
         self.choose(1.0, "m1")
         self.assertEqual(self.choose(1.1, "m2", reported={"m1"}), ["m2"])
 
-    def test_one_that_its_agent_does_not_begin_is_given_up(self):
+    def test_a_request_expires_if_its_load_does_not_start(self):
         self.choose(1.0, "m1")
         self.assertEqual(self.choose(1.1 + REPORT_TIMEOUT_S, "m2"), ["m2"])
 
@@ -177,20 +177,20 @@
         )
         return [load.model for load in chosen]
 
-    def test_nothing_more_is_tried_beside_it(self):
+    def test_no_second_probe_starts_beside_it(self):
         self.assertEqual(self.choose(1.0, "m1", "b1"), ["m1"])
         self.listed.remove("b1")
         self.assertEqual(self.choose(1.1, "m2", "b2"), [])
         self.assertFalse(self.load_requests.may_probe(1.1))
         self.assertTrue(self.load_requests.may_probe(1.1 + PROBE_RETRY_S))
 
-    def test_nor_if_its_agent_had_told_of_it(self):
+    def test_no_second_probe_starts_if_the_first_was_reported(self):
         self.choose(1.0, "m1", "b1")
         self.choose(1.1, "m1", "b1", reported={"m1"})
         self.listed.remove("b1")
         self.assertEqual(self.choose(1.2, "m2", "b2"), [])
 
-    def test_one_that_has_ended_holds_nothing_back(self):
+    def test_an_ended_probe_does_not_block_the_next(self):
         self.choose(1.0, "m1", "b1")
         self.choose(1.1, "m1", "b1", reported={"m1"})
         self.choose(7.0, "m2", "b2")
--- a/tests/gateway/failures/test_store_loads.py
+++ b/tests/gateway/failures/test_store_loads.py
@@ -87,7 +87,7 @@
     waiting for it; each load begun that way made the next one seem so, too.
     """
 
-    def test_no_load_begins_that_the_store_can_only_serve_much_later(self):
+    def test_no_load_starts_that_would_be_slowed_down_much(self):
         for full_speed_loads in (1, 2, 4):
             with self.subTest(full_speed_loads=full_speed_loads):
                 store = SimulatedStore(full_speed_loads, models=10, waiting=8)
--- a/tests/gateway/randomised/test_orders.py
+++ b/tests/gateway/randomised/test_orders.py
@@ -175,14 +175,14 @@
 
 
 class TestOrders(unittest.TestCase):
-    def test_the_engine_is_never_ordered_beyond_its_memory(self):
+    def test_orders_never_exceed_the_memory_of_an_engine(self):
         for seed in range(profiles.scale(60, 4000)):
             with self.subTest(seed=seed):
                 loads = simulate(seed, 300)
                 counting.add("gateway orders", 300)
                 self.assertGreater(loads, 5)
 
-    def test_seed_7075_of_starts_under_one_name(self):
+    def test_seed_7075_of_restarts_under_the_same_name(self):
         """An engine is ordered beyond its memory. Two loads that got no answer were
         meant for two starts of it; both come late to a third, one after the other,
         before an agent that was started anew meanwhile has given its first order. Each
@@ -190,7 +190,7 @@
         of both is left."""
         simulate(7075, 300, SameNameEngine, restarts=0.05)
 
-    def test_nor_where_it_starts_again_under_its_name(self):
+    def test_orders_never_exceed_the_memory_after_restarts_under_the_same_name(self):
         for seed in range(profiles.scale(100, 4000)):
             with self.subTest(seed=seed):
                 loads = simulate(seed, 300, SameNameEngine, restarts=0.05)
--- a/tests/gateway/randomised/test_plans.py
+++ b/tests/gateway/randomised/test_plans.py
@@ -15,14 +15,14 @@
 
 
 class TestPlansOfRandomFleets(unittest.TestCase):
-    def test_they_are_the_recorded_ones(self):
+    def test_plans_equal_the_recorded_ones(self):
         recorded = json.loads(plan_records.RECORDS.read_text())
         self.assertEqual(len(recorded), plan_records.SEEDS)
         for seed, expected in enumerate(recorded):
             with self.subTest(seed=seed):
                 self.assertEqual(plan_records.digest(seed), expected)
 
-    def test_a_planner_remembers_nothing_of_the_plan_before(self):
+    def test_a_planner_keeps_no_state_between_plans(self):
         """Symptom: a load is planned for what the fleet was a moment ago.
 
         What is worked out once for a plan must not outlive it.
@@ -35,7 +35,7 @@
                 found = planner.plan(fleets.NOW, backends, demands)
                 self.assertEqual(found, plan_records.plan(seed))
 
-    def test_the_fleets_are_of_many_kinds(self):
+    def test_the_random_fleets_cover_many_cases(self):
         plans = [plan_records.plan(seed) for seed in range(plan_records.SEEDS)]
         loads = [load for plan in plans for load in plan.values()]
         self.assertGreater(sum(load.request_now for load in loads), 100)
--- a/tests/gateway/randomised/test_quotas.py
+++ b/tests/gateway/randomised/test_quotas.py
@@ -243,10 +243,10 @@
         plain = QUOTA.rate_per_s * TOLERANCE.window_s
         self.assertGreater(fullest, 0.9 * plain, f"seed {seed}")
 
-    def test_half_of_the_entries_cut_off_from_a_new_allocator(self):
+    def test_limits_hold_when_half_of_the_entries_are_partitioned(self):
         self.assertLessEqual(self.fullest_split(), MAX_WINDOW_COST)
 
-    def test_it_takes_the_record_of_entries_that_are_not_heard(self):
+    def test_without_the_record_of_members_limits_are_exceeded(self):
         with mock.patch.object(LeaseHolder, "members", lambda self, record: {}):
             self.assertGreater(self.fullest_split(), MAX_WINDOW_COST)
 
--- a/tests/gateway/randomised/test_replays.py
+++ b/tests/gateway/randomised/test_replays.py
@@ -7,7 +7,7 @@
 SEEDS = range(12)
 
 
-class TestRareModels(unittest.TestCase):
+class TestRarelyUsedModels(unittest.TestCase):
     """Symptom: most calls for rarely used models come late or not at all, though some
     engine has a copy of their model that it loads in a fraction of their target.
 
@@ -26,16 +26,16 @@
         lines = [f"seed {seed}: {told}; before: {plain}" for seed, told, plain in rows]
         return "\n" + "\n".join(lines)
 
-    def test_more_are_served_in_time_than_in_the_order_of_arrival(self):
+    def test_more_calls_are_in_time_than_in_order_of_arrival(self):
         told = sum(outcome.in_time for outcome in self.told)
         plain = sum(outcome.in_time for outcome in self.plain)
         self.assertGreater(told, plain, self.message())
 
-    def test_no_more_are_lost_for_it_than_one_in_a_hundred(self):
+    def test_at_most_one_call_in_a_hundred_is_lost_for_it(self):
         served = sum(outcome.served for outcome in self.told)
         plain = sum(outcome.served for outcome in self.plain)
         calls = plain + sum(outcome.left for outcome in self.plain)
         self.assertGreaterEqual(served, plain - calls / 100, self.message())
 
-    def test_the_same_seed_is_the_same_day(self):
+    def test_equal_seeds_give_equal_outcomes(self):
         self.assertEqual(Replay(3).run(), Replay(3).run())
--- a/tests/gateway/randomised/test_retry_budget.py
+++ b/tests/gateway/randomised/test_retry_budget.py
@@ -32,7 +32,7 @@
 
 
 class TestSharedBudget(unittest.TestCase):
-    def test_no_window_has_more_second_attempts_than_the_platform_allows(self):
+    def test_no_window_has_more_retries_than_the_platform_allows(self):
         for seed in range(profiles.scale(10, 300)):
             with self.subTest(seed=seed):
                 entries = 2 + seed % 7
@@ -43,18 +43,18 @@
                     allowed = RATIO * count_within(calls, begin, at) + SLACK
                     self.assertLessEqual(count_within(retries, begin, at), allowed)
 
-    def test_some_second_attempts_are_allowed_at_once(self):
+    def test_retries_are_allowed_from_the_start(self):
         budget = RetryBudget(RATIO, SLACK, WINDOW_S)
         budget.record_call(0.0)
         self.assertTrue(budget.take(0.0))
 
-    def test_spent_attempts_come_back_after_the_window(self):
+    def test_used_retries_are_available_again_after_the_window(self):
         budget = RetryBudget(RATIO, SLACK, WINDOW_S)
         while budget.take(0.0):
             continue
         self.assertFalse(budget.take(WINDOW_S - 0.1))
         self.assertTrue(budget.take(WINDOW_S + 0.1))
 
-    def test_bad_figures_are_named(self):
+    def test_the_error_names_an_invalid_ratio(self):
         with self.assertRaisesRegex(ValueError, "ratio -1"):
             RetryBudget(-1, 1, 1)
