--- a/tests/gateway/cover/test_crash_ledger.py
+++ b/tests/gateway/cover/test_crash_ledger.py
@@ -1,4 +1,4 @@
-"""Which requests count as ending backend servers, and which don't."""
+"""Which requests are quarantined for crashing backend servers, and which aren't."""
 
 import unittest
 
@@ -26,7 +26,7 @@
 
 
 def lost(name, crash, progressed=False, at=0.0):
-    """A run of a request that was lost at the start with that number."""
+    """A run that was lost in the backend server's start with the number ``crash``."""
     return LostRun(name, Incarnation("b1", crash), progressed, at)
 
 
@@ -39,8 +39,10 @@
         self.ledger = CrashLedger()
 
     def crash(self, number, *names, progressed=(), at=None):
-        """A backend server ends under runs of these requests, by default in the second
-        with that number."""
+        """Records a crash of a backend server under runs of these requests.
+
+        ``number`` is the start that crashed and, unless ``at`` is given, the time.
+        """
         at = float(number) if at is None else at
         for name in names:
             self.ledger.run_lost(lost(name, number, name in progressed, at))
@@ -209,7 +211,7 @@
 
 
 class TestCrashVerdict(unittest.TestCase):
-    """What became of a backend server is told by its registry entry and its agent."""
+    """The registry and the agent show whether a backend server crashed or survived."""
 
     def begin(self, started_ms=5):
         self.started_ms = started_ms
@@ -265,8 +267,10 @@
 
 
 class TestParts(Case):
-    """Requests of which no two are alike were each at their first crash, whatever part
-    they had in common."""
+    """Requests that all differ may share a part that crashes backend servers.
+
+    Each of them counts a single crash, so the crashes are counted by part as well.
+    """
 
     def call_decision(self, *names, now=100.0):
         return self.ledger.admission(now, *names).decision
--- a/tests/gateway/cover/test_residency.py
+++ b/tests/gateway/cover/test_residency.py
@@ -1,4 +1,4 @@
-"""Which engine loads which model next."""
+"""Which engine loads which model next, and which models are evicted for it."""
 
 import functools
 import unittest
@@ -82,7 +82,7 @@
         self.assertEqual(set(plan), {"poet", "clerk"})
 
     def test_before_the_first_call_the_shortest_load_starts_first(self):
-        """It ends sooner, and so does each load from the store after it."""
+        """The shorter load also lets each queued load from the store end sooner."""
         models = [samples.model(f"m{n}", load_s=15.0 - n % 2) for n in range(20)]
         plan = Planner(samples.engine(*models), 1).plan(NOW, [engine_backend("b1")], {})
         self.assertEqual(models[int(next(iter(plan))[1:])].load_s, 14.0)
@@ -112,7 +112,7 @@
         self.assertEqual(self.plan([backend], tutor=Demand(0.1, 1)), {})
 
     def test_no_long_load_starts_where_it_delays_more_calls_than_it_serves(self):
-        """The engine is the last one that can take an order for the adapters."""
+        """The engine is the only one that can load the adapters that calls wait for."""
         backends = [engine_backend("b1", ["tutor"])]
         demands = {
             "tutor": Demand(3.0, 0, adapter_miss_rate=1.0),
@@ -141,8 +141,8 @@
     def test_the_calls_that_have_waited_longest_are_served_first(self):
         """Symptom: calls are held for seconds and then refused after all.
 
-        They were told to wait, as the plan had their model there in time. Models asked
-        for later went before them, because a little more demand made them so.
+        The plan had their model loaded in time, so they were held. Models requested
+        later overtook it because their demand was slightly higher.
         """
         plan = self.plan(early=Demand(0.1, 1, 0, 3.0), late=Demand(0.5, 3, 0, 1.0))
         self.assertEqual(plan, ["early", "late"])
@@ -153,10 +153,10 @@
 
 
 class TestCallsThatCanMeetTheirTarget(unittest.TestCase):
-    """Symptom: a call that a load from a copy would serve well within its target waits
-    behind loads for calls that are late whatever is done.
+    """Symptom: a call that a load from a copy would serve well within its latency
+    target waits behind loads for calls that are late anyway.
 
-    Models were given their loads in the order in which their callers came.
+    Loads were planned in the order in which calls arrived.
     """
 
     def setUp(self):
@@ -231,10 +231,10 @@
         self.assertIsNone(self.victims(in_use, {"poet": 0.1}, Demand(0.1, 0)))
 
     def test_expected_retries_protect_a_model_from_one_in_similar_demand(self):
-        """Symptom: callers come back when they were told to, and are refused again.
+        """Symptom: callers retry at the time they were given, and are refused again.
 
-        Their model came in time, and was unloaded in the second before for another
-        that was wanted about as much.
+        Their model had been loaded in time, but was evicted a second before the
+        retries for another in about the same demand.
         """
         due = {"tutor": Demand(1.0, 6, 1), "poet": Demand(900.0, 0, 1)}
         values = keep_values(("tutor", "poet"), due)
@@ -245,11 +245,11 @@
             self.assertEqual(victims is not None, goes, incoming)
 
     def test_a_busy_model_stays_in_a_moment_without_calls(self):
-        """Symptom: a model with eight calls a second is unloaded for a single caller,
+        """Symptom: a model with eight calls per second is evicted for a single caller,
         and loaded again two seconds later.
 
-        Its engine had no call of it for a moment, and one that waits counted for as
-        much as four calls a second.
+        Its engine had no call in flight for a moment, and a waiting call counted as
+        much as four calls per second.
         """
         demands = {"tutor": Demand(8.0, holders=1), "poet": Demand(0.3, holders=1)}
         values = keep_values(self.held, demands)
@@ -264,11 +264,11 @@
 
 
 class TestEvictionsThatWaitForCalls(unittest.TestCase):
-    """Symptom: a model with 59 calls waiting comes 11 s after it was asked for, six of
-    which its engine spent on unloading two others with many calls.
+    """Symptom: a model with 59 waiting calls is loaded 11 s after the request, six of
+    which its engine spent on evicting two models with many calls in flight.
 
-    Waiting for calls to end was taken to last the same for one call as for all calls of
-    two models.
+    The wait for calls in flight was estimated to be the same for one call as for all
+    calls of two models.
     """
 
     def test_an_engine_with_fewer_calls_to_wait_for_is_preferred(self):
@@ -291,11 +291,11 @@
 
 
 class TestModelsWithFullHolders(unittest.TestCase):
-    """Symptom: calls of the busiest model are refused as too many, while engines with a
-    copy of it stand idle.
+    """Symptom: calls of the busiest model are refused for want of capacity, while
+    engines with a copy of it are idle.
 
-    Both engines that held it had as many calls as they take. A further engine got a
-    model only if no more than one held it.
+    Both of its holders were full. A further engine got a model only if it had one
+    holder at most.
     """
 
     def setUp(self):
@@ -330,11 +330,12 @@
 
 
 class TestLongPrefetches(unittest.TestCase):
-    """Symptom: a busy model is refused for most of a minute from the first call on.
+    """Symptom: calls of a busy model are refused for most of a minute from the first
+    call on.
 
-    Before the first call a model without a copy was fetched to the only engine that
-    held the busy one, which was unloaded for it. The load took 40 s, and until it ended
-    the engine took no other order.
+    Before the first call, a model without a copy was prefetched to the only engine
+    that held the busy one, which was evicted for it. The load took 40 s, and until it
+    ended the engine accepted no other order.
     """
 
     def plan(self, load_s, holders):
@@ -361,12 +362,12 @@
 
 
 class TestPrefetchesAndReplicatedModels(unittest.TestCase):
-    """Symptom: in the first seconds of traffic callers of the busiest models are
-    refused, or wait for a load, though engines held these models a moment before.
+    """Symptom: in the first seconds of traffic calls of the busiest models are refused,
+    or wait for a load, though engines held these models a moment before.
 
-    Nobody had called yet. To fetch models that nobody asked for, engines unloaded the
-    model that most of them held, as if it were the one to spare. The platform places on
-    many engines what is called most.
+    Before the first call, engines prefetched models without demand and evicted the
+    model with the most holders for them, as the most redundant one. But the platform
+    places the most used models on many engines.
     """
 
     def plan(self, holders, **demands):
@@ -395,8 +396,8 @@
     """Symptom: a quarter of the calls of the busiest model get their first event late,
     and all of them fail when its engine crashes.
 
-    One engine held it, though others had copies. A second engine came behind every
-    model that a single caller waited for, and there was always one.
+    One engine held it, though others had copies. A second holder had lower priority
+    than any model with a single waiting call, and there was always one.
     """
 
     def setUp(self):
--- a/tests/gateway/cover/test_store_concurrency.py
+++ b/tests/gateway/cover/test_store_concurrency.py
@@ -1,4 +1,4 @@
-"""How many loads the weight store serves at full speed, learnt from the loads."""
+"""The weight store's concurrency, estimated from the durations of loads."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class SharedBandwidthStore:
-    """Loads that share a store which serves ``full_speed_loads`` of them at full speed."""
+    """A store whose loads share its bandwidth, enough for ``full_speed_loads``."""
 
     def __init__(self, full_speed_loads):
         self.full_speed_loads = full_speed_loads
@@ -52,7 +52,10 @@
 
 
 class FixedDurationStore:
-    """A store whose loads take longer by how many are under way as they begin."""
+    """A store that fixes a load's duration as it starts.
+
+    The duration grows with the number of loads that are under way at that moment.
+    """
 
     def __init__(self, full_speed_loads, loads, load_s=LOAD_S):
         self.full_speed_loads = full_speed_loads
@@ -76,7 +79,7 @@
             self.concurrency.observe(self.now, self.backends(), self.spec)
 
     def backends(self):
-        """All engines that ever loaded; an agent in ``silent`` isn't heard."""
+        """All engines that ever loaded; agents in ``silent`` stopped reporting."""
         found = []
         for name in self.names:
             loading = Loading("tutor", 1.0, True) if name in self.ends else None
@@ -88,10 +91,10 @@
 
 class TestLoadsSlowedByEarlierLoads(unittest.TestCase):
     def test_the_first_of_four_to_end_proves_nothing_about_the_others(self):
-        """Symptom: a store that serves one load is taken to serve four for ever.
+        """Symptom: a store with a concurrency of one is estimated at four for ever.
 
-        Four begin together. The first ends in its stated time while the others are
-        under way, which was taken to show that four are served at full speed.
+        Four loads start together. The first ends in its configured time while the
+        others are under way, which counted as proof that four run at full speed.
         """
         store = FixedDurationStore(full_speed_loads=1, loads=4)
         for number in range(4):
@@ -118,10 +121,10 @@
         )
 
     def test_no_probe_is_allowed_while_a_load_is_late(self):
-        """Symptom: the store serves one load, and three of them are under way.
+        """Symptom: the store's concurrency is one, and three loads are under way.
 
-        Two begin together to see whether it serves them at once. One ends in time; the
-        other is late by then, and yet a third was begun beside it.
+        Two start together as a probe. One ends in time; the other is late by then,
+        and yet a third was started beside it.
         """
         store = FixedDurationStore(full_speed_loads=1, loads=1)
         store.start_load("b0")
@@ -131,9 +134,10 @@
         self.assertFalse(store.concurrency.allows_probe)
 
     def test_a_probe_lost_with_its_engine_is_not_repeated_at_once(self):
-        """Symptom: each turn of the store was given to one load more than it serves.
+        """Symptom: the store always runs one load more than its concurrency.
 
-        The engine of the one that was tried went before it had shown anything.
+        The probe's engine was removed before the probe had a result, so the next
+        probe started at once.
         """
         store = FixedDurationStore(full_speed_loads=1, loads=1)
         store.start_load("b0")
@@ -147,7 +151,7 @@
         self.assertTrue(store.concurrency.allows_probe)
 
     def test_no_further_probe_is_allowed_before_the_last_has_a_result(self):
-        """The load before it had ended, it wasn't late yet, and another was tried."""
+        """The load beside the probe had ended and the probe wasn't late yet."""
         store = FixedDurationStore(full_speed_loads=1, loads=1)
         store.start_load("b0")
         store.run(0.1 * LOAD_S)
@@ -178,11 +182,11 @@
 
 class TestLoadsOfSilentAgents(unittest.TestCase):
     """Symptom: of 21 models without a copy none is served in half a minute, though the
-    weight store could bring two.
+    weight store could have loaded two.
 
-    The agent beside a load wasn't heard for two seconds. The load was taken for over,
-    and for having ended as fast as if the store served two. Another was begun beside
-    it, took twice its time, and kept the store from all others.
+    The agent of a loading engine sent no reports for two seconds. Its load counted as
+    ended, and as fast enough for a concurrency of two. A further load was started
+    beside it, took twice its time and blocked all others.
     """
 
     def setUp(self):
@@ -250,9 +254,9 @@
         self.assertEqual(store.concurrency.loads, ASSUMED_LOADS)
 
     def test_a_concurrency_of_one_is_learnt(self):
-        """Symptom: every cold start takes four times as long as the model's load time.
+        """Symptom: every cold start takes four times the model's load time.
 
-        The store serves one load at full speed, and four are always under way.
+        The store serves one load at full speed, and four were always under way.
         """
         store = SharedBandwidthStore(full_speed_loads=1)
         store.run(4.1 * LOAD_S, concurrent=4)
--- a/tests/gateway/cover/test_store_load_planning.py
+++ b/tests/gateway/cover/test_store_load_planning.py
@@ -1,4 +1,4 @@
-"""Plans of loads from the weight store, and what goes before them."""
+"""Which loads from the weight store a plan starts, and which loads precede them."""
 
 import functools
 import unittest
@@ -18,11 +18,11 @@
 
 
 class TestQueuedStoreLoads(unittest.TestCase):
-    """Symptom: models of which engines have copies aren't loaded for tens of seconds,
-    though engines are idle and calls wait.
+    """Symptom: models with copies on engines aren't loaded for tens of seconds, though
+    engines are idle and calls wait.
 
-    The store served one load at a time. Each model that waited for it was planned to an
-    engine, and each engine that was planned to took no other order.
+    The store served one load at a time. Each model queued for it was assigned to an
+    engine in the plan, and an assigned engine got no other order.
     """
 
     def test_they_block_no_engine_from_loading_a_copy(self):
@@ -42,11 +42,10 @@
 
 
 class TestProbesInAPlan(unittest.TestCase):
-    """Symptom: models without a copy come from the weight store in twice their time.
+    """Symptom: loads of models without a copy take twice their time.
 
-    To learn how many loads it serves at once, one more than known was begun: for what
-    nobody had asked for, shortly before the one under way was over, or beside two that
-    were tried already.
+    Probes for a higher concurrency of the store were started for models without
+    calls, shortly before the load under way ended, or beside two other probes.
     """
 
     def setUp(self):
@@ -54,7 +53,7 @@
         self.spec = samples.engine(*map(samples.model, names))
 
     def started_models(self, left_s, demands=None, probe_allowed=True):
-        """The models that a plan begins, with loads under way of so much left."""
+        """The models that a plan loads now, with ``left_s`` of loads under way left."""
         loading = ("tutor", "poet")
         backends = [
             engine_backend(f"l{n}", loading=Loading(name, seconds, True), busy=True)
@@ -80,15 +79,15 @@
         self.assertEqual(self.started_models([5.0], probe_allowed=False), [])
 
     def test_no_probe_starts_for_callers_who_have_left(self):
-        """It kept an engine for 26 s, and was over after the last of them had gone."""
+        """Such a probe took an engine for 26 s and ended after the last one left."""
         demands = {"clerk": Demand(0.5, 0, unserved=9.0, callers=1.0)}
         self.assertEqual(self.started_models([5.0], demands), [])
         demands = {"clerk": Demand(0.5, 0, unserved=9.0, callers=8.0)}
         self.assertEqual(self.started_models([5.0], demands), ["clerk"])
 
     def test_a_probe_starts_where_calls_stay_unserved_for_long(self):
-        """A store that serves several would never be known to where each model has few
-        callers."""
+        """Where each model has few callers, no probe would ever start, and a higher
+        concurrency would never be learnt."""
         few = {"unserved": 2.0, "callers": 1.0}
         demands = {"clerk": Demand(0.1, 0, unserved_s=20.0, **few)}
         self.assertEqual(self.started_models([5.0], demands), [])
@@ -100,11 +99,11 @@
 
 
 class TestStoreLoadsOfModelsWithoutACopy(unittest.TestCase):
-    """Symptom: the weight store brings a model of which an engine has a copy, while a
-    score of models without any are refused all day.
+    """Symptom: the weight store serves a model with a copy on an engine, while calls of
+    twenty models without a copy are refused all day.
 
-    Its engine was full of models in use at that moment, so a load from the store seemed
-    to be over first.
+    The engine with the copy was full of models in use at that moment, so a load from
+    the store was estimated to end sooner.
     """
 
     def setUp(self):
@@ -143,7 +142,7 @@
         )
 
     def test_a_model_that_fits_no_engine_blocks_no_other(self):
-        """Models with a copy left their turn to it for ever."""
+        """Models with a copy yielded the store to it for ever."""
         models = [*self.spec.models.values(), samples.model("huge", size_mb=500.0)]
         self.spec = samples.engine(*models)
         self.assertEqual(
@@ -161,8 +160,10 @@
 
 
 class TestCopiesBehindALongLoad(unittest.TestCase):
-    """Callers were told minutes, as from the store's queue, where their model's copy
-    lay at an engine that was free again in seconds."""
+    """Symptom: callers get a retry time of minutes, that of the store's queue.
+
+    Their model had a copy at an engine that would be free again in seconds.
+    """
 
     def plan(self, left_s, others, store_loads=1):
         names = [f"m{number}" for number in range(others + 1)]
@@ -192,8 +193,8 @@
 class TestPlansOfManyWaitingModels(unittest.TestCase):
     """Symptom: an entry of a large fleet spends a tenth of a core on its plans.
 
-    Each plan compared all engines for each of the models that only the weight store
-    can bring, though it serves one at a time and the others wait.
+    Each plan compared all engines for each model that only the weight store can
+    load, though the store serves one at a time and the others are queued.
     """
 
     ENGINES, MODELS = 10, 30
@@ -238,11 +239,11 @@
 
 
 class TestCopiesBesideTheStore(unittest.TestCase):
-    """Symptom: a model with twenty callers waiting comes after seven seconds, though an
-    engine with a copy of it takes orders after the first.
+    """Symptom: a model with twenty waiting callers is loaded after seven seconds,
+    though an engine with a copy of it accepts orders after the first second.
 
-    Its only holder crashed, and a load from the store was begun elsewhere. The engine
-    came back with its disk; but the model counted as on its way.
+    Its only holder crashed, and a load from the store started elsewhere. The engine
+    restarted with its disk, but the model already counted as being loaded.
     """
 
     def plan(self, left_s, waiting=6, **fields):
@@ -272,8 +273,8 @@
 class TestEnginesReservedForCopies(unittest.TestCase):
     """Symptom: calls that a load from a copy would serve in time wait six seconds.
 
-    Four of six engines were in loads from the store, for calls that could only be late,
-    and each had the only copies of a dozen models.
+    Four of six engines were loading from the store, for calls that were late anyway,
+    and each of them had the only copies of a dozen models.
     """
 
     def plan(self, engines, **demands):
--- a/tests/gateway/cover/test_store_permit_holder.py
+++ b/tests/gateway/cover/test_store_permit_holder.py
@@ -1,4 +1,4 @@
-"""An agent's turn at the weight store, over a key-value service in memory."""
+"""An agent's permit for the weight store, over a key-value service in memory."""
 
 import asyncio
 import unittest
@@ -62,7 +62,7 @@
 
 
 class Agent:
-    """An order book behind its gate, and who holds its turn."""
+    """An order book behind its gate, and the holder of its permit."""
 
     def __init__(self, kv, instance):
         self.app, self.events = App(instance), Events()
@@ -74,7 +74,7 @@
         self.book.reported(self.app.at, report(instance))
 
     async def request_load(self, model="m1", store_permits=1):
-        """Somebody wishes for a load; returns the order that comes of it."""
+        """Requests a load, acquires a permit if necessary, and returns the order."""
         self.book.load_requested(
             self.app.at, LoadRequest(model, store_permits=store_permits)
         )
@@ -137,8 +137,8 @@
         self.assertEqual(len(self.held()), 1)
 
     async def test_the_lease_is_renewed_while_the_permit_is_held(self):
-        """The lease was as long as a load, and began anew when the service was back:
-        the turn of an agent that was gone kept all others from the store for 7 s."""
+        """The lease lasted as long as a load and restarted when the key-value service
+        recovered, so the permit of a dead agent blocked the store for 7 s."""
         self.enterContext(
             mock.patch.object(store_permit_holder, "RENEW_INTERVAL_S", 0.01)
         )
@@ -157,7 +157,7 @@
         self.assertEqual(self.held(), [])
 
     def begin_acquiring(self, agent, model="m1"):
-        """The agent begins to seek a turn, and isn't waited for."""
+        """The agent starts to acquire a permit; doesn't wait for the result."""
         agent.book.load_requested(agent.app.at, LoadRequest(model))
         agent.book.next_order(agent.app.at)
         agent.holder.acquire(agent.app.at)
@@ -175,7 +175,7 @@
         await self.first.app.settle()
 
     def run_steps(self, agent, seconds):
-        """The agent's steps of so long, while nobody wishes; returns the first
+        """Runs the agent for ``seconds`` without load requests; returns the first
         order."""
         for _ in range(round(seconds / 0.2)):
             agent.app.at += 0.2
@@ -188,8 +188,8 @@
     async def test_it_does_so_though_the_load_request_is_not_repeated(
         self,
     ):
-        """The entry is told of the load as one to come, and wishes no more; the store
-        was idle until the service was back."""
+        """The entry sees the load as planned and doesn't repeat its request; the store
+        was idle until the key-value service recovered."""
         self.kv.down = True
         self.begin_acquiring(self.first)
         self.assertIsNotNone(self.run_steps(self.first, ACQUIRE_TIMEOUT_S + 1.0))
@@ -242,7 +242,7 @@
         self.assertEqual(len(self.held()), 1)
 
     async def test_one_failed_read_does_not_open_the_gate(self):
-        """A load began beside one that visibly held the turn."""
+        """A load started although another agent visibly held the permit."""
         await self.second.request_load()
         self.kv.down = True
         self.begin_acquiring(self.first)
@@ -252,7 +252,7 @@
         self.assertFalse(self.first.gate.is_open)
 
     async def test_while_a_permit_is_acquired_the_load_is_reported(self):
-        """The entry asked another agent meanwhile, and two sought."""
+        """Otherwise the entry asks another agent, and two acquire a permit."""
         self.begin_acquiring(self.first)
         loading = self.first.book.state(self.first.app.at).loading
         self.assertEqual((loading.model, loading.from_store), ("m1", True))
@@ -266,7 +266,7 @@
         self.assertEqual(self.held(), [])
 
     async def test_a_permit_written_late_is_removed_after_a_load_without_one(self):
-        """Nobody knew of it, and no load from the store began until its lease ended."""
+        """No agent released it, and no load from the store started until it expired."""
         self.kv.faults.append(Fault.LOST_AFTER)
         self.begin_acquiring(self.first)
         await asyncio.sleep(0)
@@ -284,7 +284,7 @@
         self.assertEqual(self.held(), [])
 
     async def test_a_late_removal_does_not_remove_the_next_permit(self):
-        """The agent found its own key still there, and took it for its next load."""
+        """The agent finds its own key still there and uses it for its next load."""
         await self.first.request_load()
         self.kv.faults.append(Fault.DELAYED)
         self.first.holder.load_ended()
--- a/tests/gateway/cover/test_store_queue.py
+++ b/tests/gateway/cover/test_store_queue.py
@@ -1,4 +1,4 @@
-"""When the weight store will have served the loads of a plan."""
+"""When the weight store starts and ends the queued loads of a plan."""
 
 import unittest
 
@@ -29,11 +29,11 @@
         )
 
     def test_an_oversubscribing_load_waits_where_it_would_not_end_sooner(self):
-        """Symptom: a much-awaited model takes five times its load time.
+        """Symptom: a model with many waiting calls takes five times its load time.
 
-        The store served one load at a time. Four were under way, and the fifth began
-        at once because many calls waited for it; each takes longer in proportion to
-        those under way as it begins.
+        The store served one load at a time. Four were under way, and the fifth
+        started at once because many calls waited for it. A load takes longer in
+        proportion to the loads under way at its start.
         """
         queue = StoreQueue(1, [13.0])
         self.assertEqual(
@@ -76,11 +76,11 @@
 
 
 class TestProbe(unittest.TestCase):
-    """Symptom: the most wanted model waited for twice a load's time.
+    """Symptom: the model in highest demand waits for twice its load time.
 
-    One more was tried in the same plan, arrived first, and slowed it. What was tried
-    was chosen 13 s before its turn, when few callers had come, and was hardly asked
-    for.
+    A probe in the same plan reached the store first and slowed its load down. The
+    probed model had been chosen 13 s before, when few callers had come, and was in
+    little demand.
     """
 
     def test_a_probe_starts_only_beside_loads_under_way(self):
@@ -101,7 +101,7 @@
         )
 
     def test_no_probe_starts_long_after_the_load_under_way(self):
-        """Begun 6 s later, it took the store's time of both to 37 s instead of 30."""
+        """Started 6 s later, a probe raised the time of both from 30 s to 37 s."""
         queue = StoreQueue(1, [9.0], allow_probe=True)
         self.assertIs(
             queue.start_reason(15.0, Oversubscription.MAY_PROBE), StartReason.QUEUED
