--- a/packages/bambootiller/src/bambootiller/gateway/load_requester.py
+++ b/packages/bambootiller/src/bambootiller/gateway/load_requester.py
@@ -1,8 +1,8 @@
-"""Which planned loads one entry asks the agents for.
+"""Selects the planned loads that one entry requests from the agents.
 
-All entries have nearly the same plan. Asked by several at the same moment, agents would
-load a model at more engines than it needs, and the weight store's one turn would be
-given away twice.
+All entries have nearly the same plan. If several requested the same load at once,
+agents would load a model at more engines than it needs, and the only slot of the weight
+store would be used twice.
 """
 
 from __future__ import annotations
@@ -22,19 +22,22 @@
 from bambootiller_core.gateway.store_load_requests import StoreLoadRequests
 from bambootiller_core.gateway.store_queue import MAX_SLOWDOWN, StartReason
 
-#: The urgency of what is asked for ahead of demand.
+#: Urgency of loads that are requested ahead of demand.
 PREFETCH_URGENCY = 5
 
 
 class LoadRequester:
-    """The loads that the entry ``instance`` asks for; ``entries`` are those that agents
-    hear, ``load_request`` asks the agent beside an engine, ``emit`` writes a line of the log.
+    """Selects and requests loads on behalf of the entry ``instance``. ``entries``
+    returns the entries that are live to the agents, ``load_request`` sends a request to
+    the agent beside an engine, ``emit`` writes a log line.
 
     Example::
 
-        loads = asks.from_copies(plan, own_demands)
-        loads += asks.from_store(now, "llm", planner, plan, total_demands)
-        asks.ask(loads, own_demands, total_demands, planner.store_loads)
+        loads = requester.from_copies(plan, own_demands)
+        loads += requester.from_store(now, "llm", planner, plan, total_demands)
+        requester.send_requests(
+            loads, own_demands, total_demands, planner.store_loads
+        )
     """
 
     def __init__(
@@ -53,20 +56,20 @@
         self._store_requests: dict[str, StoreLoadRequests] = {}
 
     def is_responsible_for(self, model: str) -> bool:
-        """Whether this entry is the one to ask for a load that no call of its own waits
-        for."""
+        """Whether this entry is the one to request loads of the model when none of its
+        own calls waits for it."""
         return responsible_planner(model, self._entries()) == self._instance
 
     def is_responsible_for_store(self, service: str) -> bool:
-        """Whether this entry is the one to ask for the loads of a service that draw on
-        the weight store, whoever's calls wait for them."""
+        """Whether this entry is the one to request a service's loads from the weight
+        store, whichever entry's calls wait for them."""
         return self.is_responsible_for(f"weight store of {service}")
 
     def from_copies(
         self, plan: Mapping[str, PlannedLoad], demands: Mapping[str, Demand]
     ) -> list[PlannedLoad]:
-        """The loads from copies that this entry asks for. One is over before it matters
-        that others ask for it as well, so whoever has calls that wait does."""
+        """The loads from copies that this entry requests. Such a load ends before
+        duplicate requests do any harm, so each entry with waiting calls requests it."""
         return [
             load
             for load in plan.values()
@@ -79,14 +82,14 @@
         ]
 
     def cooling_down(self, now: float, service: str) -> frozenset[tuple[str, str]]:
-        """The models and engines of a service that this entry has asked for a load from
-        the store in vain, a moment ago."""
+        """The pairs of a model and an instance of the service whose load from the store
+        this entry requested recently, and which didn't start."""
         requests = self._store_requests.get(service)
         return requests.cooling_down(now) if requests is not None else frozenset()
 
     def may_probe(self, now: float, service: str) -> bool:
-        """Whether this entry may ask for one load more than the store is known to
-        serve."""
+        """Whether this entry may request one load beyond the known concurrency of the
+        store."""
         requests = self._store_requests.get(service)
         return requests is None or requests.may_probe(now)
 
@@ -98,8 +101,8 @@
         plan: Mapping[str, PlannedLoad],
         total_demands: Mapping[str, Demand],
     ) -> list[PlannedLoad]:
-        """The loads from the weight store that this entry asks for, of the ``plan``
-        that the ``planner`` has made."""
+        """The loads from the weight store that this entry requests, selected from the
+        ``plan`` that ``planner`` has made."""
         if not self.is_responsible_for_store(service):
             return []
         planned = [
@@ -123,8 +126,9 @@
         total_demands: Mapping[str, Demand],
         store_loads: int,
     ) -> None:
-        """Ask the agents; ``demands`` is the demand of this entry, ``store_loads`` how
-        many loads the weight store is taken to serve."""
+        """Sends the requests to the agents. ``demands`` is the demand of this entry,
+        ``store_loads`` the estimated number of loads that the weight store serves at
+        full speed."""
         for load in loads:
             backend = self._fleet.get(load.instance)
             if backend is None:
@@ -149,8 +153,8 @@
 
 
 def permits_for(load: PlannedLoad, store_loads: int) -> int:
-    """How many loads may draw on the weight store with this one, which is taken to
-    serve ``store_loads`` at full speed.
+    """The number of loads, including this one, that may use the weight store at a time;
+    ``store_loads`` is the estimated number that it serves at full speed.
 
     >>> permits_for(PlannedLoad("tutor", "b1", 9.0, True, True, StartReason.PROBE), 1)
     2
--- a/packages/bambootiller/src/bambootiller/gateway/message_codec.py
+++ b/packages/bambootiller/src/bambootiller/gateway/message_codec.py
@@ -1,4 +1,4 @@
-"""Between the core's types and the messages of the stream."""
+"""Converts between the core's types and the messages of peer streams."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 )
 from bambootiller_core.gateway.reported_limits import ReportedLimit
 
-#: Room that is further away than this, or is never there, is told as so far. Seconds.
+#: Longer waits for room in a quota, also endless ones, are sent as this. Seconds.
 MAX_ROOM_WAIT_S = 3600.0
 
 
 def engine_message(state: EngineState) -> pb.EngineFigures:
-    """What an agent says of its engine."""
+    """Encodes an agent's report on its engine."""
     message = pb.EngineFigures(
         instance=state.instance,
         busy=state.busy,
@@ -50,7 +50,8 @@
 def engine_state(
     message: pb.EngineFigures, before: EngineState | None = None
 ) -> EngineState:
-    """The same, received; ``before`` is what the agent had said last."""
+    """Decodes an agent's report; ``before`` is its previous report, which holds the
+    copies if the message leaves them out as unchanged."""
     in_memory, on_disk = frozenset(message.in_memory), frozenset(message.on_disk)
     started_ms = message.started_ms if message.HasField("started_ms") else None
     if message.same_copies and before is not None and before.started_ms == started_ms:
@@ -80,14 +81,14 @@
 def entry_message(
     demands: Mapping[str, Demand], in_use: Mapping[str, int], collect: bool
 ) -> pb.EntryFigures:
-    """What an entry says of its demand, and of its calls at one engine."""
+    """Encodes an entry's report on its demand and on its calls at one engine."""
     message = pb.EntryFigures(in_use=in_use, collect=collect)
     message.demand.extend(demand_messages(demands))
     return message
 
 
 def demand_messages(demands: Mapping[str, Demand]) -> list[pb.ModelDemand]:
-    """Demand by model."""
+    """Encodes the demand for each model."""
     return [
         pb.ModelDemand(
             model=model,
@@ -107,7 +108,7 @@
 
 
 def demands_of(messages: Iterable[pb.ModelDemand]) -> dict[str, Demand]:
-    """The same, received."""
+    """Decodes the demand by model."""
     return {item.model: _demand(item) for item in messages}
 
 
@@ -128,7 +129,7 @@
 
 
 def add_load_request(update: pb.ResidencyUpdate, load_request: LoadRequest) -> None:
-    """Put a wish into a message."""
+    """Adds a load request to a message."""
     message = update.wishes.add(
         model=load_request.model,
         adapter=load_request.adapter,
@@ -142,7 +143,7 @@
 
 
 def load_request_of(message: pb.ModelWish) -> LoadRequest:
-    """A wish received."""
+    """Decodes a load request."""
     demand = _demand(message.demand) if message.HasField("demand") else Demand()
     return LoadRequest(
         message.model, message.adapter, message.urgency, demand, message.store_turns
@@ -150,7 +151,7 @@
 
 
 def add_lost_run(update: pb.ResidencyUpdate, run: LostRun, now: float) -> None:
-    """Put a lost run into a message."""
+    """Adds a lost run to a message."""
     update.lost_runs.add(
         fingerprint=run.fingerprint,
         instance=run.incarnation.instance,
@@ -161,7 +162,7 @@
 
 
 def lost_run_of(message: pb.LostRun, now: float) -> LostRun:
-    """The same, received."""
+    """Decodes a lost run."""
     started_ms = message.started_ms if message.HasField("started_ms") else None
     return LostRun(
         fingerprint=message.fingerprint,
@@ -174,19 +175,19 @@
 def add_server_limit(
     update: pb.ResidencyUpdate, limit: ReportedLimit, now: float
 ) -> None:
-    """Put what a backend server said of its limit into a message."""
+    """Adds the rate limit that a backend server reported to a message."""
     age_ms = max(0, round((now - limit.reported_at) * 1000))
     update.server_limits.add(instance=limit.instance, per_s=limit.per_s, age_ms=age_ms)
 
 
 def server_limit_of(message: pb.ServerLimit, now: float) -> ReportedLimit:
-    """The same, received."""
+    """Decodes the rate limit that a backend server reported."""
     per_s = message.per_s if message.HasField("per_s") else None
     return ReportedLimit(message.instance, per_s, now - message.age_ms / 1000)
 
 
 def set_quota_ask(update: pb.ResidencyUpdate, ask: QuotaAsk) -> None:
-    """Put an ask for quotas into a message."""
+    """Sets the quota request of a message."""
     message = update.quota_ask
     message.incarnation, message.number = ask.incarnation, ask.number
     message.term, message.heard = ask.term, ask.heard
@@ -202,7 +203,7 @@
 
 
 def quota_ask_of(message: pb.QuotaAsk, entry: str) -> QuotaAsk:
-    """The same, received from an entry."""
+    """Decodes the quota request of an entry."""
     customers = {
         item.customer: CustomerAsk(
             item.demand_per_s, item.wanted, item.least, item.share, item.call_cost
@@ -220,7 +221,7 @@
 
 
 def set_quota_answer(update: pb.ResidencyUpdate, answer: QuotaAnswer) -> None:
-    """Put the answer to an ask for quotas into a message."""
+    """Sets the answer to a quota request in a message."""
     message = update.quota_answer
     message.term, message.number = answer.term, answer.number
     for name, grant in answer.customers.items():
@@ -233,7 +234,7 @@
 
 
 def quota_answer_of(message: pb.QuotaAnswer) -> QuotaAnswer:
-    """The same, received."""
+    """Decodes the answer to a quota request."""
     customers = {
         item.customer: CustomerGrant(item.share, item.advance, item.room_in_s)
         for item in message.customers
--- a/packages/bambootiller/src/bambootiller/gateway/plan_scheduler.py
+++ b/packages/bambootiller/src/bambootiller/gateway/plan_scheduler.py
@@ -1,4 +1,4 @@
-"""When an entry makes its plan of loads anew."""
+"""Decides when an entry makes a new load plan."""
 
 from __future__ import annotations
 
@@ -6,25 +6,26 @@
 
 from bambootiller_core.timers import Subscription, TimerService
 
-#: How often the plan of loads is made anew while calls wait. Seconds.
+#: Interval between two load plans while calls wait. Seconds.
 PLAN_INTERVAL_S = 0.05
-#: The longest pause between two plans while calls wait, in a large fleet: a wish for a
-#: load is forgotten unless it is repeated (``order_demand.LOAD_REQUEST_TTL_S``). Seconds.
+#: Maximum interval between two plans while calls wait, in a large fleet. A load request
+#: expires unless it is repeated (``entry_reports.LOAD_REQUEST_TTL_S``). Seconds.
 MAX_PLAN_INTERVAL_S = 0.15
-#: A plan weighs each engine for each model. Up to so many pairs it is made each
-#: :data:`PLAN_INTERVAL_S`, beyond that less often in proportion, so that it takes the same part
-#: of a core: 39 engines and 186 models take 5 ms, a tenth of a core at that pace.
+#: A plan evaluates each pair of an engine and a model. Up to this many pairs a plan is
+#: made every :data:`PLAN_INTERVAL_S`; beyond, the interval grows in proportion, so that
+#: plans take a constant share of a core. A plan for 39 engines and 186 models takes 5
+#: ms, which at the shortest interval would be a tenth of a core.
 PAIRS_PER_PLAN = 2000
-#: How often it is made while no call waits. Seconds.
+#: Interval between two plans while no call waits. Seconds.
 IDLE_PLAN_INTERVAL_S = 0.25
-#: How often it is made while nothing that it depends on changes, in case something was
-#: overlooked. Seconds.
+#: Interval between two plans while nothing that they depend on changes, in case a
+#: change was missed. Seconds.
 UNCHANGED_PLAN_INTERVAL_S = 5.0
 
 
 def interval_s(pairs: int) -> float:
-    """The pause between two plans while calls wait, for so many pairs of an engine and
-    a model.
+    """The interval in seconds between two plans while calls wait, for a number of pairs
+    of an engine and a model.
 
     >>> interval_s(260)
     0.05
@@ -35,12 +36,13 @@
 
 
 class PlanScheduler:
-    """Has the plan made often while calls wait, and hardly ever while nothing changes.
+    """Has plans made often while calls wait, and rarely while nothing changes.
 
-    ``plan_for_waiting`` is called at each beat while calls wait, ``plan`` at the others.
-    ``has_waiting_calls`` tells whether a call waits anywhere, ``has_demand`` whether this entry's
-    callers have asked for a model lately, ``version`` changes with the registry, the
-    configuration and what agents say.
+    ``plan_for_waiting`` is called at each check while calls wait, unless ``plan`` is
+    due, which is called every :data:`IDLE_PLAN_INTERVAL_S`. ``has_waiting_calls`` tells
+    whether a call waits anywhere, ``has_demand`` whether this entry's callers have
+    requested a model lately. ``version`` changes with the registry, the configuration
+    and the reports of agents.
     """
 
     def __init__(
@@ -56,7 +58,7 @@
         self._has_waiting_calls = has_waiting_calls
         self._has_demand = has_demand
         self._version = version
-        #: The pause between two plans while calls wait. Seconds.
+        #: The interval between two plans while calls wait. Seconds.
         self.interval_s = PLAN_INTERVAL_S
         self._timers: TimerService | None = None
         self._timer: Subscription | None = None
@@ -66,40 +68,42 @@
         self._is_empty = False
 
     def start(self, timers: TimerService, now: float) -> None:
-        """Begin."""
+        """Starts the checks."""
         self._timers = timers
         self._check_by(now + PLAN_INTERVAL_S)
 
     @property
     def planned_at(self) -> float:
-        """When the plan was made last."""
+        """The time of the last plan."""
         return self._planned_at
 
     def changed(self, now: float) -> None:
-        """Something that the plan depends on has changed."""
+        """Schedules a check, as something that the plan depends on has changed."""
         self._changed = True
         self.check_soon(now)
 
     def check_soon(self, now: float) -> None:
-        """Calls may wait: look soon."""
+        """Schedules a check within the plan interval, as calls may wait."""
         if self._timers is not None:
             self._check_by(now + self.interval_s)
 
     def plan_started(self, now: float) -> None:
-        """The plan is made now, of what is known now."""
+        """Records that a plan is being made from the current state."""
         self._planned_at, self._planned_version = now, self._version()
         self._changed, self._is_empty = False, True
 
     def mark_not_empty(self) -> None:
-        """The plan that is being made isn't empty, or some model is wanted."""
+        """Records that the plan being made isn't empty, or that there is demand for a
+        model."""
         self._is_empty = False
 
     def is_idle(self, now: float) -> bool:
-        """Whether a new plan would be the last one again.
+        """Whether a new plan would be the same as the last.
 
-        Nobody asks for a model, nothing is under way or planned, and nothing has
-        changed. Silence of an agent and the loss of an engine come with time alone;
-        the review of the engines notices both and calls :meth:`changed`.
+        This is so if there is no demand, no load is in progress or planned, and nothing
+        has changed. Silence of an agent and the loss of an engine come about by the
+        passage of time alone; the review of the engines detects both and calls
+        :meth:`changed`.
         """
         if self._changed or not self._is_empty:
             return False
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -1,4 +1,4 @@
-"""The times of one call, and what the log says about it."""
+"""Records the times of one call, and logs the decisions on it."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class CallReport:
-    """Keeps the times of one call, and writes a line for each decision on it.
+    """Records the times of one call, and writes a log line for each decision on it.
 
     Example::
 
-        report = CallReport(relays, call, progress)
+        report = CallReport(context, call, progress)
         report.chosen(backend, candidates=3)
         report.part_forwarded(now)
         report.answered(backend, 200)
@@ -31,7 +31,8 @@
         self._longest_gap_s = 0.0
 
     def chosen(self, backend: Backend, candidates: int) -> None:
-        """A backend server was chosen; notes on what."""
+        """Records that a backend server was chosen, and the state on which it was
+        chosen."""
         now = self._context.clock()
         health = self._context.service(self._call.service).health
         has_report = backend.engine is not None
@@ -47,7 +48,7 @@
         )
 
     def part_forwarded(self, now: float) -> None:
-        """A part of the answer goes to the caller now."""
+        """Records that a part of the answer is being forwarded to the caller."""
         if self._first_at is None:
             self._first_at = now
         elif now - self._last_at > self._longest_gap_s:
@@ -55,7 +56,7 @@
         self._last_at = now
 
     def answered(self, backend: Backend, status: int) -> None:
-        """The answer was passed on whole."""
+        """Logs that the whole answer was forwarded."""
         call, now = self._call, self._context.clock()
         first_at = self._first_at if self._first_at is not None else now
         self._emit(
@@ -83,8 +84,8 @@
     def attempt_failed(
         self, backend: Backend, ended: AttemptOutcome, decision: Decision, sent: bool
     ) -> None:
-        """An attempt ended without a whole answer, and ``decision`` is done; ``sent`` if
-        the next one has gone out already."""
+        """Logs that an attempt ended without a whole answer. ``decision`` is the next
+        action, ``sent`` whether the next attempt has been sent already."""
         call, progress, now = self._call, self._progress, self._context.clock()
         budget = self._context.service(call.service).budget
         self._emit(
@@ -110,8 +111,8 @@
     def answer_lost(
         self, backend: Backend, detail: str, reused: bool, progressed: bool
     ) -> None:
-        """The connection broke, or what it brought is of no use; ``progressed`` is
-        whether this attempt had brought an event."""
+        """Logs that the connection broke, or that its response is unusable.
+        ``progressed`` is whether this attempt had delivered an event."""
         self._emit(
             lines.AnswerLost(
                 request=self._call.request_id,
@@ -125,23 +126,25 @@
         )
 
     def silence_borne(self, backend: Backend, detail: str, why: str) -> None:
-        """The backend server is silent, and the call stays there."""
+        """Logs that the backend server is silent and the call isn't failed over."""
         request = self._call.request_id
         self._emit(lines.SilenceBorne(request, backend.instance, detail, why))
 
     def kept_apart(self, crashes: float, seconds: float) -> None:
-        """The call is sent now, after it waited for so long because of crashes."""
+        """Logs that the call is sent after it was delayed for so long by crash
+        isolation."""
         call = self._call
         line = lines.KeptApart(call.request_id, call.fingerprint, crashes, _ms(seconds))
         self._emit(line)
 
     def cannot_connect(self, backend: Backend, detail: str) -> None:
-        """No connection was made."""
+        """Logs that no connection could be made."""
         request = self._call.request_id
         self._emit(lines.CannotConnect(request, backend.instance, detail))
 
     def cut(self, reason: str) -> None:
-        """The caller's connection is cut, as its answer can't be finished."""
+        """Logs that the caller's connection is closed, as its answer can't be
+        completed."""
         call = self._call
         self._emit(
             lines.Cut(
@@ -160,7 +163,7 @@
         )
 
     def caller_gone(self) -> None:
-        """The caller closed before its answer was whole."""
+        """Logs that the caller closed the connection before its answer was complete."""
         call, progress = self._call, self._progress
         self._emit(
             lines.CallerGone(
--- a/packages/bambootiller/src/bambootiller/gateway/store_permit_holder.py
+++ b/packages/bambootiller/src/bambootiller/gateway/store_permit_holder.py
@@ -1,13 +1,13 @@
-"""Holds one agent's turn at the weight store, in the key-value service.
+"""Holds one agent's permit for the weight store, as a key in the key-value service.
 
-A turn is taken before its load is ordered and given back when the load is over, as the
-engine itself reports it. So a load counts until it ends, also one at an engine that the
-registry lists no more. The key is bound to a lease that the agent renews, so that a
-turn doesn't outlive an agent that is gone for good by more than that.
+A permit is acquired before its load is ordered, and released when the engine itself
+reports that the load has ended. So a load counts until it ends, even at an engine that
+the registry doesn't list any more. The key is bound to a lease that the agent renews;
+if the agent is gone for good, its permit expires with the lease.
 
-While the key-value service can't be reached, loads begin without a turn: entries still
-ask for one at a time, and models would otherwise wait for a service that doesn't serve
-them.
+While the key-value service is unreachable, loads start without a permit. Entries still
+request only one load at a time, and models would otherwise wait for a service that
+plays no part in serving them.
 """
 
 from __future__ import annotations
@@ -43,29 +43,33 @@
     Unknown,
 )
 
-#: If the key-value service doesn't answer for so long, the load begins without a turn.
-#: Seconds of running time; its answers can be slow by a factor of a hundred.
+#: If the key-value service hasn't answered for this long, the load starts without a
+#: permit. Its answers can be slower than usual by a factor of a hundred. Seconds of
+#: running time.
 ACQUIRE_TIMEOUT_S = 3.0
-#: The pause before a call is tried again that the service didn't carry out. Seconds.
+#: Delay before a call that the service didn't carry out is tried again. Seconds.
 RETRY_S = 0.25
-#: The pause before a turn is sought again that others held. Seconds.
+#: Delay before the next attempt to acquire a permit when all are held by others.
+#: Seconds.
 HELD_RETRY_S = 0.5
-#: A turn whose load hasn't been ordered for so long is given back: nobody wishes for it
-#: any more. Seconds; twice as long as a wish lasts.
+#: A permit whose load hasn't been ordered for this long is released, as the load isn't
+#: requested any more. Twice as long as a load request is valid
+#: (``entry_reports.LOAD_REQUEST_TTL_S``). Seconds.
 START_TIMEOUT_S = 0.5
-#: A turn whose agent is gone is free after so long: until then the weight store may be
-#: idle. Seconds.
+#: Time to live of the lease. The permit of an agent that is gone is free again after
+#: this time; until then the weight store may be idle. Seconds.
 LEASE_TTL_S = 3.0
-#: How often the lease is renewed. Seconds; it outlasts two renewals that fail.
+#: Interval between two renewals of the lease, which outlasts two renewals that fail.
+#: Seconds.
 RENEW_INTERVAL_S = 0.75
-#: How often a turn that was lost to another agent is sought anew at once.
+#: Number of immediate attempts while other agents win the race for a permit.
 MAX_ACQUIRE_ATTEMPTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class _HeldPermit:
-    """A turn of this agent: its key, at the revision of its own write, its lease, and
-    the model that it was taken for."""
+    """A permit that this agent holds: its key, the revision at which this agent wrote
+    it, its lease, and the model that it was acquired for."""
 
     key: str
     revision: int
@@ -75,7 +79,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _AcquireOutcome:
-    """What came of a try; ``holders`` are those of all turns."""
+    """Result of an attempt to acquire a permit; ``holders`` are the records of all
+    permits."""
 
     name: str
     held: _HeldPermit | None = None
@@ -83,14 +88,16 @@
 
 
 class StorePermitHolder:
-    """Opens and shuts the gate of one agent's order book.
+    """Opens and closes the gate of one agent's order book.
 
     Example::
 
-        turn = StorePermitHolder(app, kv, "tutor", gate, events, wake, ran)
-        await turn.recall()
-        turn.seek(now)
-        turn.review(now, load_in_progress=book.uses_store())
+        holder = StorePermitHolder(
+            app, kv, "tutor", gate, events, wake, running_time
+        )
+        await holder.recover()
+        holder.acquire(now)
+        holder.release_if_unused(now, load_in_progress=book.uses_store())
     """
 
     def __init__(
@@ -115,15 +122,17 @@
         self._acquiring_since: float | None = None
         self._retry_at = float("-inf")
         self._last_logged: tuple[str, str] = ("", "")
-        #: Since when a turn that this agent has given back is being removed, or one of
-        #: the process before is looked for, in running time. None is sought meanwhile:
-        #: a removal that is late would take the next one away while its load goes on.
+        #: The running time since which a released permit is being removed, or a permit
+        #: of the previous process is being looked for; None if neither is. No permit is
+        #: acquired meanwhile: a late removal would delete the next permit while its
+        #: load is in progress.
         self._unsettled_since: float | None = None
-        #: Whether the turn is of an agent before this one, whose load isn't known here.
+        #: Whether the permit was acquired by the previous process of this agent, so
+        #: that its load isn't known here.
         self.is_recovered = False
 
     async def recover(self) -> None:
-        """Take over a turn that this agent held before it was started anew."""
+        """Takes over a permit that this agent held before it was restarted."""
         self._unsettled_since = self._running_time()
         while not isinstance(found := await self._read(), Found):
             await asyncio.sleep(RETRY_S)
@@ -137,13 +146,14 @@
         self._unsettled_since = None
 
     def acquire(self, now: float) -> None:
-        """Take a turn for what the gate wants, unless that is being done; to be called
-        several times a second."""
+        """Starts to acquire a permit for the load that the gate blocks, unless this is
+        in progress already. To be called several times a second."""
         blocked_load, gate = self._gate.blocked_load, self._gate
         if gate.is_open:
             return
         if self._acquiring_since is not None:
-            # By now nobody may wish for the load any more: it is told as one to come.
+            # The load request may have expired by now, but while a permit is being
+            # acquired its load is reported as about to start.
             self._proceed_without_permit(gate.acquiring, self._acquiring_since)
         elif blocked_load is None or now < self._retry_at:
             return
@@ -157,21 +167,21 @@
     def _proceed_without_permit(
         self, blocked_load: StorePermitRequest, since: float
     ) -> None:
-        """Have the load begin without a turn if the service hasn't answered for so
-        long."""
+        """Lets the load start without a permit if the service hasn't answered for
+        :data:`ACQUIRE_TIMEOUT_S`."""
         if self._running_time() - since > ACQUIRE_TIMEOUT_S:
             self._open_gate(None)
             self._log_outcome(blocked_load, _AcquireOutcome("without"))
 
     def release_if_unused(self, now: float, load_in_progress: bool) -> None:
-        """Give the turn back if its load is over, or doesn't begin."""
+        """Releases the permit if its load has ended or doesn't start."""
         if not self._gate.is_open or load_in_progress:
             return
         if now - self._opened_at > START_TIMEOUT_S:
             self._close_gate()
 
     def load_ended(self) -> None:
-        """The load from the store is over."""
+        """Releases the permit, as the load from the store has ended."""
         if self._gate.is_open:
             self._close_gate()
 
@@ -188,8 +198,9 @@
             self._app.spawn(f"lease of {held.key}", self._renew(held))
 
     async def _renew(self, held: _HeldPermit) -> None:
-        """Keep the lease while the turn is held. If it has ended, as while the service
-        or this process was away, the turn is taken anew unless another has it."""
+        """Renews the lease while the permit is held. If the lease has expired, for
+        example while the service was unreachable or this process was stalled, acquires
+        the permit again unless another agent holds it."""
         await asyncio.sleep(RENEW_INTERVAL_S)
         while self._held is held:
             kept = await self._kv.keep_lease(held.lease)
@@ -206,7 +217,7 @@
         self._app.spawn("give back a store turn", self._release(held))
 
     async def _release(self, held: _HeldPermit | None) -> None:
-        """Remove all turns of this agent, also one whose write got no answer."""
+        """Removes all permits of this agent, also one whose write wasn't answered."""
         while held is not None and not await self._remove(held.key, held.revision):
             await asyncio.sleep(RETRY_S)
         while not isinstance(found := await self._read(), Found):
@@ -242,14 +253,15 @@
         self._log_outcome(blocked_load, outcome)
 
     async def _handle_late_outcome(self, outcome: _AcquireOutcome | None) -> None:
-        """The load has begun without a turn, and may be over."""
+        """Handles an outcome that came after the load had started without a permit; the
+        load may have ended since."""
         held = outcome.held if outcome is not None else None
         if held is None:
             return
         if self._gate.is_open and self._held is None:
             self._keep(held)
         elif self._held is not None and self._held.key == held.key:
-            # It has written the turn anew that was taken since.
+            # The late write replaced the record of the permit that was acquired since.
             self._keep(held)
         else:
             await self._remove(held.key, held.revision)
@@ -257,7 +269,7 @@
     async def _try_acquire(
         self, blocked_load: StorePermitRequest, started_at: float
     ) -> _AcquireOutcome | None:
-        """Try once; None if the service didn't answer, or too late."""
+        """Makes one attempt. Returns None if the service didn't answer, or too late."""
         records: tuple[Record, ...] = ()
         for _ in range(MAX_ACQUIRE_ATTEMPTS):
             found = await self._read()
@@ -284,7 +296,7 @@
     async def _write(
         self, key: str, revision: int, model: str
     ) -> _HeldPermit | Conflict | Unavailable | Unknown:
-        """Take a turn that is free, or this agent's own at that revision."""
+        """Writes a permit that is free, or this agent's own at the given revision."""
         granted = await self._kv.grant_lease(LEASE_TTL_S)
         if not isinstance(granted, Granted):
             return granted
@@ -305,7 +317,8 @@
     def _log_outcome(
         self, blocked_load: StorePermitRequest, outcome: _AcquireOutcome
     ) -> None:
-        """Write a line, once for each model and outcome."""
+        """Logs the outcome, but a permit held by others only once in a row for the same
+        model."""
         if outcome.name == "held" and self._last_logged == (
             blocked_load.model,
             outcome.name,
