--- a/packages/bambootiller/src/bambootiller/gateway/allocator_client.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_client.py
@@ -1,8 +1,8 @@
-"""What one entry may spend of limits that all entries share.
+"""An entry's side of the allocator of limits that all entries share.
 
-The entry spends what the allocator has granted it, and asks for more where a call lacks
-something (:mod:`quota_account`). A call whose cost isn't there waits for the answer,
-which takes some milliseconds, and is turned down if that says that there is no room.
+The entry spends what the allocator has granted it (:mod:`quota_account`), and asks for
+more when that doesn't cover a call. Such a call waits for the answer, which takes some
+milliseconds, and is refused if the answer says that there is no room.
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
 )
 from bambootiller_core.timers import TimerService
 
-#: How often it is looked whether shares fit the demand, and whether an allocator is
-#: heard. Seconds.
+#: How often shares are compared with the demand, and the connection to an allocator is
+#: checked. Seconds.
 REVIEW_INTERVAL_S = 0.4
-#: Demand is told this often at most while nothing waits. Seconds.
+#: The shortest interval between reports of demand while no call waits. Seconds.
 MIN_REPORT_INTERVAL_S = 1.0
-#: And this often at least: shares end (``quota_messages.SHARE_TTL_S``). Seconds.
+#: The longest one: shares expire (``quota_messages.SHARE_TTL_S``). Seconds.
 MAX_REPORT_INTERVAL_S = SHARE_TTL_S / 3
-#: Demand that differs from what the share is for by less than this part isn't told.
+#: A change of demand since the last report by less than this fraction isn't reported.
 DEMAND_CHANGE_FRACTION = 0.3
-#: The longest that a call waits for an answer, and for one of an allocator that isn't
-#: heard yet while this process starts. Seconds.
+#: The longest that a call waits for an answer, and the longest while this process is
+#: starting and hasn't reached an allocator yet. Seconds.
 ANSWER_TIMEOUT_S = 0.5
 STARTUP_ANSWER_TIMEOUT_S = 2.0
-#: An ask that hasn't been answered for so long is taken for lost. Seconds.
+#: An ask without an answer for this long is treated as lost. Seconds.
 ASK_TIMEOUT_S = 0.2
-#: A call waits for room that is to be there within this time. Seconds; shorter than the
-#: targets of most routes.
+#: A call waits for room that is expected within this time. Seconds; shorter than the
+#: target latencies of most routes.
 MAX_ROOM_WAIT_S = 0.2
 
 
 class Shortage(enum.Enum):
-    """Why a call isn't let in: there is no room, or nobody has told whether there
-    is."""
+    """Why a call isn't admitted: the limit has no room, or no allocator has answered
+    whether it has."""
 
     NO_ROOM = "no room"
     UNKNOWN = "unknown"
@@ -58,7 +58,10 @@
 
 @dataclass(eq=False, slots=True)
 class _Waiter:
-    """A call whose cost isn't there."""
+    """A call that waits until the account covers its cost.
+
+    ``decided`` gets the charge, or None if the call isn't admitted.
+    """
 
     cost: float
     decided: asyncio.Future
@@ -68,8 +71,9 @@
 class _LimitState:
     """One limit at this entry.
 
-    ``room_in_s`` is what the last answer said, ``admission_interval_s`` how much later it lets in
-    one call after the other; until ``backoff_until`` nothing is asked.
+    ``room_in_s`` is in how many seconds there is room, by the last answer;
+    ``admission_interval_s`` is the time between two admitted calls; until
+    ``backoff_until`` calls without cover are refused without asking.
     """
 
     account: QuotaAccount = field(default_factory=QuotaAccount)
@@ -82,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LimitGroup:
-    """Limits that are told together."""
+    """Limits that are set together."""
 
     limits: Mapping[str, Limit]
     pause_s: float
@@ -91,14 +95,14 @@
 class AllocatorClient:
     """The accounts of all limits at one entry, by the names of the limits.
 
-    ``is_open`` tells whether a stream still lives.
+    ``is_open`` returns whether a stream is still open.
 
     Example::
 
-        allowances.limited("customers", {"c1": limit})
-        spent = await allowances.obtain("c1", 640.0)
-        if isinstance(spent, Shortage): ...
-        allowances.ended("c1", spent, may_have_run=False)
+        allocator_client.set_limits("customers", {"c1": limit})
+        charge = await allocator_client.obtain("c1", 640.0)
+        if isinstance(charge, Shortage): ...
+        allocator_client.record_end("c1", charge, may_have_run=False)
     """
 
     def __init__(
@@ -116,7 +120,7 @@
         self._limit_states: dict[str, _LimitState] = {}
         self._groups: dict[str, _LimitGroup] = {}
         self._limits: dict[str, Limit] = {}
-        #: For how long nothing is asked where there is no room.
+        #: The longest backoff when there is no room, by limit.
         self._pauses: dict[str, float] = {}
         self._allocator: PeerStream | None = None
         self._term = 0
@@ -125,21 +129,22 @@
         self._last_number = 0
         self._asked_at: dict[int, float] = {}
         self._reported_at = float("-inf")
-        #: Something is to be asked with the next message to the allocator.
+        #: Whether the next message to the allocator is to carry an ask.
         self._ask_pending = False
-        #: When the ask was sent that isn't answered yet. What calls lack is asked for
-        #: once at a time: asked for again, it would be granted twice and lost once.
+        #: When the ask was sent that isn't answered yet. Only one ask is open at a
+        #: time: if what calls lack were asked for again, it would be granted twice, and
+        #: one of the grants would be lost.
         self._asking_since: float | None = None
 
     def start(self, timers: TimerService, now: float) -> None:
-        """Begin to review demand and shares."""
+        """Start the periodic review of demand and shares."""
         timers.every("allowances", REVIEW_INTERVAL_S, now, lambda _: self.review())
 
     def set_limits(
         self, group: str, limits: Mapping[str, Limit], pause_s: float = MAX_ROOM_WAIT_S
     ) -> None:
-        """The limits of one kind are these from now on. Where there is no room, it is
-        asked again after ``pause_s`` at most."""
+        """Replace the limits of one group. After an answer that there is no room, the
+        allocator is asked again after ``pause_s`` at most."""
         self._groups[group] = _LimitGroup(dict(limits), pause_s)
         self._limits, self._pauses = {}, {}
         for found in self._groups.values():
@@ -147,7 +152,7 @@
             self._pauses.update(dict.fromkeys(found.limits, found.pause_s))
         for name in [name for name in self._limit_states if name not in self._limits]:
             for waiter in self._limit_states.pop(name).waiters:
-                # There is no limit any more.
+                # The limit has been removed.
                 _decide(waiter, QuotaCharge(0.0, 0.0))
 
     @property
@@ -157,31 +162,31 @@
 
     @property
     def lacks_allocator(self) -> bool:
-        """Whether an allocator is needed, and none is heard."""
+        """Whether an allocator is needed and none is connected."""
         return self.has_limits and self.allocator is None
 
     @property
     def allocator(self) -> PeerStream | None:
-        """This side of the stream to the allocator, if one is heard."""
+        """This side of the stream to the allocator, None if none is connected."""
         if self._allocator is not None and not self._is_open(self._allocator):
             self._allocator = None
         return self._allocator
 
     @property
     def term(self) -> int | None:
-        """The allocator's term, if one is heard."""
+        """The allocator's term, None if none is connected."""
         return self._term if self.allocator is not None else None
 
     def limit(self, name: str) -> Limit | None:
-        """The limit of that name."""
+        """The limit of that name, None if there is none."""
         return self._limits.get(name)
 
     def account(self, name: str) -> QuotaAccount:
-        """What this entry may spend of a limit."""
+        """This entry's account of a limit."""
         return self._limit_state(name).account
 
     def shares(self, group: str) -> dict[str, float]:
-        """The parts of the limits of one kind that this entry holds."""
+        """This entry's shares of the limits of one group, by name."""
         found = self._groups.get(group)
         names = found.limits if found is not None else ()
         return {
@@ -191,15 +196,16 @@
         }
 
     def room_in_s(self, name: str) -> float:
-        """When there is room for what had been asked, as the allocator told last."""
+        """In how many seconds there is room for what was asked, by the allocator's last
+        answer."""
         return self._limit_state(name).room_in_s
 
     def admission_interval_s(self, name: str) -> float:
-        """How much time lies between two calls that are let in, as told last."""
+        """The seconds between two admitted calls, by the allocator's last answer."""
         return self._limit_state(name).admission_interval_s
 
     def backoff_left_s(self, name: str, cost: float) -> float:
-        """For how long there is no use in asking for so much. Seconds."""
+        """For how many seconds a call of that cost would be refused without asking."""
         limit, state = self._limits.get(name), self._limit_states.get(name)
         if limit is None or state is None:
             return 0.0
@@ -209,18 +215,19 @@
         return state.backoff_until - now
 
     def pause(self, name: str, seconds: float) -> None:
-        """Don't ask again for so long."""
+        """Don't ask again for that many seconds."""
         state = self._limit_state(name)
         state.backoff_until = max(state.backoff_until, self.clock() + seconds)
 
     def record_demand(self, name: str, cost: float) -> None:
-        """A call of that cost has come."""
+        """Record that a call of that cost has arrived."""
         self._limit_state(name).account.record_demand(self.clock(), cost)
 
     async def obtain(
         self, name: str, cost: float, wait_s: float = ANSWER_TIMEOUT_S
     ) -> QuotaCharge | Shortage:
-        """Spend the cost of a call, waiting for an answer if it isn't there."""
+        """Charge the cost of a call, waiting for the allocator's answer if the account
+        doesn't cover it."""
         limit = self._limits.get(name)
         if limit is None:
             return QuotaCharge(0.0, 0.0)
@@ -233,7 +240,7 @@
         return await self._wait(state, cost, wait_s)
 
     def record_end(self, name: str, charge: QuotaCharge, may_have_run: bool) -> None:
-        """A call has ended that was let in; what it cost is given back if it never
+        """Record the end of an admitted call; its charge is refunded if it never
         ran."""
         state, limit = self._limit_states.get(name), self._limits.get(name)
         if state is None or limit is None:
@@ -245,13 +252,13 @@
             self._admit_waiters(state, limit)
 
     def charge_retry(self, name: str, cost: float) -> None:
-        """A call is sent once more though it may have run."""
+        """Charge a call that is sent again though it may have run."""
         state, limit = self._limit_states.get(name), self._limits.get(name)
         if state is not None and limit is not None:
             state.account.overdraw(self.clock(), limit, cost)
 
     def fill(self, update: Update, peer_stream: PeerStream) -> None:
-        """Put what is to be asked into a message to the allocator."""
+        """Add an ask to a message to the allocator, if one is due."""
         if not self._ask_pending or peer_stream is not self._allocator:
             return
         self._ask_pending = False
@@ -283,14 +290,14 @@
         message_codec.set_quota_ask(update, ask)
 
     def take(self, update: Update, peer_stream: PeerStream) -> None:
-        """Take in what an agent tells."""
+        """Apply the allocator's term and answer from an agent's message."""
         if update.HasField("allocator_term"):
             self._on_allocator_term(update.allocator_term, peer_stream)
         if update.HasField("quota_answer"):
             self._on_answer(message_codec.quota_answer_of(update.quota_answer))
 
     def review(self) -> None:
-        """Tell demand that has moved; let in calls for which there is room by now."""
+        """Admit calls for which there is room by now, and report changed demand."""
         now = self.clock()
         for name, state in self._limit_states.items():
             limit = self._limits.get(name)
@@ -354,11 +361,11 @@
         if not math.isinf(next_ask_s):
             asyncio.get_running_loop().call_later(next_ask_s, self._schedule_ask)
         elif any(state.waiters for state in self._limit_states.values()):
-            # They came after what was answered had been asked.
+            # These calls arrived after the answered ask had been sent.
             self._schedule_ask()
 
     def _apply_grant(self, name: str, grant: CustomerGrant, asked_at: float) -> float:
-        """Take over a grant; returns in how many seconds to ask again."""
+        """Apply a grant, and return in how many seconds to ask again."""
         now, state, limit = self.clock(), self._limit_states[name], self._limits[name]
         state.account.granted(now, limit, asked_at, grant.share, grant.advance)
         state.room_in_s = grant.room_in_s or state.room_in_s
@@ -379,7 +386,7 @@
         return math.inf
 
     def _admit_waiters(self, state: _LimitState, limit: Limit) -> None:
-        """Let in calls that wait, in their order."""
+        """Admit waiting calls in their order, while the account covers them."""
         now = self.clock()
         while state.waiters:
             charge = state.account.take(now, limit, state.waiters[0].cost)
--- a/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
@@ -1,10 +1,10 @@
-"""Makes one agent the allocator of quotas and of the limits that backend servers name,
-and has it answer the entries.
+"""Elects one agent as the allocator of quotas and of the limits that backend servers
+report, and has it answer the entries' requests.
 
 The allocator holds a key of the key-value service, bound to a lease that it renews. It
-answers while the lease holds by its own clock, which goes on while the instance is
-suspended. Agents follow it on the word of entries that hear none; two of them may try,
-and the service decides.
+answers while the lease is valid by its own clock, which goes on while the instance is
+suspended. An agent stands for election when an entry reports that it reaches no
+allocator. Several agents may try at once; a transaction on the key decides.
 """
 
 from __future__ import annotations
@@ -39,32 +39,33 @@
     Put,
 )
 
-#: An allocator that is gone is followed after so long. Seconds; the key-value service
-#: is away for several seconds more often than the allocator is lost, and without a
-#: lease nothing is advanced.
+#: A lost allocator is replaced after this time. Seconds. It isn't shorter because the
+#: key-value service is unavailable for several seconds more often than the allocator is
+#: lost, and without a lease no advance on a quota is granted.
 LEASE_TTL_S = 8.0
 RENEW_INTERVAL_S = 1.5
-#: The lease is taken to end so much earlier than the service says. Seconds.
+#: The lease is treated as expired this much earlier than the service says. Seconds.
 LEASE_MARGIN_S = 0.3
-#: A planned stop waits so long for the key to be given back. Seconds.
+#: The longest that a planned stop waits for the key's release. Seconds.
 RELEASE_TIMEOUT_S = 1.0
-#: The pause before the key-value service is called again. Seconds.
+#: The delay before a call of the key-value service is repeated. Seconds.
 RETRY_S = 0.4
 
 
 class AllocatorElection:
-    """Lets an agent allocate quotas.
+    """One agent's part in the election, and the allocator's work while it is elected.
 
-    ``send_now`` has all peers told soon, ``has_live_entry`` tells whether any entry has
-    been heard lately; ``server_limits`` are the limits of backend servers.
+    ``send_now`` has a message sent to all peers soon; ``has_live_entry`` returns
+    whether any entry has sent a message lately; ``server_limits`` holds the limits that
+    backend servers report.
 
     Example::
 
-        allocation = AllocatorElection(
-            app, kv, events, terms, exchanger.poke, hears, named
+        election = AllocatorElection(
+            app, kv, events, tolerance, exchanger.send_now, has_live_entry, limits
         )
-        allocation.configured(config)
-        allocation.received(update, outgoing)
+        election.configured(config)
+        election.received(update, peer_stream)
     """
 
     def __init__(
@@ -92,22 +93,23 @@
         self._valid_until = float("-inf")
         self._lease = 0
         self._members_revision = 0
-        #: A try to become the allocator, or the work of one, goes on.
+        #: Whether the task that tries to become the allocator, or renews its lease, is
+        #: running.
         self._is_running = False
         self._is_writing = False
-        #: Whether it was looked if the process before this one was the allocator.
+        #: Whether the check for a key of the previous process has been started.
         self._earlier_key_checked = False
         self._answers: WeakKeyDictionary[PeerStream, QuotaAnswer] = WeakKeyDictionary()
 
     @property
     def term(self) -> int:
-        """The term for which this agent allocates now, 0 if it doesn't."""
+        """This agent's term as the allocator, 0 if it isn't the allocator."""
         if self._allocator is None or boot_now() >= self._valid_until:
             return 0
         return self._allocator.term
 
     def configured(self, config: GatewayConfig) -> None:
-        """A configuration has come into force."""
+        """Apply the limits of a configuration that has come into force."""
         self._config, self._applied_tolerance = config, self._tolerance()
         self._limits_changed()
 
@@ -124,7 +126,8 @@
             self._allocator.configured(boot_now(), self._limits)
 
     def fill(self, update: Update, peer_stream: PeerStream) -> None:
-        """Put into a message what its receiver hasn't been told yet."""
+        """Add the term, if the receiver hasn't been sent it yet, and the answer to the
+        receiver's request."""
         term = self.term
         if peer_stream.last_sent.get("allocator", 0) != term:
             update.allocator_term = term
@@ -134,14 +137,14 @@
             message_codec.set_quota_answer(update, answer)
 
     def received(self, update: Update, peer_stream: PeerStream) -> None:
-        """Take in an entry's message."""
+        """Process an entry's message."""
         if update.lacks_allocator and not self._is_running and self._limits:
             self._is_running = True
             self._app.spawn("allocator of quotas", self._allocate())
         if not update.HasField("quota_ask") or not self.term:
             return
         if self._tolerance() != self._applied_tolerance and self._config is not None:
-            # The settings have changed.
+            # The platform's settings have changed.
             self.configured(self._config)
         ask = message_codec.quota_ask_of(update.quota_ask, peer_stream.peer)
         answer = self._allocator.answer(boot_now(), ask, self._limits)
@@ -153,10 +156,10 @@
             self._app.spawn("members of quotas", self._write_members())
 
     async def _release_earlier_key(self) -> None:
-        """Remove the key if the process before this one held it.
+        """Remove the key if the previous process of this agent held it.
 
-        That process is gone, and this one may not be heard by entries. Held until its
-        lease ends, the key would keep all others from following.
+        That process is gone, and entries may not be connected to this one. Until its
+        lease expired, the key would keep all other agents from being elected.
         """
         while not isinstance(found := await self._kv.get(HOLDER_KEY), Found):
             await asyncio.sleep(RETRY_S)
@@ -166,7 +169,7 @@
                 await self._kv.transact([held], [Delete(HOLDER_KEY)])
 
     async def release(self) -> None:
-        """Give the key back, so that another agent follows at once."""
+        """Release the key, so that another agent is elected at once."""
         term = self.term
         self._step_down("stopped")
         if not term:
@@ -186,7 +189,7 @@
             self._is_running = False
 
     async def _acquire(self) -> bool:
-        """Take the key if nobody holds it, or an earlier process of this agent."""
+        """Acquire the key if it is free or held by an earlier process of this agent."""
         found = await self._kv.get(HOLDER_KEY)
         if not isinstance(found, Found):
             return False
@@ -233,12 +236,12 @@
             return {"unreadable": Member("", dict.fromkeys(self._limits, 1.0))}
 
     async def _renew(self) -> None:
-        """Renew the lease for as long as the service and the configuration let it."""
+        """Renew the lease until it expires or this agent should not hold it."""
         while self.term:
             await asyncio.sleep(RENEW_INTERVAL_S)
             if not self._limits or not self._hears_an_entry():
-                # Entries speak to agents of listed engines only; another one has to
-                # follow where this one's engine is gone.
+                # Entries connect only to agents of listed engines. If this agent's
+                # engine is gone, another agent has to take over.
                 await self.release()
                 return
             asked_at = boot_now()
@@ -281,7 +284,7 @@
             if holder is None or holder.mod_revision != allocator.term:
                 self._step_down("key lost")
                 return False
-            # An earlier write of this allocator got no answer, and took effect.
+            # An earlier write of this allocator took effect, but its answer was lost.
             members = held.get(MEMBERS_KEY)
             self._members_revision = members.mod_revision if members else 0
         return False
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -46,9 +46,9 @@
 
 
 class Quarantine:
-    """What one process knows of such requests.
+    """One process's evidence of requests that crash backend servers.
 
-    ``send_now`` tells peers soon what is new.
+    ``send_now`` has new evidence sent to peers soon.
 
     Example::
 
--- a/packages/bambootiller/src/bambootiller/gateway/quotas.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quotas.py
@@ -1,4 +1,4 @@
-"""Keeps customers to their quotas, at one entry."""
+"""Enforces customers' quotas at one entry."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from bambootiller_core.gateway.quota_limits import QuotaTolerance, limits_of
 from bambootiller_core.timers import TimerService
 
-#: How often it is looked whether the settings have changed. Seconds.
+#: How often the settings are checked for changes. Seconds.
 REVIEW_INTERVAL_S = 0.4
-#: When to come back while it isn't known what may be spent. Seconds.
+#: When callers should retry while no allocator has answered. Seconds.
 UNKNOWN_RETRY_AFTER_S = 1.0
 LIMIT_GROUP = "customers"
 
 
 class QuotaAdmission:
-    """A call that was let in; closed when its end is known."""
+    """An admitted call; to be closed when the call has ended."""
 
     def __init__(
         self, allocator_client: AllocatorClient, name: str, charge: QuotaCharge | None
@@ -38,14 +38,15 @@
         self._charge = charge
 
     def close(self, may_have_run: bool) -> None:
-        """The call has ended; what it cost is given back if it never ran."""
+        """Record the end of the call; its charge is refunded if it never ran."""
         charge, self._charge = self._charge, None
         if charge is not None:
             self._allocator_client.record_end(self._name, charge, may_have_run)
 
 
 class Quotas:
-    """The quotas of all customers at one entry; ``tolerance`` are the platform's.
+    """The quotas of all customers at one entry; ``tolerance`` returns the platform's
+    settings of how far a quota may be exceeded.
 
     Example::
 
@@ -71,7 +72,7 @@
         timers.every("quotas", REVIEW_INTERVAL_S, now, lambda _: self.review())
 
     def shares(self) -> dict[str, float]:
-        """The parts of the customers' limits that this entry holds."""
+        """This entry's shares of the customers' limits, by customer."""
         return self._allocator_client.shares(LIMIT_GROUP)
 
     def _configured(self, config: GatewayConfig) -> None:
@@ -80,7 +81,7 @@
         self._allocator_client.set_limits(LIMIT_GROUP, limits)
 
     async def admit(self, call: Call) -> QuotaAdmission | Refusal:
-        """Let the call in, or refuse it."""
+        """Admit the call, or refuse it."""
         allocator_client = self._allocator_client
         name = call.customer.name if call.customer is not None else ""
         if allocator_client.limit(name) is None:
@@ -100,8 +101,8 @@
             own_s = account.room_in_s(now, limit, call.cost)
             reported_s = allocator_client.room_in_s(name) or math.inf
             room_in_s = max(DEFAULT_RETRY_AFTER_S, min(own_s, reported_s))
-            # All of the limit may be held by entries that the allocator doesn't hear
-            # yet.
+            # A longer time means that the whole limit may be held by entries that
+            # haven't connected to the allocator yet.
             if room_in_s < message_codec.MAX_ROOM_WAIT_S:
                 reason, retry_after_s = RefusalReason.OVER_QUOTA, room_in_s
         age_s = now - allocator_client.last_received_at
@@ -120,12 +121,12 @@
         return Refusal(reason, retry_after_s, quota=seen)
 
     def charge_retry(self, call: Call) -> None:
-        """A call is sent once more though it may have run."""
+        """Charge a call that is sent again though it may have run."""
         if call.customer is not None:
             self._allocator_client.charge_retry(call.customer.name, call.cost)
 
     def review(self) -> None:
-        """Take over settings that have changed."""
+        """Apply settings that have changed."""
         if (
             self._tolerance() != self._applied_tolerance
             and self._gateway_state.config is not None
