--- a/tests/adapter/common/fleet.py
+++ b/tests/adapter/common/fleet.py
@@ -48,7 +48,7 @@
 class Program:
     """A running program.
 
-    ``document`` is its settings document, ``metrics`` the HOST:PORT of its metrics page.
+    ``document`` is its decoded settings, ``metrics`` the HOST:PORT of its metrics.
     """
 
     process: asyncio.subprocess.Process
