--- a/tests/gateway/failures/test_peer_streams.py
+++ b/tests/gateway/failures/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""What the sides of a stream send each other, and which documents they pass on."""
+"""Updates on a stream between two processes, and the documents they forward."""
 
 import asyncio
 import unittest
@@ -11,7 +11,7 @@
 
 
 class Events:
-    """Keeps what would be logged."""
+    """Keeps the lines that would be logged."""
 
     def __init__(self):
         self.lines = []
@@ -21,7 +21,7 @@
 
 
 class TestPeerStreamUpdates(unittest.IsolatedAsyncioTestCase):
-    """What one side of a stream sends, first and later."""
+    """What one side of a stream sends, in its first update and in later ones."""
 
     async def asyncSetUp(self):
         class Directory:
@@ -64,8 +64,8 @@
         self.assertTrue(again.begins and again.entry.collect)
 
     async def test_updates_to_a_peer_of_an_earlier_version_are_complete(self):
-        """What goes wrong: it takes what isn't repeated for gone, and would hold this
-        side silent."""
+        """Such a peer takes what isn't repeated as gone, and would consider this side
+        silent."""
         self.peer_stream.heard(self.peer_update(begins=False))
         for _ in range(3):
             update = self.peer_stream._next_update()
@@ -91,40 +91,40 @@
         self.assertTrue(self.peer_stream._documents.is_empty)
 
     async def test_a_registry_heartbeat_is_not_forwarded(self):
-        """Symptom: a fleet at rest spends most of its processor time on telling.
+        """Symptom: an idle fleet spends most of its processor time on updates.
 
-        Each backend server writes its entry about once a second. Each of those writes
-        was queued at each process for each of its peers, a thousand streams with 32
-        entries, and each read of the registry was followed by a message on all of them.
+        Each backend server renews its registration about once a second. Each process
+        queued each of these writes for each of its peers, a thousand streams with 32
+        entries, and each read of the registry caused a message on all of them.
         """
-        passed_on = []
-        self.gateway_state.on_document(passed_on.append)
+        forwarded = []
+        self.gateway_state.on_document(forwarded.append)
         for revision in (3, 4, 5):
             record = Record("servers/b1", b"", revision)
             self.gateway_state.apply_document(Changed(record), "store")
-        self.assertEqual(len(passed_on), 1)
+        self.assertEqual(len(forwarded), 1)
 
     async def test_registry_changes_that_the_agent_reports_are_not_forwarded(self):
         """Symptom: entries of a large fleet spend a sixth of their work on documents.
 
-        Each load and unload changed what the registry says of an engine, and each
-        process queued that for each of its peers, who know it from the agent.
+        Each load and unload changed the registration of an engine, and each process
+        queued that for each of its peers, which have it from the agent already.
         """
-        passed_on = []
-        self.gateway_state.on_document(passed_on.append)
+        forwarded = []
+        self.gateway_state.on_document(forwarded.append)
         self.apply_registration({"tutor"}, revision=3)
         state = engine_state("b1", ("tutor",))
         self.gateway_state.fleet.engine_reported(0.0, state)
         self.apply_registration({"poet"}, revision=4)
-        self.assertEqual(len(passed_on), 1)
+        self.assertEqual(len(forwarded), 1)
         self.assertEqual(self.gateway_state.changed.count, 1)
 
     async def test_registry_changes_without_an_agent_are_forwarded(self):
-        passed_on = []
-        self.gateway_state.on_document(passed_on.append)
+        forwarded = []
+        self.gateway_state.on_document(forwarded.append)
         self.apply_registration({"tutor"}, revision=3)
         self.apply_registration({"poet"}, revision=4)
-        self.assertEqual(len(passed_on), 2)
+        self.assertEqual(len(forwarded), 2)
 
     def apply_registration(self, models, revision):
         self.gateway_state._directory.registration = lambda record: registration(
@@ -137,14 +137,14 @@
         )
 
     async def test_a_late_write_of_a_previous_start_is_not_forwarded(self):
-        """Symptom: an agent takes its engine for an earlier start of it.
+        """Symptom: an agent mistakes its engine for a previous start of it.
 
-        A write was held up until after the engine's restart. Who reads the registry has
-        just heard of the later start and leaves it aside; an agent, which hears of
-        heartbeats no more, would take a start that nobody told of for 10 s for over.
+        A write was delayed until after the engine's restart. A process that reads the
+        registry has just seen the later start and ignores the write. An agent, which
+        isn't sent heartbeats, would take a start as over that nobody reported for 10 s.
         """
-        passed_on = []
-        self.gateway_state.on_document(passed_on.append)
+        forwarded = []
+        self.gateway_state.on_document(forwarded.append)
         starts = {3: 2000, 4: 1000}
         self.gateway_state._directory.registration = lambda record: registration(
             "b1",
@@ -154,15 +154,15 @@
         for revision in starts:
             record = Record("servers/b1", b"", revision)
             self.gateway_state.apply_document(Changed(record), "store")
-        self.assertEqual([one.record.mod_revision for one in passed_on], [3])
+        self.assertEqual([one.record.mod_revision for one in forwarded], [3])
 
     async def test_forwarding_waits_for_the_peers_own_read_of_the_registry(
         self,
     ):
-        """Symptom: each change of the registry crosses every stream after all.
+        """Symptom: each change of the registry is still sent on every stream.
 
-        Where more time is allowed until a leaving backend server gets no work, the
-        registry is read less often, and a peer was told meanwhile what it was to read.
+        With a longer allowance until a leaving backend server gets no work, the
+        registry is read less often, and a peer was sent a change before it read it.
         """
         self.peer_stream.heard(self.peer_update(complete={"servers/": 7}))
         self.gateway_state.batch_delay_s = 1.2
@@ -171,18 +171,18 @@
         self.assertGreater(due - asyncio.get_running_loop().time(), 1.2 + 0.8)
 
     async def test_a_higher_registry_revision_causes_no_extra_update(self):
-        last_sent = []
-        self.gateway_state.on_complete(lambda: last_sent.append(1))
+        notifications = []
+        self.gateway_state.on_complete(lambda: notifications.append(1))
         self.gateway_state.mark_complete({"servers/": 8})
-        self.assertEqual(last_sent, [])
+        self.assertEqual(notifications, [])
 
     async def test_a_new_configuration_is_reported_immediately(self):
-        last_sent = []
-        self.gateway_state.on_complete(lambda: last_sent.append(1))
+        notifications = []
+        self.gateway_state.on_complete(lambda: notifications.append(1))
         self.gateway_state._directory.config = lambda record: Unreadable("none")
         self.gateway_state.apply_document(Changed(Record("op/config", b"", 9)), "store")
         self.gateway_state.mark_complete({"op/": 9})
-        self.assertEqual(last_sent, [1])
+        self.assertEqual(notifications, [1])
 
     async def test_a_forwarded_configuration_is_logged(self):
         self.gateway_state._directory.config = lambda record: Unreadable("none")
@@ -197,7 +197,7 @@
                 line.event,
                 line.revision,
                 line.size_bytes,
-                line.peer_update,
+                line.peer,
                 line.peer_has,
             ),
             ("config_passed_on", 9, 5, "a1", 6),
@@ -209,17 +209,18 @@
         self.gateway_state.apply_document(change, source)
 
     async def test_a_configuration_received_from_a_peer_is_acknowledged(self):
-        """Symptom: a store that loses answers has links filled with configurations.
+        """Symptom: links are full of configurations when the store loses answers.
 
-        Who learnt one from a peer didn't know that it had all up to there, and so never
-        said that it had it. All others sent it once more, its sender was sent it back.
+        A process that received a configuration from a peer couldn't tell that it had
+        all documents up to that revision, so it never acknowledged it. All others sent
+        it once more, and its sender was sent it back.
         """
         self.peer_stream.heard(self.peer_update(complete={"op/": 6}))
         self.peer_stream._next_update()
-        last_sent = []
-        self.gateway_state.on_complete(lambda: last_sent.append(1))
+        notifications = []
+        self.gateway_state.on_complete(lambda: notifications.append(1))
         self.apply_config(9, "a1")
-        self.assertEqual(last_sent, [1])
+        self.assertEqual(notifications, [1])
         self.assertEqual(
             dict(self.peer_stream._next_update().complete), {"op/config": 9}
         )
--- a/tests/gateway/failures/test_stalls.py
+++ b/tests/gateway/failures/test_stalls.py
@@ -1,4 +1,4 @@
-"""A process that stood still, and the streams to its peers."""
+"""Streams to peers after a stall of the process."""
 
 import asyncio
 import threading
@@ -19,7 +19,7 @@
 
 
 class Call:
-    """A stream whose peer goes on speaking from another thread."""
+    """A stream whose peer sends updates every 0.1 s from another thread."""
 
     def __init__(self):
         self._updates = asyncio.Queue()
@@ -33,7 +33,7 @@
         self._thread.start()
 
     def end(self):
-        """Have the peer speak no more."""
+        """Stops the peer's thread."""
         self.ended.set()
         self._thread.join()
 
@@ -54,7 +54,7 @@
 
 
 class Channels:
-    """Opens :class:`Call` s."""
+    """Opens a :class:`Call` for each stream and keeps it in ``calls``."""
 
     def __init__(self):
         self.calls = []
@@ -108,9 +108,11 @@
             await asyncio.sleep(TICK_S)
 
     async def test_streams_are_kept_if_the_peers_went_on_sending(self):
-        """An entry stood still for 2 s, and in the same second gave up its streams to
-        30 agents that had spoken all the while: 285 lines peer_silent in 12 s. Opening
-        them anew, with everything said once more, took the little time that it got.
+        """Symptom: after a stall an entry closes streams to peers that aren't silent.
+
+        An entry stalled for 2 s and right after that closed its streams to 30 agents
+        that had sent updates all the time: 285 lines peer_silent in 12 s. Opening them
+        again, with complete updates, used up the little processor time that it got.
         """
         await asyncio.sleep(0.55)
         time.sleep(2.0)
@@ -119,16 +121,19 @@
         self.assertGreater(len(self.received_at), 3)
 
     async def test_a_stream_cancelled_as_its_peer_falls_silent_ends(self):
-        """The engine of a silent agent left the registry in the same turn of the loop
-        in which the silence was noticed. The cancellation of the stream was taken for
-        that of its call: the stream was opened anew, and again, and nobody held it."""
+        """Symptom: a stream that nobody holds is opened again and again.
+
+        The engine of a silent agent left the registry in the same iteration of the
+        event loop in which the silence was detected. The cancellation of the stream was
+        mistaken for that of its call.
+        """
         await asyncio.sleep(0.3)
         call, stream = self.channels.calls[0], self.tasks[0]
-        ending = call.cancel
+        original_cancel = call.cancel
 
         def cancel():
-            call.cancel = ending
-            ending()
+            call.cancel = original_cancel
+            original_cancel()
             stream.cancel()
 
         call.cancel = cancel
