--- a/tests/gateway/cover/test_attempts.py
+++ b/tests/gateway/cover/test_attempts.py
@@ -1,4 +1,4 @@
-"""What becomes of a call whose attempt has ended without a whole answer."""
+"""The next action after an attempt that ended without a complete answer."""
 
 import unittest
 
@@ -46,10 +46,10 @@
 
 class TestUnreachable(unittest.TestCase):
     def test_a_backend_server_that_was_not_reached_uses_up_no_attempt(self):
-        """Symptom: a call that may go to two backend servers ends after one refusal.
+        """Symptom: a call that may make two attempts fails after one refusal.
 
-        Its first choice can't be connected to, the second refuses it; the first was
-        counted as one of its two attempts.
+        The connection to its first backend server failed, and the second one refused
+        it. The failed connection counted as one of the two attempts.
         """
         progress = Progress(tried=["b1", "b2"], sends=1)
         decision = decide(CallKind.NON_IDEMPOTENT, AttemptOutcome.REFUSED, progress)
--- a/tests/gateway/cover/test_config.py
+++ b/tests/gateway/cover/test_config.py
@@ -1,4 +1,4 @@
-"""Which route a call takes, and which configuration is in force."""
+"""Matching calls to routes and services; which configuration is newer."""
 
 import unittest
 
--- a/tests/gateway/cover/test_copies.py
+++ b/tests/gateway/cover/test_copies.py
@@ -1,4 +1,4 @@
-"""What lines say of the copies of weights."""
+"""What log lines report about copies of weights."""
 
 import unittest
 from dataclasses import replace
@@ -19,7 +19,7 @@
 
 
 class TestCopiesSeen(unittest.TestCase):
-    """A refusal says whether a copy exists, and what keeps it from being used."""
+    """A refusal lists the copies of its model and why each can't be used."""
 
     def states(self, *backends):
         seen = copies_seen(NOW, backends, "llm", samples.model(), 100.0)
--- a/tests/gateway/cover/test_customers.py
+++ b/tests/gateway/cover/test_customers.py
@@ -1,4 +1,4 @@
-"""Customers and the keys by which their calls are told apart."""
+"""Customers, and the API keys that identify them."""
 
 import unittest
 
--- a/tests/gateway/cover/test_demand.py
+++ b/tests/gateway/cover/test_demand.py
@@ -1,4 +1,4 @@
-"""How much each model is asked for."""
+"""The demand for each model, counted at one entry."""
 
 import unittest
 
@@ -41,10 +41,10 @@
         self.assertEqual(self.demand(2.0).waiting, 0)
 
     def test_a_refused_call_counts_as_waiting_for_a_while(self):
-        """Symptom: a model that demand has moved to isn't loaded for ten seconds.
+        """Symptom: a model that demand has shifted to isn't loaded for ten seconds.
 
-        Its calls are refused at once and so never wait, and the load goes to models
-        with a single caller that does.
+        Its calls are refused at once and so never wait, and models with a single
+        waiting caller are loaded before it.
         """
         self.demand_tracker.asked(0.0, "tutor")
         for number in range(6):
@@ -53,7 +53,7 @@
         self.assertEqual(self.demand(1.0 + MAX_RETURN_WAIT_S).waiting, 0)
 
     def test_unserved_calls_count_until_an_engine_holds_the_model(self):
-        """A model was passed over as its callers, refused at once, never waited."""
+        """Symptom: a model isn't loaded, as its callers never wait but are refused."""
         self.demand_tracker.asked(0.0, "tutor")
         self.demand_tracker.unserved(0.0, "tutor")
         self.demand_tracker.unserved(6.0, "tutor", weight=0.5)
--- a/tests/gateway/cover/test_demand_collection.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -1,4 +1,4 @@
-"""How the demand of all entries becomes known to each."""
+"""How the demand at all entries is collected and reported to each process."""
 
 import math
 import unittest
@@ -38,10 +38,10 @@
 
 class TestDemandsChanged(unittest.TestCase):
     def test_a_decaying_rate_is_not_reported_repeatedly(self):
-        """Symptom: nobody calls, and each stream carries two messages a second.
+        """Symptom: without any calls, each stream carries two messages per second.
 
-        A rate fades by a tenth in half a second, and was told again each time, for a
-        quarter of a minute after each call, to each engine that holds the model.
+        A rate decays by a tenth in half a second and was reported again each time, for
+        15 s after each call, to each engine that holds the model.
         """
         for step in range(1, 11):
             seconds = step * 0.5
@@ -103,9 +103,9 @@
         self.assertEqual(totals.demands(1.5, "tutor")["poet"], Demand(3.0, 4))
 
     def test_the_total_of_a_lost_collector_expires(self):
-        """Symptom: a model that nobody asks for any more keeps an engine.
+        """Symptom: a model without demand stays loaded.
 
-        The agent that collected its demand was killed, and its last sum stays.
+        The agent that collected its demand was killed, and its last total stayed.
         """
         totals = CollectedDemand()
         totals.reported(1.0, "tutor", "h1", {"poet": Demand(3.0, 1)})
@@ -114,7 +114,7 @@
 
 
 class TestNextDeadline(unittest.TestCase):
-    """How long the next waiting call is in time, as several tell it."""
+    """The time until the next waiting call is late, as several entries report it."""
 
     def test_the_deadline_is_encoded_and_decoded(self):
         demands = {"tutor": Demand(0.5, 1, 0, 0.25, 2, 1.75)}
@@ -140,7 +140,7 @@
 
 
 class TestCallers(unittest.TestCase):
-    """Callers who wait or are expected back, as several tell them."""
+    """Callers that wait or are expected back, as several entries report them."""
 
     def test_a_count_of_callers_is_encoded_and_decoded(self):
         demands = {"tutor": Demand(0.5, callers=0.0), "poet": Demand(0.5, callers=2.5)}
@@ -185,10 +185,10 @@
 
 class TestLoadRequests(unittest.TestCase):
     def test_a_load_request_carries_the_demand_of_all_entries(self):
-        """Symptom: a model that all entries wait for doesn't make others go.
+        """Symptom: a model that calls wait for at all entries evicts no other.
 
-        Its agent heard of the calls of the one entry that asks for the load, as the
-        others see that this one does.
+        One entry requests the load, and the others see that it does. The agent only
+        got that entry's demand.
         """
         update = pb.ResidencyUpdate()
         message_codec.add_load_request(
@@ -210,7 +210,8 @@
 
 class TestMessageSize(unittest.TestCase):
     def test_a_message_does_not_grow_with_the_number_of_models(self):
-        """Symptom: with 32 entries and 30 agents the small instances read all day.
+        """Symptom: with 32 entries and 30 agents, small instances spend all their time
+        on reading messages.
 
         Each of the thousand streams carried the demand for all models, twice.
         """
--- a/tests/gateway/cover/test_document_propagation.py
+++ b/tests/gateway/cover/test_document_propagation.py
@@ -1,4 +1,4 @@
-"""Which documents a process passes on to a peer, and when."""
+"""Which documents a process forwards to a peer, and when."""
 
 import unittest
 from unittest import mock
@@ -37,10 +37,10 @@
         self.assertTrue(self.queue.is_empty)
 
     def test_a_peer_that_reads_a_document_itself_is_not_sent_it(self):
-        """Symptom: each change of the configuration crosses a thousand streams.
+        """Symptom: each change of the configuration is sent on a thousand streams.
 
-        Every process passed on every document to every peer, though all but a few had
-        just read it from the store.
+        Every process forwarded every document to every peer, though all but a few
+        peers had just read it from the store.
         """
         self.queue.peer_has({"config/": 6})
         self.queue.add(0.0, change(), rank=1)
@@ -69,11 +69,11 @@
 
 
 class TestRanks(unittest.TestCase):
-    """Symptom: calls are held beyond their timeout beside changes of the configuration.
+    """Symptom: during changes of the configuration calls exceed their timeout.
 
-    Each process that knew a configuration sent it to each peer that hadn't said that it
-    has it, thirty at a time. That filled the links of small instances, and the answers
-    of calls waited behind.
+    Each process that had a configuration sent it to each peer that hadn't reported its
+    revision yet, thirty at a time. That saturated the links of small instances, and
+    answers of calls were queued behind.
     """
 
     def ranks(self, entries=ENTRIES):
@@ -116,7 +116,7 @@
     def test_rankings_are_cached(self):
         """Symptom: an entry at rest spends a tenth of a core on its peers.
 
-        Each document that it learnt had it weigh all entries for each of the agents.
+        For each new document it computed the ranking of all entries for each agent.
         """
         with mock.patch.object(rendezvous, "weight", wraps=rendezvous.weight) as weigh:
             for _ in range(100):
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -1,4 +1,4 @@
-"""When an entry makes the plan of loads."""
+"""Which entries make plans of loads, and when."""
 
 import unittest
 from unittest import mock
@@ -45,7 +45,7 @@
 
 
 class TestLostEngines(unittest.TestCase):
-    """Callers of a model that only a lost engine holds counted as served."""
+    """Symptom: callers of a model that only a lost engine holds count as served."""
 
     def test_models_that_they_hold_do_not_count_as_held(self):
         app = App("e1")
@@ -61,10 +61,10 @@
 
 
 class TestPlanners(unittest.TestCase):
-    """Symptom: entries of a large fleet spend a quarter of their time on plans.
+    """Symptom: entries of a large fleet spend a quarter of their CPU time on plans.
 
-    Each entry with a refused caller that was due back made the plan ten times a second,
-    though a few see to loads and hear of all callers.
+    Each entry that expected a refused caller back made a plan ten times per second,
+    though a few entries are responsible for loads and get reports about all callers.
     """
 
     def start(self, instance):
--- a/tests/gateway/cover/test_events.py
+++ b/tests/gateway/cover/test_events.py
@@ -1,4 +1,4 @@
-"""Whole events out of bytes that come in any portions."""
+"""Splitting a stream of bytes, received in any chunks, into whole events."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 def naive_split(stream):
-    """The events with their numbers, and the rest, looked for as one would by hand."""
+    """The events with their numbers, and the remaining bytes, by a naive parser."""
     found = []
     while True:
         ends = [
--- a/tests/gateway/cover/test_fingerprint.py
+++ b/tests/gateway/cover/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""What makes two calls tries of one request."""
+"""Which calls count as attempts of the same request."""
 
 import unittest
 
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -1,4 +1,4 @@
-"""What an entry knows of backend servers, from the registry and from agents."""
+"""An entry's table of backend servers, from the registry and from agents."""
 
 import unittest
 
@@ -26,10 +26,10 @@
         self.assertEqual(self.names(), [])
 
     def test_a_leaving_start_does_not_become_available_again(self):
-        """Symptom: a backend server gets work again after it said that it leaves.
+        """Symptom: a backend server gets calls again after it announced that it leaves.
 
-        It reports that it leaves; a heartbeat that was on its way then is written after
-        the report, with a later revision and the old state.
+        A heartbeat that was in transit at that time is written after the announcement,
+        with a later revision and the old state.
         """
         self.fleet.registry_changed(1.0, samples.registration(leaving=True, revision=2))
         self.fleet.registry_changed(1.1, samples.registration(revision=3))
@@ -41,12 +41,12 @@
 
 
 class TestRestartsAtOneAddress(unittest.TestCase):
-    """Symptom: after engines were restarted, models vanish from the last that holds
-    them, and calls for them are refused for half a minute.
+    """Symptom: after engines restart, models are evicted from their last holder, and
+    their calls are refused for half a minute.
 
     The registry lists the ended starts until they have missed some heartbeats, beside
-    the new ones at the same addresses. What they held counted as held, so a model's
-    only living holder was taken for one of several.
+    the new ones at the same addresses. Models of the ended starts counted as held, so a
+    model's only live holder counted as one of several.
     """
 
     def setUp(self):
@@ -81,11 +81,11 @@
 
 
 class TestExpiry(unittest.TestCase):
-    """Symptom: all backend servers vanish when the store returns after an outage.
+    """Symptom: all backend servers are removed when the store recovers from an outage.
 
-    While the store was away their leases ran out; it returns with an empty registry,
-    and each entry is back a heartbeat later. Taken at its word, every call in between
-    is refused for want of a backend server.
+    During the outage their leases expired. The registry is empty at first, and each
+    backend server registers again with its next heartbeat. Calls in between were
+    refused for want of a backend server.
     """
 
     def setUp(self):
@@ -134,17 +134,17 @@
         self.assertEqual(backend.occupied(60.0), 0)
 
     def test_an_engine_that_is_silent_and_whose_agent_is_too_is_lost(self):
-        """Symptom: for seconds after an instance's power loss its models are asked of
-        it, and nobody loads them elsewhere.
+        """Symptom: for seconds after an instance's power loss, calls for its models
+        are sent to it, and no other engine loads them.
 
-        Engine and agent are gone together. The registry drops the engine only when its
-        registration lapses.
+        Engine and agent are lost together. The registry removes the engine only when
+        its registration expires.
         """
         backend = samples.backend("b1", 0.0, samples.engine_state("b1", ("tutor",)))
         backend.mark_unreachable(1.0)
-        self.assertFalse(backend.lost(1.0), "its agent spoke a second ago")
+        self.assertFalse(backend.lost(1.0), "its agent reported a second ago")
         self.assertTrue(backend.lost(2.0))
-        self.assertFalse(backend.lost(5.0), "somebody has to try again")
+        self.assertFalse(backend.lost(5.0), "a call has to try again")
 
     def test_an_engine_that_neither_entry_nor_agent_reaches_is_lost_at_once(self):
         state = samples.engine_state("b1", ("tutor",), silent=True)
@@ -176,11 +176,11 @@
 
 class TestStall(unittest.TestCase):
     def test_agents_are_not_silent_because_this_process_stalled(self):
-        """Symptom: after a standstill of an entry all calls that came meanwhile are
-        refused for want of an engine that takes orders.
+        """Symptom: after a stall of an entry, all calls that arrived meanwhile are
+        refused for want of an engine that accepts orders.
 
-        The agents spoke all the while. Their messages lie unread, and the age of the
-        last one that was read had grown by the standstill.
+        The agents kept reporting, but their messages weren't read yet, and the age of
+        the last one that was read had grown by the stall.
         """
         running = RunningClock(0.0)
         fleet = Fleet(running.running_time)
@@ -203,10 +203,11 @@
 
 class TestDenials(unittest.TestCase):
     def test_no_call_is_sent_for_what_was_just_denied(self):
-        """Symptom: after all processes lost power, calls are sent only to be refused.
+        """Symptom: after a power loss of all processes, calls are sent to engines that
+        refuse them.
 
-        The engines came back empty; the registry still lists what they held, and no
-        agent has spoken yet.
+        The engines restarted empty. The registry still lists the models that they held,
+        and no agent has reported yet.
         """
         backend = samples.backend(service="llm")
         backend.registration = samples.registration(
--- a/tests/gateway/cover/test_health.py
+++ b/tests/gateway/cover/test_health.py
@@ -1,4 +1,4 @@
-"""Judging backend servers by their calls."""
+"""The health of backend servers, measured by the outcomes of their calls."""
 
 import unittest
 
--- a/tests/gateway/cover/test_initial_discovery.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -1,4 +1,4 @@
-"""An entry that has just started, and copies that it hasn't heard of yet."""
+"""Plans of an entry that has just started and hasn't heard of all engines yet."""
 
 import unittest
 
@@ -42,7 +42,7 @@
         )
 
     def test_a_late_report_of_a_listed_engine_does_not_prolong_it(self):
-        """The store's first load began seconds after all engines were known."""
+        """Otherwise the first load from the store started seconds too late."""
         silent = samples.backend("b2")
         self.assertFalse(self.is_over(0.0, reported_backend("b1"), silent))
         self.assertFalse(self.is_over(QUIET_S - 0.1, reported_backend("b1"), silent))
@@ -59,7 +59,7 @@
         self.assertTrue(self.is_over(MAX_STALL_S, reported_backend("b1"), silent))
 
     def test_engines_that_come_and_go_do_not_prolong_it_for_ever(self):
-        """The weight store was asked for nothing while engines went down and up."""
+        """While engines crashed and restarted nothing was loaded from the store."""
         now, both = 0.0, (reported_backend("b1"), reported_backend("b2"))
         while now < MAX_DISCOVERY_S - 0.1:
             self.assertFalse(self.is_over(now, *both[: 1 + round(now * 2) % 2]))
@@ -92,7 +92,7 @@
 
 
 class FakeGatewayState:
-    """What the entry has heard of."""
+    """The entry's configuration and fleet, without a store."""
 
     batch_delay_s = 0.6
 
@@ -109,11 +109,12 @@
 
 
 class TestLoadsOfAnEntryThatHasJustStarted(unittest.TestCase):
-    """Symptom: the weight store, which brings four models in a day, brings one of which
-    an engine has a copy.
+    """Symptom: the weight store, which can load four models in a day, loads one of
+    which an engine has a copy.
 
-    Before the first call models without a copy are fetched. The entry planned as soon
-    as the first agents had spoken; the one beside the copy spoke a second later.
+    Before the first call models without a copy are prefetched. The entry made a plan as
+    soon as the first agents had reported; the agent of the engine with the copy
+    reported a second later.
     """
 
     def setUp(self):
--- a/tests/gateway/cover/test_meters.py
+++ b/tests/gateway/cover/test_meters.py
@@ -1,4 +1,4 @@
-"""Metrics kept from log lines, and the page that serves them."""
+"""Metrics counted from log lines, and the page that serves them."""
 
 import asyncio
 import unittest
@@ -14,7 +14,7 @@
 
 
 def sample(kind):
-    """A line of that kind with some value in each field."""
+    """A log line of that kind with some value in each field."""
     values = {"int": 1, "float": 1.0, "bool": True, "str": "x"}
     given = {
         item.name: values.get(item.type.partition(" ")[0], {}) for item in fields(kind)
@@ -77,9 +77,9 @@
         )
 
     def test_lines_that_the_log_leaves_out_count_all_the_same(self):
-        """Symptom: during a storm of refusals the metrics show a handful of them.
+        """Symptom: during a storm of refusals the metrics count only a few of them.
 
-        The log writes so many lines of a kind a second and leaves the others out.
+        The log limits the lines of a kind per second and leaves the others out.
         """
         with open("/dev/null", "wb") as sink:
             events = EventLog("i-1", sink.fileno(), per_s=5)
@@ -97,9 +97,9 @@
         self.assertIn(b"bambootiller_calls_under_way 8.0", self.meters.page())
 
     def test_each_kind_of_line_can_be_counted(self):
-        """Symptom: a caller who leaves raises an exception in the entry.
+        """Symptom: a caller that disconnects causes an exception in the entry.
 
-        The line about it was counted by a field that lines of its kind don't have.
+        Its log line was counted by a field that lines of its kind don't have.
         """
         for kind in lines.LogLine.__subclasses__():
             with self.subTest(kind.__name__):
@@ -138,9 +138,9 @@
             self.assertEqual(answer.split(b" ")[1], status, data[:40])
 
     async def test_connections_without_a_request_do_not_pile_up(self):
-        """Symptom: the process runs out of descriptors.
+        """Symptom: the process runs out of file descriptors.
 
-        Each connection to the metrics page that sends nothing is held for ever.
+        Connections to the metrics page that send no request were kept open for ever.
         """
         held = []
         for _ in range(20):
--- a/tests/gateway/cover/test_model_moves.py
+++ b/tests/gateway/cover/test_model_moves.py
@@ -1,4 +1,4 @@
-"""Room for an awaited model, made by moving another to where that has a copy."""
+"""Freeing an engine for an awaited model by moving another to where it has a copy."""
 
 import unittest
 
@@ -11,15 +11,18 @@
 BUSY = {
     "tutor": Demand(3.0, 0, 1, 0.0, 2),
     "poet": Demand(3.5, 0, 1, 0.0, 1),
-    # Much more than these, or they would get a second engine anyway.
+    # In much higher demand, otherwise the two would get a second engine anyway.
     "others": Demand(100.0, 0, 3, 0.0, 3),
 }
 AWAITED = Demand(2.0, 6, 0, 1.0, 1)
 
 
 class TestModelMoves(unittest.TestCase):
-    """The first engine is full of tutor and poet, which have calls, and has the only
-    copy of clerk. The second holds scribe, idle, and has a copy of tutor."""
+    """Moves of a model away from the only engine with a copy of an awaited one.
+
+    The first engine is full of tutor and poet, which are in use, and has the only copy
+    of clerk. The second holds scribe, which is idle, and has a copy of tutor.
+    """
 
     def setUp(self):
         names = ("tutor", "poet", "clerk", "scribe", "extra")
@@ -43,11 +46,11 @@
         return Planner(self.spec, 4).plan(NOW, backends, demands)
 
     def test_a_model_that_fills_the_engine_is_loaded_where_it_has_a_copy(self):
-        """Symptom: demand moves to a model, and its calls are refused for 6 seconds.
+        """Symptom: demand shifts to a model, and its calls are refused for 6 seconds.
 
-        Its only copy lies at an engine that is full of busy models, so it is loaded
-        from the weight store at another. One of those models has a copy elsewhere,
-        from which it would have been loaded there in half a second.
+        Its only copy is at an engine full of busy models, so another engine loads it
+        from the weight store. One of the busy models has a copy at another engine,
+        which would have loaded it from there in half a second.
         """
         plan = self.plan(self.first(), self.second())
         self.assertEqual(
@@ -67,7 +70,7 @@
         self.assertEqual(plan["clerk"].instance, "b1")
 
     def test_models_without_a_copy_do_not_prevent_the_move(self):
-        """The store's turn was left to one of these, and the move with it."""
+        """The store was reserved for one of these, and the move wasn't made."""
         names = ("tutor", "poet", "clerk", "scribe", "extra", "new")
         self.spec = samples.engine(*map(samples.model, names))
         demands = {**BUSY, "clerk": AWAITED, "new": Demand(0.1, 0)}
@@ -102,9 +105,9 @@
 
 class TestLongLoads(unittest.TestCase):
     def test_a_long_load_goes_to_the_engine_with_the_fewest_unique_copies(self):
-        """Symptom: a model is asked for, and its only copy can't be used for seconds.
+        """Symptom: a model gets calls, and its only copy can't be used for seconds.
 
-        Its engine loads another from the weight store meanwhile and takes no order,
+        Its engine is loading another model from the weight store and accepts no order,
         though an engine without such copies was free as well.
         """
         spec = samples.engine(*(samples.model(f"m{n}") for n in range(9)))
--- a/tests/gateway/cover/test_obstacles.py
+++ b/tests/gateway/cover/test_obstacles.py
@@ -1,4 +1,4 @@
-"""What is said of a model that no engine can load."""
+"""Why no engine can load a model, as refusals report it."""
 
 import unittest
 
--- a/tests/gateway/cover/test_overload.py
+++ b/tests/gateway/cover/test_overload.py
@@ -1,4 +1,4 @@
-"""Which part of new connections is turned away."""
+"""Which fraction of new connections is rejected under overload."""
 
 import unittest
 
@@ -19,7 +19,7 @@
             self.overload.tick(late_s)
 
     def test_a_pause_rejects_nobody(self):
-        """An instance that was suspended took no caller when it was back."""
+        """An instance that resumed after a suspension rejected all callers."""
         self.ticks(1, 8.0)
         self.ticks(5, 0.0)
         self.ticks(SUSTAINED_TICKS - 1, 2 * BUSY_S)
--- a/tests/gateway/cover/test_plan_scheduler.py
+++ b/tests/gateway/cover/test_plan_scheduler.py
@@ -1,4 +1,4 @@
-"""When an entry makes its plan anew."""
+"""When an entry makes a new plan of loads."""
 
 import unittest
 
@@ -34,7 +34,7 @@
             self.scheduler.mark_not_empty()
 
     def run_for(self, seconds):
-        """How many plans are made meanwhile."""
+        """Runs the timers for ``seconds``; returns the number of plans made."""
         before, end = len(self.plan_times), self.now + seconds
         while self.timers.next_due() <= end:
             self.now = self.timers.next_due()
--- a/tests/gateway/cover/test_quarantine_record.py
+++ b/tests/gateway/cover/test_quarantine_record.py
@@ -1,4 +1,4 @@
-"""Quarantines as they are kept in the key-value service."""
+"""The encoding of quarantines in the key-value service."""
 
 import unittest
 
--- a/tests/gateway/cover/test_quotas.py
+++ b/tests/gateway/cover/test_quotas.py
@@ -1,4 +1,4 @@
-"""Accounts of entries, and the allocator that grants them shares."""
+"""Quota accounts of entries, and the allocator that grants shares to them."""
 
 import unittest
 
@@ -33,8 +33,11 @@
 
 
 class TestSustainedRate(unittest.TestCase):
-    """A customer whose rate had been lowered ran half of what it might: its burst
-    stayed, and only the rate filled the bucket, which was empty all the time."""
+    """Symptom: a customer gets half of its quota after its rate was lowered.
+
+    Its burst stayed the same, and only the rate filled the bucket, which was empty all
+    the time.
+    """
 
     def test_a_customer_with_an_empty_bucket_gets_what_a_window_allows(self):
         quota = Quota(12_685.0, 45_664.0, QuotaUnit.TOKEN)
@@ -115,8 +118,10 @@
         self.assertAlmostEqual(self.account.available(11.0, LIMIT), 50.0)
 
     def test_an_advance_is_refunded_until_it_expires(self):
-        """A customer's calls were refused by busy engines, and what they had taken was
-        lost: it ran half of what it might."""
+        """Symptom: a customer gets half of its quota.
+
+        Busy engines refused its calls, and the advances charged for them were lost.
+        """
         self.grant(10.0, advance=30.0)
         self.account.refund(10.1, LIMIT, self.take(10.0, 30.0))
         charge = self.take(10.1, 30.0)
@@ -125,8 +130,11 @@
         self.assertEqual(self.account.available(10.0 + LIMIT.advance_s, LIMIT), 0.0)
 
     def test_a_refund_after_the_bucket_was_full_adds_nothing(self):
-        """Twice the depth was there to be spent in a moment: a call took a part, the
-        bucket filled, was emptied, and the call gave its part back."""
+        """Symptom: twice the bucket's depth can be spent at once.
+
+        A call was charged, the bucket filled and was emptied, and then the call's
+        charge was refunded.
+        """
         self.grant(10.0, share=0.5)
         charge = self.take(11.0, 40.0)
         full = self.account.available(20.0, LIMIT)
@@ -142,10 +150,10 @@
 
 class TestQuotaAllocator(unittest.TestCase):
     def setUp(self):
-        self.allocator = self.begin(0.0)
+        self.allocator = self.start_allocator(0.0)
         self.numbers, self.last_answered = {}, {}
 
-    def begin(self, now, members=None, term=1):
+    def start_allocator(self, now, members=None, term=1):
         allocator = QuotaAllocator(term, now, members or {})
         allocator.configured(now, LIMITS)
         return allocator
@@ -168,7 +176,7 @@
         return answer.customers["c1"]
 
     def shared(self, now, entry, demand):
-        """The share that the entry has once it has acted on answers."""
+        """The entry's share after it has confirmed some answers."""
         share = 0.0
         for step in range(4):
             share = self.ask(now + step / 100, entry, demand, share).share
@@ -194,7 +202,7 @@
         self.assertEqual(self.shared(2.0, "e2", 300.0), 0.0)
         smaller = self.ask(3.0, "e1", 300.0, share=first).share
         self.assertAlmostEqual(smaller, MAX_SHARED_FRACTION / 2)
-        # Only what e1 has confirmed to have given up is there for e2.
+        # e2 only gets what e1 has confirmed to have released.
         self.assertEqual(self.ask(3.0, "e2", 300.0).share, 0.0)
         self.ask(3.1, "e1", 300.0, share=smaller)
         self.assertAlmostEqual(self.shared(3.2, "e2", 300.0), MAX_SHARED_FRACTION / 2)
@@ -214,19 +222,25 @@
         self.assertEqual(self.allocator.pending_record["e1"].incarnation, "p1")
 
     def test_a_successor_counts_the_recorded_shares_of_silent_entries(self):
-        self.allocator = self.begin(5.0, {"e1": Member("p1", {"c1": 0.6})}, term=2)
+        self.allocator = self.start_allocator(
+            5.0, {"e1": Member("p1", {"c1": 0.6})}, term=2
+        )
         self.assertEqual(self.ask(6.0, "e2", wanted=41.0).advance, 0.0)
         self.assertEqual(self.ask(6.0, "e2", wanted=39.0).advance, 39.0)
 
     def test_a_recorded_share_ends_once_a_later_process_confirms_an_answer(self):
-        self.allocator = self.begin(5.0, {"e1": Member("p1", {"c1": 0.6})}, term=2)
+        self.allocator = self.start_allocator(
+            5.0, {"e1": Member("p1", {"c1": 0.6})}, term=2
+        )
         self.ask(5.0, "e1", process="p2")
         self.assertEqual(self.ask(5.5, "e2", wanted=21.0).advance, 0.0)
         self.ask(5.5, "e1", process="p2")
         self.assertEqual(self.ask(6.5, "e2", wanted=80.0).advance, 80.0)
 
     def test_a_recorded_share_ends_when_it_expires(self):
-        self.allocator = self.begin(5.0, {"e1": Member("p1", {"c1": 1.0})}, term=2)
+        self.allocator = self.start_allocator(
+            5.0, {"e1": Member("p1", {"c1": 1.0})}, term=2
+        )
         self.assertEqual(self.ask(5.0 + SHARE_TTL_S - 1, "e2", wanted=1.0).advance, 0.0)
         self.ask(5.0 + SHARE_TTL_S, "e2")
         self.assertEqual(self.ask(6.0 + SHARE_TTL_S, "e2", wanted=90.0).advance, 90.0)
--- a/tests/gateway/cover/test_reported_limits.py
+++ b/tests/gateway/cover/test_reported_limits.py
@@ -1,4 +1,4 @@
-"""What is known of the limits that backend servers name."""
+"""Rate limits that backend servers report, and their propagation to peers."""
 
 import unittest
 
--- a/tests/gateway/cover/test_retry_prediction.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -1,4 +1,4 @@
-"""Callers who come back after a refusal."""
+"""Which refused callers are expected to retry, and when."""
 
 import unittest
 from unittest import mock
@@ -39,7 +39,7 @@
         self.assertIsNone(self.expected(20.0, retry_after_s=4.0))
 
     def test_callers_of_a_route_whose_timeout_is_shortened_are_expected(self):
-        """All of them counted as second tries from then on."""
+        """All of them counted as retries from then on."""
         short = call(12.0, timeout_s=12.0)
         self.retry_predictor.asked(short)
         self.assertEqual(self.retry_predictor.expected_retry_in_s(short, 0.0, 3.0), 3.0)
@@ -75,10 +75,10 @@
 
 
 class TestRefusedCalls(unittest.IsolatedAsyncioTestCase):
-    """What the entry that refuses a call counts on."""
+    """Which callers an entry expects back after it has refused their calls."""
 
     async def callers(self, *caller_timeout_s):
-        """Those counted after one call each with so much time has been refused."""
+        """Callers expected after refusing one call for each timeout in seconds."""
         demand, context = DemandTracker(), mock.Mock()
         context.clock.return_value = 5.0
         context.gateway_state.fleet.of_service.return_value = []
--- a/tests/gateway/cover/test_running_clock.py
+++ b/tests/gateway/cover/test_running_clock.py
@@ -1,4 +1,4 @@
-"""The clock that stands still while its process does."""
+"""The clock that doesn't advance while its process is stalled."""
 
 import unittest
 
--- a/tests/gateway/cover/test_selection.py
+++ b/tests/gateway/cover/test_selection.py
@@ -1,4 +1,4 @@
-"""Which backend server a call goes to."""
+"""Which backend server is selected for a call."""
 
 import random
 import unittest
@@ -19,11 +19,11 @@
 
 class TestPendingPrefills(unittest.TestCase):
     """Symptom: calls of the busiest model get their first event seconds after they were
-    sent, while another engine that holds it reads nothing.
+    sent, while another holder of the model has no prompts to prefill.
 
-    All calls of a model went to the first of its holders until that had sixteen more
-    calls under way than the next. An engine reads prompts one after the other, and a
-    dozen of them take a second.
+    All calls of a model went to its first holder until that had sixteen more calls in
+    flight than the next. An engine prefills prompts one after the other, and a dozen of
+    them take a second.
     """
 
     def setUp(self):
--- a/tests/gateway/cover/test_service_levels.py
+++ b/tests/gateway/cover/test_service_levels.py
@@ -1,4 +1,4 @@
-"""How much a call counts in the demand for its model."""
+"""The weight of a call in the demand for its model, by its service level."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 def weights(rates, seconds=60):
-    """The last weight of each level after calls at these rates."""
+    """The last weight of each level after calls at ``rates`` (calls per second)."""
     levels = ServiceLevels()
     calls = sorted(
         (number / rate, level.target_s, level)
@@ -58,8 +58,8 @@
     def test_a_rare_level_does_not_starve_behind_a_frequent_one(self):
         """Symptom: one kind of call is served far less often than all others.
 
-        Its models are asked for a tenth as often as those of the frequent kinds, and
-        loads went to what most calls asked for, so its models were never loaded.
+        Its models get a tenth of the calls that those of the frequent kinds get. Loads
+        went to the models with most calls, so its models were never loaded.
         """
         demand_tracker = DemandTracker()
         for number in range(8):
--- a/tests/gateway/cover/test_silence.py
+++ b/tests/gateway/cover/test_silence.py
@@ -1,4 +1,4 @@
-"""The watch for a backend server's silence."""
+"""The detector of backend servers that stop sending."""
 
 import asyncio
 import time
@@ -28,8 +28,11 @@
         self.assertEqual(len(self.conn.signals), 1)
 
     async def test_nothing_is_signalled_after_it_has_stopped(self):
-        """The next call on the connection was told of silence that nobody watched for,
-        and its caller got no answer: a watch set anew had left its first timer."""
+        """Symptom: the next call on the connection fails for a silence that isn't its
+        own, and its caller gets no answer.
+
+        A restart of the detector had left its first timer running.
+        """
         detector = SilenceDetector(self.conn, 0.02, time.monotonic)
         detector.recheck_in(0.03)
         detector.restart()
--- a/tests/gateway/cover/test_store_idle.py
+++ b/tests/gateway/cover/test_store_idle.py
@@ -1,4 +1,4 @@
-"""A weight store that serves nobody while callers wait."""
+"""How long the weight store is idle while callers wait for models."""
 
 import unittest
 
--- a/tests/gateway/cover/test_timeline.py
+++ b/tests/gateway/cover/test_timeline.py
@@ -1,4 +1,4 @@
-"""The story of a request from the lines of many processes."""
+"""The timeline of a request, built from the log lines of many processes."""
 
 import json
 import unittest
@@ -55,10 +55,10 @@
         self.assertEqual(self.events(timeline), ["order", "order", "refused"])
 
     def test_lines_are_in_order_although_clocks_differ(self):
-        """Symptom: the order that loads a model seems to come after the refusal.
+        """Symptom: the order that loads a model is shown after the refusal.
 
-        The agent's clock is four seconds ahead. By the times on the lines, the cause
-        stands behind its effect, and the reader looks for another.
+        The agent's clock is four seconds ahead. Ordered by the times in the lines, the
+        cause follows its effect, and the reader looks for another cause.
         """
         ahead = 1004.0
         lines = [
@@ -88,7 +88,7 @@
         self.assertEqual(timeline.unaligned, ("agent",))
 
     def test_each_run_of_a_process_is_aligned_separately(self):
-        """Symptom: what an agent did before its restart seems to happen after it."""
+        """Symptom: what an agent did before its restart is shown after it."""
         lines = [
             config("entry", 20.0, 7),
             config("entry", 26.0, 8),
--- a/tests/gateway/cover/test_unserved.py
+++ b/tests/gateway/cover/test_unserved.py
@@ -1,4 +1,4 @@
-"""Models and adapters that are asked for and not served."""
+"""Models and adapters whose calls aren't served."""
 
 import unittest
 
--- a/tests/gateway/cover/test_wakeups.py
+++ b/tests/gateway/cover/test_wakeups.py
@@ -1,4 +1,4 @@
-"""Which news of an engine has waiting calls look again at once."""
+"""Which changes in an engine's report make waiting calls try placement again."""
 
 import unittest
 from dataclasses import replace
@@ -16,10 +16,10 @@
         return wakes_waiting_calls(backend, replace(STATE, **changes))
 
     def test_calls_that_start_and_end_wake_nobody(self):
-        """Symptom: while calls wait, an entry takes several times the processor.
+        """Symptom: while calls wait, an entry uses several times the CPU time.
 
-        At each word of each agent all waiting calls looked at all engines again, also
-        where it told only that another call had begun.
+        At each agent's report all waiting calls evaluated all engines again, even if
+        only another call had started.
         """
         self.assertFalse(self.wakes_calls())
         changes = {"running": 3, "queued": 1, "in_use": {"tutor": 3}}
