--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -56,10 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _ActiveLoad:
-    """A load that was ordered at the time ``began``."""
+    """A load that was ordered at the time ``started_at``."""
 
     model: str
-    began: float
+    started_at: float
     from_store: bool
 
 
@@ -142,7 +142,7 @@
         manage the engine."""
         app = self._app
         self._stall_monitor.start()
-        self._gateway_state.on_config(self._configured)
+        self._gateway_state.on_config(self._apply_config)
         watcher = StoreWatcher(
             self._platform.kv,
             self._gateway_state,
@@ -223,7 +223,7 @@
 
         return current
 
-    def _configured(self, config: GatewayConfig) -> None:
+    def _apply_config(self, config: GatewayConfig) -> None:
         self._quotas.configured(config)
         service = config.services.get(self._service)
         spec: EngineSpec | None = service.engine if service is not None else None
@@ -272,10 +272,10 @@
 
     async def _manage_engine(self) -> None:
         while True:
-            pause = await self._step()
+            delay_s = await self._step()
             self._updates.send_changes()
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(pause):
+                async with asyncio.timeout(delay_s):
                     await self._wake.wait()
             self._wake.clear()
 
@@ -284,10 +284,10 @@
         before the next step, in seconds."""
         if self._book is None:
             return IDLE_POLL_S
-        began = self._stall_monitor.stall_check.now()
+        started_at = self._stall_monitor.stall_check.now()
         report = await self._engine.report()
         if isinstance(report, ReportFailed):
-            if self._stall_monitor.stall_check.was_stalled(began):
+            if self._stall_monitor.stall_check.was_stalled(started_at):
                 # The failure isn't reported to entries: one stall of this process
                 # together with one pause of a stream would make them consider the
                 # engine lost.
@@ -373,7 +373,7 @@
             return
         load, self._loading = self._loading, None
         ended = incarnation or report.incarnation
-        seconds = self._app.now() - load.began
+        seconds = self._app.now() - load.started_at
         self._quarantine.load_lost(load.model, ended, seconds)
         line = lines.LoadEnded(load.model, False, round(seconds, 2), load.from_store)
         self._events.emit(line)
@@ -395,7 +395,7 @@
         book = self._book
         book.order_sent(order)
         self._updates.send_changes()
-        decided = self._app.now()
+        decided_at = self._app.now()
         demand = book.demands().get(order.wanted_for or order.model, Demand())
         requested_by = book.requested_by(order)
         from_store = _draws_on_store(book.report, order)
@@ -403,7 +403,7 @@
         book.answered(self._app.now(), order, answer)
         may_load = answer in (OrderAnswer.ACCEPTED, OrderAnswer.UNANSWERED)
         if may_load and order.kind is OrderKind.LOAD and not order.adapter:
-            self._loading = _ActiveLoad(order.model, decided, from_store)
+            self._loading = _ActiveLoad(order.model, decided_at, from_store)
         line = lines.Order(
             order.kind.value,
             order.model,
@@ -414,7 +414,7 @@
             order.wanted_for,
             round(demand.rate, 2),
             demand.waiting,
-            round((decided - self._reported_at) * 1000),
+            round((decided_at - self._reported_at) * 1000),
             requested_by or None,
             from_store or None,
         )
--- a/packages/bambootiller/src/bambootiller/gateway/agent_updates.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent_updates.py
@@ -108,9 +108,9 @@
         self._can_order = orders
         self._send_new_report()
 
-    def set_engine_responsive(self, answers: bool) -> None:
+    def set_engine_responsive(self, is_responsive: bool) -> None:
         """Sets whether the engine responds to the agent."""
-        self._engine_silent = not answers
+        self._engine_silent = not is_responsive
         self._send_new_report()
 
     def send_changes(self) -> None:
@@ -129,13 +129,15 @@
         if state is None:
             return
         before = self._sent
-        decisive = before is None or _differs(before, state)
+        affects_decisions = before is None or _differs(before, state)
         due = now - self._sent_at >= self._figures_interval_s()
-        if due and (decisive or self._partially_sent or self._has_changed(state)):
+        if due and (
+            affects_decisions or self._partially_sent or self._has_changed(state)
+        ):
             self._send_to_all(state)
-        elif decisive and (before is None or _offers_less(before, state)):
+        elif affects_decisions and (before is None or _offers_less(before, state)):
             self._send_to_all(state)
-        elif decisive:
+        elif affects_decisions:
             self._send_to_concerned(now, state, _added(before, state))
 
     def _send_to_all(self, state: EngineState) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -115,11 +115,11 @@
         """Requests, after an agent's new report, the adapters that refused callers will
         need and whose models its engine holds."""
         service = backend.registration.service
-        due = self._adapter_prefetch.get(service)
-        if due is None:
+        prefetch = self._adapter_prefetch.get(service)
+        if prefetch is None:
             return
         backends = self._gateway_state.fleet.of_service(service)
-        for load_request in due.load_requests(now, backend, backends):
+        for load_request in prefetch.load_requests(now, backend, backends):
             self._request_load(backend, load_request)
 
     def totals_reported(
@@ -198,8 +198,8 @@
         now = self._app.now()
         planned = self.planned(service, model)
         counted = self._own_demands.get(service, {}).get(model, NO_DEMAND).waiting
-        more = self.demand(service).waiting(now, model) > counted
-        if (planned is None and more) or self._is_stale(now):
+        has_uncounted_calls = self.demand(service).waiting(now, model) > counted
+        if (planned is None and has_uncounted_calls) or self._is_stale(now):
             self.make_plans(now)
             self._scheduler.check_soon(now)
             planned = self.planned(service, model)
@@ -217,12 +217,14 @@
             concurrency = self._observe(now, service)
             demands = self._refresh_demands(service.name)
             total_demands = self.total_demands(service.name, demands)
-            known = [backend.instance for backend in backends if not backend.lost(now)]
+            reachable = [
+                backend.instance for backend in backends if not backend.lost(now)
+            ]
             planner = Planner(
                 service.engine,
                 concurrency.loads,
                 remaining_time(concurrency, now),
-                concurrency.other_load_ends(now, known),
+                concurrency.other_load_ends(now, reachable),
                 concurrency.allows_probe
                 and self._load_requester.may_probe(now, service.name),
                 self._load_requester.cooling_down(now, service.name),
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -153,7 +153,7 @@
                 self._links.pop(host).task.cancel()
         for host, backend in backends_by_host.items():
             if host not in self._links:
-                self._open(host, backend)
+                self._open_stream(host, backend)
             self._links[host].instance = backend.instance
         self._apply_earlier_reports(now)
         reachability = [
@@ -183,18 +183,21 @@
     def _choose_collectors(
         self, now: float, backends_by_host: dict[str, Backend]
     ) -> None:
-        heard: dict[str, list[str]] = {}
+        responsive_hosts: dict[str, list[str]] = {}
         for host, backend in backends_by_host.items():
             if backend.agent_responsive(now):
-                heard.setdefault(backend.registration.service, []).append(host)
+                responsive_hosts.setdefault(backend.registration.service, []).append(
+                    host
+                )
         self._collectors = {
-            service: collectors(service, hosts) for service, hosts in heard.items()
+            service: collectors(service, hosts)
+            for service, hosts in responsive_hosts.items()
         }
 
     def _address(self, host: str) -> str:
         return f"{host}:{self._agent_port}"
 
-    def _open(self, host: str, backend: Backend) -> None:
+    def _open_stream(self, host: str, backend: Backend) -> None:
         stream = self._exchanger.keep_open(
             self._address(host),
             lambda update, peer_stream: self._fill(host, update, peer_stream),
@@ -274,7 +277,7 @@
         registration = backend.registration
         return registration.host in self._collectors.get(registration.service, ())
 
-    def figures_for(self, backend: Backend) -> pb.EntryFigures:
+    def report_for(self, backend: Backend) -> pb.EntryFigures:
         """The entry's current report to the agent beside the engine."""
         return self._current_report(backend).message()
 
@@ -314,11 +317,11 @@
             # A heartbeat confirms nothing about a start of the engine that has ended.
             return
         is_changed = backend.engine is not agent_report.state
-        wakes = wakes_waiting_calls(backend, agent_report.state)
+        wakes_calls = wakes_waiting_calls(backend, agent_report.state)
         if fleet.engine_reported(now, agent_report.state) and is_changed:
             if backend.replaced:
                 self._gateway_state.log_restart(backend, source)
             self.plans.changed(now)
             self.plans.agent_reported(now, fleet.get(agent_report.state.instance))
-            if wakes:
+            if wakes_calls:
                 self._gateway_state.changed.notify()
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -114,11 +114,11 @@
             )
         self._documents.add(self._loop.time(), change, rank, self_update_grace_s)
         if rank:
-            self._arm()
+            self._schedule_wakeup()
         else:
             self.send_now()
 
-    def heard(self, update: Update) -> None:
+    def received_message(self, update: Update) -> None:
         """Records that a message was received from the peer."""
         first = not self.peer
         self.peer = update.sender or self.peer
@@ -160,7 +160,7 @@
                 update = self._next_update()
                 self._sent_at = self._loop.time()
                 self._cancel_timer()
-                self._arm()
+                self._schedule_wakeup()
                 yield update
                 await self._wake.wait()
                 if self._batching:
@@ -170,7 +170,7 @@
         finally:
             self._cancel_timer()
 
-    def _arm(self) -> None:
+    def _schedule_wakeup(self) -> None:
         """Schedules a wake-up for the next document that is due or the next
         heartbeat."""
         due = self._documents.next_due()
@@ -259,9 +259,9 @@
         self._channels = channels
         self._peer_streams: set[PeerStream] = set()
         self._by_address: dict[str, PeerStream] = {}
-        gateway_state.on_document(self._document)
+        gateway_state.on_document(self._queue_document)
         gateway_state.on_complete(self.send_later)
-        gateway_state.on_revision(self._revision)
+        gateway_state.on_revision(self._send_revisions_later)
 
     def send_now(self) -> None:
         """Sends a message to all peers at once."""
@@ -361,28 +361,28 @@
         self._by_address[address] = peer_stream
         call = self._channels.residency(address).Exchange(peer_stream.updates())
         peer = _WatchedPeer(call, self._running_time)
-        watch = SilenceDetector(peer, SILENCE_TIMEOUT_S, self._running_time)
-        heard = False
+        detector = SilenceDetector(peer, SILENCE_TIMEOUT_S, self._running_time)
+        received_message = False
         try:
             while True:
                 update = await call.read()
                 if update is grpc.aio.EOF:
-                    return heard
+                    return received_message
                 peer.last_received_at = self._running_time()
-                if not heard:
-                    heard = True
+                if not received_message:
+                    received_message = True
                     self._events.emit(PeerHeard(address))
                 self._process(update, received, peer_stream)
         except grpc.aio.AioRpcError:
-            return heard
+            return received_message
         except asyncio.CancelledError:
             # The read is cancelled either by silence, after which the stream is opened
             # again, or from outside, which has to end this task.
             if not peer.silent or asyncio.current_task().cancelling():
                 raise
-            return heard
+            return received_message
         finally:
-            watch.stop()
+            detector.stop()
             self._peer_streams.discard(peer_stream)
             self._by_address.pop(address, None)
             call.cancel()
@@ -402,7 +402,7 @@
     def _process(
         self, update: Update, received: HandleUpdate, peer_stream: PeerStream
     ) -> None:
-        peer_stream.heard(update)
+        peer_stream.received_message(update)
         for document in update.documents:
             record = Record(document.key, document.value, document.revision)
             change = Changed(record, document.deleted)
@@ -411,11 +411,11 @@
             self._gateway_state.mark_complete(update.complete)
         received(update, peer_stream)
 
-    def _document(self, change: Changed) -> None:
+    def _queue_document(self, change: Changed) -> None:
         for peer_stream in self._peer_streams:
             peer_stream.document(change)
 
-    def _revision(self) -> None:
+    def _send_revisions_later(self) -> None:
         for peer_stream in self._peer_streams:
             if peer_stream.to_entry:
                 peer_stream.send_later()
--- a/packages/bambootiller/src/bambootiller/gateway/store_permit_holder.py
+++ b/packages/bambootiller/src/bambootiller/gateway/store_permit_holder.py
@@ -136,7 +136,7 @@
         self._unsettled_since = self._running_time()
         while not isinstance(found := await self._read(), Found):
             await asyncio.sleep(RETRY_S)
-        own = self._own(found.records)
+        own = self._own_record(found.records)
         if own is not None and not self._gate.is_open:
             model = StorePermitRecord.decode(own.value).model
             held = await self._write(own.key, own.mod_revision, model)
@@ -161,8 +161,8 @@
             self._proceed_without_permit(blocked_load, self._unsettled_since)
         else:
             self._acquiring_since, gate.acquiring = self._running_time(), blocked_load
-            seeking = self._acquire(blocked_load, self._acquiring_since)
-            self._app.spawn(f"store turn for {blocked_load.model}", seeking)
+            acquisition = self._acquire(blocked_load, self._acquiring_since)
+            self._app.spawn(f"store turn for {blocked_load.model}", acquisition)
 
     def _proceed_without_permit(
         self, blocked_load: StorePermitRequest, since: float
@@ -222,7 +222,7 @@
             await asyncio.sleep(RETRY_S)
         while not isinstance(found := await self._read(), Found):
             await asyncio.sleep(RETRY_S)
-        own = self._own(found.records)
+        own = self._own_record(found.records)
         if own is not None and not self._gate.is_open:
             await self._remove(own.key, own.mod_revision)
         self._unsettled_since = None
@@ -276,7 +276,7 @@
             if not isinstance(found, Found) or self._acquiring_since != started_at:
                 return None
             records = found.records
-            own = self._own(records)
+            own = self._own_record(records)
             if own is not None:
                 key, revision = own.key, own.mod_revision
             else:
@@ -307,7 +307,7 @@
             return _HeldPermit(key, written.revision, granted.lease, model)
         return written
 
-    def _own(self, records: tuple[Record, ...]) -> Record | None:
+    def _own_record(self, records: tuple[Record, ...]) -> Record | None:
         for record in records:
             decoded = StorePermitRecord.decode(record.value)
             if decoded is not None and decoded.holder == self._app.instance:
--- a/packages/bambootiller/src/bambootiller/gateway/stream_reports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stream_reports.py
@@ -30,7 +30,7 @@
     engine: EngineState | None
     collect: bool
     in_use: Mapping[str, int]
-    part: Mapping[str, Demand]
+    reported_demands: Mapping[str, Demand]
     sent_at: float
 
     @classmethod
@@ -40,8 +40,8 @@
         """Builds the report of this entry's ``demands`` for the agent of
         ``backend``."""
         in_use = dict(backend.in_flight_by_model)
-        part = _relevant_part(demands, backend.engine, collect)
-        return cls(demands, backend.engine, collect, in_use, part, now)
+        reported_demands = _relevant_demands(demands, backend.engine, collect)
+        return cls(demands, backend.engine, collect, in_use, reported_demands, now)
 
     def is_outdated(
         self, now: float, demands: Mapping[str, Demand], backend: Backend, collect: bool
@@ -59,15 +59,17 @@
             # When its engine restarts, an agent drops the calls that were reported to
             # it.
             return True
-        part = _relevant_part(demands, backend.engine, collect)
-        if demands_changed(self.part, part, now - self.sent_at):
+        reported_demands = _relevant_demands(demands, backend.engine, collect)
+        if demands_changed(self.reported_demands, reported_demands, now - self.sent_at):
             return True
         self.demands, self.engine = demands, backend.engine
         return False
 
     def message(self) -> pb.EntryFigures:
         """Encodes the report."""
-        return message_codec.entry_message(self.part, self.in_use, self.collect)
+        return message_codec.entry_message(
+            self.reported_demands, self.in_use, self.collect
+        )
 
 
 @dataclass(slots=True)
@@ -95,11 +97,11 @@
     return engine.incarnation if engine is not None else None
 
 
-def _relevant_part(
+def _relevant_demands(
     demands: Mapping[str, Demand], engine: EngineState | None, collect: bool
 ) -> dict[str, Demand]:
-    part = relevant_demands(demands, engine)
+    reported_demands = relevant_demands(demands, engine)
     if not collect:
-        return part
-    asked = {name: demand for name, demand in demands.items() if demand.value}
-    return {**asked, **part}
+        return reported_demands
+    in_demand = {name: demand for name, demand in demands.items() if demand.value}
+    return {**in_demand, **reported_demands}
--- a/tests/gateway/failures/test_incremental_updates.py
+++ b/tests/gateway/failures/test_incremental_updates.py
@@ -258,7 +258,7 @@
                 "poet": Demand(rate=rate, holders=1)
             }
             last_sent += self.take_update()
-            report = self.stream.last_sent["entry"].part["poet"].rate
+            report = self.stream.last_sent["entry"].reported_demands["poet"].rate
             self.assertLess(abs(report - rate), 0.11 * report)
         self.assertGreater(last_sent, 10)
 
--- a/tests/gateway/failures/test_peer_streams.py
+++ b/tests/gateway/failures/test_peer_streams.py
@@ -53,7 +53,7 @@
     async def test_the_first_update_is_complete_and_a_heartbeat_is_empty(self):
         first = self.peer_stream._next_update()
         self.assertTrue(first.begins and first.entry.collect)
-        self.peer_stream.heard(self.peer_update())
+        self.peer_stream.received_message(self.peer_update())
         self.peer_stream._next_update()
         self.peer_stream._next_update()
         self.assertEqual(self.peer_stream._next_update().ByteSize(), 0)
@@ -66,14 +66,14 @@
     async def test_updates_to_a_peer_of_an_earlier_version_are_complete(self):
         """Such a peer takes what isn't repeated as gone, and would consider this side
         silent."""
-        self.peer_stream.heard(self.peer_update(begins=False))
+        self.peer_stream.received_message(self.peer_update(begins=False))
         for _ in range(3):
             update = self.peer_stream._next_update()
             self.assertEqual(update.sender, "e1")
             self.assertTrue(update.HasField("entry"))
 
     async def test_a_new_revision_is_sent_once(self):
-        self.peer_stream.heard(self.peer_update())
+        self.peer_stream.received_message(self.peer_update())
         self.peer_stream._next_update()
         self.peer_stream._next_update()
         self.gateway_state.mark_complete({"servers/": 8})
@@ -85,8 +85,8 @@
         self.assertEqual(self.peer_stream._next_update().ByteSize(), 0)
 
     async def test_a_heartbeat_does_not_reset_the_peers_revisions(self):
-        self.peer_stream.heard(self.peer_update(complete={"servers/": 8}))
-        self.peer_stream.heard(Update())
+        self.peer_stream.received_message(self.peer_update(complete={"servers/": 8}))
+        self.peer_stream.received_message(Update())
         self.peer_stream.document(Changed(Record("servers/b1", b"", 8)))
         self.assertTrue(self.peer_stream._documents.is_empty)
 
@@ -164,7 +164,7 @@
         With a longer allowance until a leaving backend server gets no work, the
         registry is read less often, and a peer was sent a change before it read it.
         """
-        self.peer_stream.heard(self.peer_update(complete={"servers/": 7}))
+        self.peer_stream.received_message(self.peer_update(complete={"servers/": 7}))
         self.gateway_state.batch_delay_s = 1.2
         self.peer_stream.document(Changed(Record("servers/b1", b"", 8)))
         due = self.peer_stream._documents.next_due()
@@ -186,7 +186,9 @@
 
     async def test_a_forwarded_configuration_is_logged(self):
         self.gateway_state._directory.config = lambda record: Unreadable("none")
-        self.peer_stream.heard(self.peer_update(complete={"op/": 6, "servers/": 40}))
+        self.peer_stream.received_message(
+            self.peer_update(complete={"op/": 6, "servers/": 40})
+        )
         change = Changed(Record("op/config", b"12345", 9))
         self.gateway_state.apply_document(change, "store")
         self.peer_stream._documents.add(0.0, change, rank=0)
@@ -215,7 +217,7 @@
         all documents up to that revision, so it never acknowledged it. All others sent
         it once more, and its sender was sent it back.
         """
-        self.peer_stream.heard(self.peer_update(complete={"op/": 6}))
+        self.peer_stream.received_message(self.peer_update(complete={"op/": 6}))
         self.peer_stream._next_update()
         notifications = []
         self.gateway_state.on_complete(lambda: notifications.append(1))
@@ -227,7 +229,7 @@
 
     async def test_a_configuration_is_not_sent_back(self):
         update = self.peer_update(complete={"op/": 6, "op/config": 9})
-        self.peer_stream.heard(update)
+        self.peer_stream.received_message(update)
         self.apply_config(9, "a1")
         self.assertTrue(self.peer_stream._documents.is_empty)
 
