--- a/tests/adapter/failures/test_bad_input.py
+++ b/tests/adapter/failures/test_bad_input.py
@@ -30,13 +30,13 @@
     async def asyncTearDown(self):
         await self.fleet.__aexit__()
 
-    async def open(self):
+    async def connect(self):
         host, _, port = self.entry.document["listen"]["front"].rpartition(":")
         return await asyncio.open_connection(host, int(port))
 
     async def answer(self, *pieces, gap_s=0.0):
         """What comes back until the entry closes or falls silent."""
-        reader, writer = await self.open()
+        reader, writer = await self.connect()
         data = b""
         try:
             for piece in pieces:
@@ -52,14 +52,14 @@
             writer.close()
         return data
 
-    async def still_served(self):
+    async def assert_others_served(self):
         """Whether others are served as before, and nobody ran what was bad."""
         runs = len(self.replica.runs)
         status, _ = await self.fleet.call(self.entry, "", path="/p/ok", attempt="r-ok")
         self.assertEqual(status, 200)
         self.assertEqual([run.target for run in self.replica.runs[runs:]], ["/p/ok"])
 
-    async def test_what_is_no_request_is_answered_400(self):
+    async def test_malformed_requests_are_answered_400(self):
         for data in (
             b"nonsense\r\n\r\n",
             b"GET  HTTP/1.1\r\n\r\n",
@@ -68,9 +68,9 @@
             answer = await self.answer(data)
             self.assertIn(b" 400 ", answer.split(b"\r\n")[0], data)
         self.assertEqual(self.replica.runs, [])
-        await self.still_served()
+        await self.assert_others_served()
 
-    async def test_a_head_that_is_too_large_is_refused_when_it_is(self):
+    async def test_a_head_is_refused_once_it_is_too_large(self):
         """Symptom: an entry is killed for its memory, by one caller.
 
         The caller sends a head without an end, and all of it is kept.
@@ -81,7 +81,7 @@
         whole = HEAD + line * 6 + b"\r\n"
         self.assertIn(b" 431 ", (await self.answer(whole)).split(b"\r\n")[0])
         self.assertEqual(self.replica.runs, [])
-        await self.still_served()
+        await self.assert_others_served()
 
     async def test_a_head_that_never_ends_is_answered_in_time(self):
         """Symptom: an entry runs out of descriptors, with a few calls a second.
@@ -92,16 +92,16 @@
         self.assertIn(b" 408 ", answer.split(b"\r\n")[0])
         (line,) = self.entry.events("refused")
         self.assertEqual((line["reason"], line["status"]), ("head_too_slow", 408))
-        await self.still_served()
+        await self.assert_others_served()
 
     async def test_a_connection_on_which_nothing_comes_is_closed(self):
-        reader, writer = await self.open()
+        reader, writer = await self.connect()
         async with asyncio.timeout(5.0):
             self.assertEqual(await reader.read(), b"")
         writer.close()
 
     async def test_a_kept_connection_is_kept_for_as_long_as_callers_use_it(self):
-        reader, writer = await self.open()
+        reader, writer = await self.connect()
         request = HEAD + b"Content-Length: 1\r\n\r\nb"
         for _ in range(2):
             writer.write(request)
@@ -113,15 +113,15 @@
 
     async def test_a_body_that_is_too_large_is_refused(self):
         data = HEAD + b"Content-Length: 5000\r\n\r\n" + b"b" * 5000
-        reader, writer = await self.open()
+        reader, writer = await self.connect()
         writer.write(data)
         head = await reader.readuntil(b"\r\n\r\n")
         self.assertIn(b" 413 ", head)
         writer.close()
         self.assertEqual(self.replica.runs, [])
-        await self.still_served()
+        await self.assert_others_served()
 
-    async def test_two_lengths_are_no_way_to_smuggle_a_request(self):
+    async def test_ambiguous_lengths_smuggle_no_request(self):
         """Symptom: a backend server runs a request that no caller sent as one.
 
         Two parties on the way take the length of a body from different headers, and
@@ -138,9 +138,9 @@
             await self.answer(HEAD + framing + b"\r\n" + chunks)
         targets = {run.target for run in self.replica.runs}
         self.assertNotIn("/p/smuggled", targets)
-        await self.still_served()
+        await self.assert_others_served()
 
-    async def test_one_id_used_by_many_calls_at_once_mixes_nothing_up(self):
+    async def test_concurrent_calls_with_one_id_are_not_mixed_up(self):
         answers = []
         # Ten at once: of more than twelve at its one backend server of eight places,
         # the entry refuses the rest as overloaded, which mixes nothing up either.
@@ -159,7 +159,7 @@
             b"GET /p/x HTTP/1.1\r\nHost: unknown.example\r\n\r\n",
             b"GET /none HTTP/1.1\r\nHost: classes.example\r\n\r\n",
         ):
-            reader, writer = await self.open()
+            reader, writer = await self.connect()
             writer.write(head)
             answer = await reader.readuntil(b"\r\n\r\n")
             self.assertIn(b" 404 ", answer.split(b"\r\n")[0], head)
--- a/tests/adapter/failures/test_calls.py
+++ b/tests/adapter/failures/test_calls.py
@@ -10,7 +10,7 @@
 from tests.gateway.common import samples
 
 
-class Case(unittest.IsolatedAsyncioTestCase):
+class CallCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.harness = EntryHarness()
         self.harness.configure(**{"max-attempts": 2})
@@ -25,8 +25,8 @@
         return await self.harness.add(StandinReplica(instance, "llm", (MODEL_NAME,)))
 
 
-class TestAnswers(Case):
-    async def test_an_answer_is_passed_on_as_it_came(self):
+class TestAnswers(CallCase):
+    async def test_an_answer_is_forwarded_unchanged(self):
         replica = await self.plain()
         answer = await self.harness.call(x_deadline_ms=500)
         self.assertEqual((answer.status, answer.body), (200, b"done"))
@@ -37,7 +37,7 @@
         )
         self.assertLessEqual(int(run.headers["x-deadline-ms"]), 500)
 
-    async def test_a_replicas_own_failure_is_its_answer(self):
+    async def test_a_failure_answered_by_a_replica_is_forwarded(self):
         replica = await self.plain()
         replica.next_replies = [lambda req: replica.answer(req, status=500)]
         self.assertEqual((await self.harness.call()).status, 500)
@@ -50,17 +50,17 @@
         self.assertEqual(replica.server.connections, 1)
 
 
-class TestNoPlace(Case):
+class TestNoBackendServer(CallCase):
     async def test_an_unknown_path_is_answered_404(self):
         self.assertEqual((await self.harness.call(path=b"/other/")).status, 404)
 
-    async def test_without_a_configuration_nothing_is_said_to_be_missing(self):
+    async def test_without_a_configuration_the_caller_may_retry(self):
         harness = EntryHarness()
         answer = await harness.call()
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
 
-    async def test_without_a_backend_server_the_caller_may_come_back(self):
+    async def test_without_a_backend_server_the_caller_may_retry(self):
         answer = await self.harness.call()
         self.assertEqual(answer.status, 503)
         self.assertIn(b"retry-after", answer.headers)
@@ -88,7 +88,7 @@
         self.assertEqual((await calling).status, 200)
 
 
-class TestGarbledAnswers(Case):
+class TestGarbledAnswers(CallCase):
     async def test_an_answer_cut_short_is_replaced_by_another(self):
         """Symptom: a caller gets half a body with a success.
 
@@ -119,7 +119,7 @@
         self.assertEqual(len(replica.runs) + len(other.runs), 1)
         self.assertNotIn(b"retry-after", answer.headers)
 
-    async def test_a_success_without_signature_is_not_passed_on(self):
+    async def test_a_success_without_signature_is_not_forwarded(self):
         replica = await self.plain()
         replica.next_replies = [lambda req: Reply(200, {}, (b"forged",))]
         answer = await self.harness.call()
@@ -140,7 +140,7 @@
         answer = await self.harness.call()
         self.assertEqual(answer.body, b"done")
 
-    async def test_bytes_behind_an_answer_spoil_the_connection(self):
+    async def test_a_connection_with_bytes_after_an_answer_is_not_reused(self):
         replica = await self.plain()
         extra = b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nextra"
         replica.next_replies = [lambda req: replica.answer(req, bytes_after=extra)]
@@ -156,7 +156,7 @@
         ]
         self.assertEqual((await self.harness.call()).body, b"done")
 
-    async def test_bytes_that_are_no_answer_end_a_call_truthfully(self):
+    async def test_a_malformed_answer_ends_a_call_with_502(self):
         self.harness.configure(kind="unsafe", **{"max-attempts": 1})
         replica = await self.plain()
         replica.next_replies = [
@@ -165,7 +165,7 @@
         self.assertEqual((await self.harness.call()).status, 502)
 
 
-class TestRefusals(Case):
+class TestRefusals(CallCase):
     async def test_a_refused_call_goes_to_another_replica(self):
         self.harness.configure(kind="unsafe", **{"max-attempts": 2})
         replica = await self.plain()
@@ -197,7 +197,7 @@
         self.assertEqual({answer.status for answer in answers}, {200})
 
 
-class TestTime(Case):
+class TestTime(CallCase):
     async def test_the_wait_ends_at_the_operators_timeout(self):
         self.harness.configure(kind="unsafe", **{"timeout-ms": 200})
         replica = await self.plain()
@@ -208,7 +208,7 @@
         self.assertEqual(answer.status, 504)
         self.assertLess(loop.time() - started_at, 0.6)
 
-    async def test_the_replicas_work_ends_when_the_caller_leaves(self):
+    async def test_the_replicas_run_ends_when_the_caller_disconnects(self):
         """Symptom: a replica goes on for ten seconds for a caller who has left.
 
         The caller leaves in the very moment in which an event comes. The relay's wait
@@ -246,7 +246,7 @@
         self.assertEqual(replica.runs, [])
 
 
-class TestStreams(Case):
+class TestStreams(CallCase):
     def whole(self, events=5):
         return b"".join(
             b"id: %d\ndata: %d\n\n" % (number, number)
@@ -256,7 +256,7 @@
     async def call(self, **fields):
         return await self.harness.call(path=b"/a/x", x_model=MODEL_NAME, **fields)
 
-    async def test_events_are_passed_on_as_they_come(self):
+    async def test_events_are_forwarded_as_they_come(self):
         replica = await self.llm()
         replica.gap_s = 0.05
         answer = await self.call()
@@ -279,7 +279,7 @@
         answer = await self.call()
         self.assertFalse(answer.whole)
 
-    async def test_a_broken_stream_goes_on_behind_its_last_whole_event(self):
+    async def test_a_broken_stream_resumes_after_its_last_complete_event(self):
         """Symptom: a caller's text has a torn piece in the middle.
 
         The replica breaks off in the middle of an event; the second run begins with
@@ -308,7 +308,7 @@
         resumed = [r.runs[-1] for r in replicas if r is not broken[0]]
         self.assertEqual(resumed[0].headers["last-event-id"], "3")
 
-    async def test_the_only_holder_is_asked_again_when_it_loses_an_answer(self):
+    async def test_the_only_holder_is_retried_when_it_loses_an_answer(self):
         """Symptom: calls end with an unknown outcome although they may be repeated.
 
         The only engine that holds the model resets the connection; there is no other
@@ -319,7 +319,7 @@
         answer = await self.call()
         self.assertEqual((answer.body, answer.whole), (self.whole(), True))
 
-    async def test_an_event_out_of_order_takes_none_before_it_with_it(self):
+    async def test_an_event_out_of_order_loses_no_event_before_it(self):
         """Symptom: a caller's text lacks an event, and its stream looks whole.
 
         A read brings event 3 and then event 2 again. Neither was passed on, but event 3
@@ -363,7 +363,7 @@
 
         return {**CONFIG, "routes": [{**ROUTE, "resumable": False}]}
 
-    async def test_an_event_that_comes_twice_is_passed_on_once(self):
+    async def test_a_repeated_event_is_forwarded_once(self):
         """Symptom: a caller's text has a passage twice.
 
         A replica sends an event again. The attempt ends there, and the next one goes on
@@ -382,8 +382,8 @@
         self.assertEqual(replica.runs[-1].headers["last-event-id"], "2")
 
 
-class TestCrash(Case):
-    async def test_a_crashed_engine_is_not_connected_to_over_and_over(self):
+class TestCrash(CallCase):
+    async def test_a_crashed_engine_is_not_connected_to_repeatedly(self):
         """Symptom: an entry makes thousands of connections in a second.
 
         The only engine with a model crashes under a call that may be repeated. It is
@@ -422,7 +422,7 @@
         self.assertEqual(replica.server.connections, made + 1)
 
 
-class TestSilence(Case):
+class TestSilence(CallCase):
     async def test_a_silent_replica_is_waited_for_if_there_is_no_other(self):
         """Symptom: calls end with an unknown outcome right after a model was loaded.
 
@@ -472,13 +472,13 @@
         self.assertEqual(len(silent), 1)
 
 
-class TestOneEntryThatGetsMostCallers(unittest.IsolatedAsyncioTestCase):
+class TestOneEntryWithMostCallers(unittest.IsolatedAsyncioTestCase):
     """Its part of the connections was that of any other entry: beyond it, engines with
     places counted as out of reach and callers were refused."""
 
     CALLS = 20
 
-    async def test_it_may_use_the_places_that_engines_have(self):
+    async def test_it_may_use_all_free_slots_of_engines(self):
         harness = EntryHarness()
         harness.configure()
         harness.engines.plans.entries = tuple(f"e{number}" for number in range(60))
--- a/tests/adapter/failures/test_customers.py
+++ b/tests/adapter/failures/test_customers.py
@@ -57,7 +57,7 @@
         self.times.append(time.monotonic())
         super().append(run)
 
-    def fullest(self, window_s):
+    def max_in_window(self, window_s):
         """The most runs in any window."""
         return max(
             sum(begin <= at < begin + window_s for at in self.times)
@@ -69,7 +69,7 @@
     """Keys of callers went on to backend servers, unknown ones were served, and callers
     named customers themselves."""
 
-    async def test_no_key_leaves_the_system_and_the_holders_name_does(self):
+    async def test_backend_servers_get_the_customers_name_and_no_key(self):
         async with CustomerFleet() as fleet:
             customers = [customer("first", KEY), customer("second", OTHER_KEY)]
             (entry,) = await fleet.begin(customers)
@@ -104,7 +104,7 @@
             good = {"Authorization": f"bEARER   {KEY} "}
             self.assertEqual(await fleet.statuses(entry, 1, good), [200])
 
-    async def test_a_key_that_is_taken_away_is_refused(self):
+    async def test_a_removed_key_is_refused(self):
         async with CustomerFleet() as fleet:
             (entry,) = await fleet.begin([customer("first", KEY)])
             self.assertEqual(await fleet.statuses(entry, 1, bearer(KEY)), [200])
@@ -132,15 +132,15 @@
             ):
                 fleet.configure(version=2 + number, **fields)
 
-            async def told():
+            async def documents_rejected():
                 return len(entry.events("document_unreadable")) == 4
 
-            await wait_until(told, "the documents are refused")
+            await wait_until(documents_rejected, "the documents are refused")
             self.assertEqual(await fleet.statuses(entry, 1, bearer(KEY)), [200])
             self.assertEqual(fleet.engine.runs[-1].headers["x-tenant"], "first")
             self.assertNotIn(KEY, entry.log.read_text())
 
-    async def test_without_customers_nothing_is_asked_for(self):
+    async def test_without_customers_no_key_is_required(self):
         async with CustomerFleet() as fleet:
             (entry,) = await fleet.begin(None)
             self.assertEqual(await fleet.statuses(entry, 1, bearer(KEY)), [200])
@@ -175,10 +175,10 @@
             self.assertIn(429, statuses)
             self.assertLessEqual(set(statuses), {200, 429})
             seconds = 40 * 0.02 + 3
-            most = 1500 + 500 * seconds
-            self.assertLessEqual(len(fleet.engine.runs) * 100, most)
+            max_cost = 1500 + 500 * seconds
+            self.assertLessEqual(len(fleet.engine.runs) * 100, max_cost)
 
-    async def test_it_lasts_while_the_allocator_is_gone(self):
+    async def test_a_share_lasts_while_the_allocator_is_gone(self):
         async with CustomerFleet() as fleet:
             limit = {**self.LIMIT, "rate-per-s": 4000, "burst": 4000}
             (entry,) = await fleet.begin([customer("first", KEY, **limit)])
@@ -222,19 +222,19 @@
     async def served(self, fleet, entry):
         return await fleet.statuses(entry, 1, bearer(KEY)) == [200]
 
-    async def test_another_agent_follows(self):
+    async def test_another_agent_takes_over(self):
         async with CustomerFleet() as fleet:
             entry, _, other, _ = await self.begin(fleet)
 
-            async def follows():
+            async def took_over():
                 return bool(other.events("quota_allocator"))
 
-            await wait_until(follows, "the other agent allocates", seconds=12.0)
+            await wait_until(took_over, "the other agent allocates", seconds=12.0)
             await wait_until(
                 lambda: self.served(fleet, entry), "a call is served", seconds=3.0
             )
 
-    async def test_also_at_once_where_its_process_has_ended(self):
+    async def test_calls_are_served_soon_after_its_process_restarts(self):
         async with CustomerFleet() as fleet:
             entry, allocator, _, engine = await self.begin(fleet)
             for program in (entry, allocator):
@@ -257,7 +257,7 @@
     COST, RATE, BURST, SLACK = 100, 1000, 1000, 500
     CALLERS, PAUSE_S = 3, 0.05
 
-    async def press(self, fleet, entry, number):
+    async def generate_load(self, fleet, entry, number):
         """A caller who sends more than its part, whatever becomes of it."""
         headers = {**bearer(KEY), "X-Token-Usage": f"{self.COST - 10},10"}
         count = 0
@@ -268,7 +268,7 @@
                 await fleet.call(entry, MODEL, attempt=attempt, headers=headers)
             await asyncio.sleep(self.PAUSE_S)
 
-    async def test_every_window_holds(self):
+    async def test_the_bound_holds_in_every_window(self):
         fleet = CustomerFleet()
         fleet.bounds = {
             "grace-s": 6,
@@ -283,7 +283,7 @@
             agents = [fleet.agent_program, await fleet.agent("a2", other)]
             fleet.engine.runs = other.runs = runs = TimedRuns()
             callers = [
-                asyncio.create_task(self.press(fleet, entry, number))
+                asyncio.create_task(self.generate_load(fleet, entry, number))
                 for entry in entries
                 for number in range(self.CALLERS)
             ]
@@ -295,12 +295,14 @@
             await entries[1].stop(signal.SIGKILL)
             again = await fleet.entry("e1")
             await fleet.wait_ready(again)
-            callers.append(asyncio.create_task(self.press(fleet, again, 9)))
+            callers.append(asyncio.create_task(self.generate_load(fleet, again, 9)))
             await asyncio.sleep(5.0)
             for caller in callers:
                 caller.cancel()
             plain = self.RATE * self.WINDOW_S + self.BURST
             allowed = plain * 1.1 + self.SLACK
-            self.assertLessEqual(runs.fullest(self.WINDOW_S) * self.COST, allowed)
+            self.assertLessEqual(runs.max_in_window(self.WINDOW_S) * self.COST, allowed)
             # It is the quota that binds.
-            self.assertGreater(runs.fullest(self.WINDOW_S) * self.COST, 0.6 * plain)
+            self.assertGreater(
+                runs.max_in_window(self.WINDOW_S) * self.COST, 0.6 * plain
+            )
--- a/tests/adapter/failures/test_endless_answers.py
+++ b/tests/adapter/failures/test_endless_answers.py
@@ -19,7 +19,7 @@
 CHUNKED = SEALED + b"transfer-encoding: chunked\r\n\r\n"
 EVENTS = SEALED + b"content-type: text/event-stream\r\nconnection: close\r\n\r\n"
 #: Bytes that never become an answer.
-NEVER = {
+NEVER_COMPLETE = {
     "a status line": (b"", BLOCK),
     "a header": (OK + b"X-A: ", BLOCK),
     "headers": (OK, b"X-A: b\r\n" * 4096),
@@ -29,13 +29,13 @@
     "an event": (EVENTS + b"data: ", BLOCK),
 }
 #: Those that bring a body of which there is no end.
-BODIES = {
+ENDLESS_BODIES = {
     "chunks": (CHUNKED, b"10000\r\n" + BLOCK + b"\r\n"),
     "a length": (SEALED + b"content-length: 999999999999\r\n\r\n", BLOCK),
     "a close": (SEALED + b"connection: close\r\n\r\n", BLOCK),
 }
 #: What a process may take more while several of them come. Bytes.
-MOST_MORE = 48 << 20
+MAX_GROWTH_BYTES = 48 << 20
 PLAIN = {
     "name": "p1",
     "host": "classes.example",
@@ -60,7 +60,7 @@
         await fleet.wait_ready(entry)
         return entry
 
-    async def end_of(self, fleet, entry, attempt):
+    async def status_of(self, fleet, entry, attempt):
         """The status of a call, None if its connection was cut."""
         try:
             status, _ = await fleet.call(entry, None, "/p/x", attempt)
@@ -69,36 +69,38 @@
             self.assertNotIsInstance(exc, AssertionError)
             return None
 
-    async def several(self, fleet, entry, bytes_before, endless, count=4):
+    async def run_concurrently(self, fleet, entry, bytes_before, endless, count=4):
         def reply(request):
             return Reply(bytes_before=bytes_before, endless=endless)
 
         self.replica.next_replies = [reply] * count
         memory = psutil.Process(entry.process.pid).memory_info
-        resting = memory().rss
+        baseline = memory().rss
         calls = [
-            asyncio.create_task(self.end_of(fleet, entry, f"r-{number}"))
+            asyncio.create_task(self.status_of(fleet, entry, f"r-{number}"))
             for number in range(count)
         ]
-        most = resting
+        peak = baseline
         while not all(call.done() for call in calls):
-            most = max(most, memory().rss)
+            peak = max(peak, memory().rss)
             await asyncio.sleep(0.02)
-        self.assertLess(most - resting, MOST_MORE)
+        self.assertLess(peak - baseline, MAX_GROWTH_BYTES)
         return [call.result() for call in calls]
 
     async def test_bytes_that_never_become_an_answer(self):
         async with Fleet() as fleet:
             entry = await self.begin(fleet)
-            for name, (bytes_before, endless) in NEVER.items():
+            for name, (bytes_before, endless) in NEVER_COMPLETE.items():
                 with self.subTest(name):
                     loop = asyncio.get_running_loop()
                     began = loop.time()
-                    ends = await self.several(fleet, entry, bytes_before, endless)
+                    statuses = await self.run_concurrently(
+                        fleet, entry, bytes_before, endless
+                    )
                     # Not 503 or 429: the call may have run.
-                    self.assertTrue(set(ends) <= {502, 504, 200, None}, ends)
+                    self.assertTrue(set(statuses) <= {502, 504, 200, None}, statuses)
                     if name != "an event":
-                        self.assertTrue(set(ends) <= {502}, ends)
+                        self.assertTrue(set(statuses) <= {502}, statuses)
                         self.assertLess(loop.time() - began, 1.4)
             judged = entry.events("backend_judged")
             self.assertTrue(judged, "nothing was judged")
@@ -108,27 +110,33 @@
             entry = await self.begin(
                 fleet, kind="streaming", resumable=False, **{"gap-aim-ms": 200}
             )
-            ends = await self.several(fleet, entry, *NEVER["an event"])
-            self.assertTrue(set(ends) <= {502, None}, ends)
+            statuses = await self.run_concurrently(
+                fleet, entry, *NEVER_COMPLETE["an event"]
+            )
+            self.assertTrue(set(statuses) <= {502, None}, statuses)
 
     async def test_bodies_without_an_end(self):
         async with Fleet() as fleet:
             entry = await self.begin(fleet)
-            for name, (bytes_before, endless) in BODIES.items():
+            for name, (bytes_before, endless) in ENDLESS_BODIES.items():
                 with self.subTest(name):
-                    ends = await self.several(fleet, entry, bytes_before, endless)
+                    statuses = await self.run_concurrently(
+                        fleet, entry, bytes_before, endless
+                    )
                     # Cut: what has come doesn't look whole.
-                    self.assertEqual(set(ends), {None})
+                    self.assertEqual(set(statuses), {None})
 
     async def test_a_refusal_with_a_body_without_an_end(self):
         async with Fleet() as fleet:
             entry = await self.begin(fleet)
             head = b"HTTP/1.1 503 X\r\nX-Not-Executed: 1\r\n"
             bytes_before = head + b"transfer-encoding: chunked\r\n\r\n"
-            ends = await self.several(fleet, entry, bytes_before, BODIES["chunks"][1])
-            self.assertEqual(set(ends), {503})
+            statuses = await self.run_concurrently(
+                fleet, entry, bytes_before, ENDLESS_BODIES["chunks"][1]
+            )
+            self.assertEqual(set(statuses), {503})
 
-    async def test_a_head_that_drips_is_silence(self):
+    async def test_a_slowly_sent_head_counts_as_silence(self):
         async with Fleet() as fleet:
             entry = await self.begin(fleet, kind="safe", **{"timeout-ms": 3000})
 
@@ -147,7 +155,7 @@
             self.assertIn(status, (200, 504))
 
 
-class TestOwnCalls(unittest.IsolatedAsyncioTestCase):
+class TestReportsAndStoreCalls(unittest.IsolatedAsyncioTestCase):
     """An agent read a report without end, and any process an answer of the store."""
 
     async def serve(self, bytes_before, endless):
@@ -162,20 +170,20 @@
     async def test_reports_and_answers_of_the_store_are_bounded(self):
         process = psutil.Process()
         bomb = OK + b"content-encoding: gzip\r\nconnection: close\r\n\r\n"
-        cases = {**NEVER, **BODIES, "compressed": (bomb, BLOCK)}
+        cases = {**NEVER_COMPLETE, **ENDLESS_BODIES, "compressed": (bomb, BLOCK)}
         for name, (bytes_before, endless) in cases.items():
             with self.subTest(name):
                 address = await self.serve(bytes_before, endless)
                 engine = PlatformEngine(address, "a1")
                 kv = PlatformKeyValue(f"http://{address}")
-                resting = process.memory_info().rss
+                baseline = process.memory_info().rss
                 found = await asyncio.gather(
                     engine.report(), *[kv.get("k") for _ in range(3)]
                 )
                 self.assertIsInstance(found[0], ReportFailed)
                 for outcome in found[1:]:
                     self.assertIsInstance(outcome, Unavailable)
-                self.assertLess(process.memory_info().rss - resting, MOST_MORE)
+                self.assertLess(process.memory_info().rss - baseline, MAX_GROWTH_BYTES)
                 await engine.close()
                 await kv.close()
 
--- a/tests/adapter/failures/test_explained.py
+++ b/tests/adapter/failures/test_explained.py
@@ -24,17 +24,17 @@
 }
 
 
-async def story_of(request, *programs):
+async def timeline_of(request, *programs):
     """What ``bambootiller explain logs`` prints, once a process names the request."""
 
-    async def named():
+    async def is_logged():
         return any(
             line.get("request") == request
             for program in programs
             for line in program.lines()
         )
 
-    await wait_until(named, f"a line names {request}")
+    await wait_until(is_logged, f"a line names {request}")
     logs = [str(program.log) for program in programs]
     command = [sys.executable, "-m", "bambootiller.cli.main", "explain", "logs"]
     process = await asyncio.create_subprocess_exec(
@@ -44,12 +44,12 @@
     return out.decode().splitlines()
 
 
-def only(lines, event):
+def single_line(lines, event):
     (found,) = [line for line in lines if f"  {event}  " in line]
     return found
 
 
-class TestThreeWays(unittest.IsolatedAsyncioTestCase):
+class TestDiagnosis(unittest.IsolatedAsyncioTestCase):
     async def test_a_refused_cold_start_leads_to_the_load_that_came_too_late(self):
         async with Fleet() as fleet:
             fleet.configure()
@@ -64,14 +64,14 @@
                 return status == 503 and replica.orders
 
             await wait_until(refused, "a call is refused while its model loads")
-            lines = await story_of("r-cold", entry, agent)
-            told = [line for line in lines if "  refused  " in line][-1]
-            self.assertIn("reason=model_not_loaded_in_time", told)
-            self.assertIn("backend:i-1", told)
-            self.assertIn("from_store:True", told)
-            ordered = only(lines, "order")
-            self.assertIn("answer=accepted", ordered)
-            self.assertIn("a1", ordered)
+            lines = await timeline_of("r-cold", entry, agent)
+            refused_line = [line for line in lines if "  refused  " in line][-1]
+            self.assertIn("reason=model_not_loaded_in_time", refused_line)
+            self.assertIn("backend:i-1", refused_line)
+            self.assertIn("from_store:True", refused_line)
+            order_line = single_line(lines, "order")
+            self.assertIn("answer=accepted", order_line)
+            self.assertIn("a1", order_line)
 
     async def test_an_answer_cut_in_the_middle_leads_to_the_backend_server(self):
         async with Fleet() as fleet:
@@ -82,13 +82,13 @@
             replica.next_replies = [lambda req: replica.stream(req, cut=True)]
             with self.assertRaises(Exception):
                 await fleet.call(entry, MODEL_NAME, attempt="r-cut")
-            lines = await story_of("r-cut", entry)
-            self.assertIn("backend=i-1", only(lines, "answer_lost"))
-            failed = only(lines, "attempt_failed")
+            lines = await timeline_of("r-cut", entry)
+            self.assertIn("backend=i-1", single_line(lines, "answer_lost"))
+            failed = single_line(lines, "attempt_failed")
             self.assertIn("resumable=False", failed)
             self.assertIn("last_event=4", failed)
             self.assertIn("next=CutOff", failed)
-            self.assertIn("reason=broken off", only(lines, "cut"))
+            self.assertIn("reason=broken off", single_line(lines, "cut"))
 
     async def test_an_unknown_outcome_leads_to_the_one_attempt_that_was_sent(self):
         async with Fleet() as fleet:
@@ -100,10 +100,10 @@
             replica.next_replies = [lambda req: Reply(200, pieces=(b"x",), cut=True)]
             status, _ = await fleet.call(entry, "", path="/p/x", attempt="r-unknown")
             self.assertEqual(status, 502)
-            lines = await story_of("r-unknown", entry)
-            failed = only(lines, "attempt_failed")
+            lines = await timeline_of("r-unknown", entry)
+            failed = single_line(lines, "attempt_failed")
             self.assertIn("kind=non-idempotent", failed)
             self.assertIn("attempts=1", failed)
             self.assertIn("may_have_run=True", failed)
             self.assertIn("revision:", failed)
-            self.assertIn("reason=outcome_unknown", only(lines, "refused"))
+            self.assertIn("reason=outcome_unknown", single_line(lines, "refused"))
--- a/tests/adapter/failures/test_foreign_entries.py
+++ b/tests/adapter/failures/test_invalid_registry_entries.py
@@ -22,12 +22,12 @@
 from tests.adapter.cover.test_documents import CONFIG, ROUTE, SERVER, SERVICE
 from tests.adapter.failures.test_explained import PLAIN_ROUTE
 
-NEEDED = (
+REQUIRED_FIELDS = (
     *("service", "address", "zone", "slots", "state"),
     *("version", "cold-remaining-ms", "seq"),
 )
 #: Nested deeper than any reader's stack should go.
-DEEP = b"[" * 100_000
+DEEPLY_NESTED = b"[" * 100_000
 OTHER = {**SERVER, "address": "10.1.0.10:8080"}
 BAD_FIELDS = {
     "service": (None, 7, ["llm"], {}, True),
@@ -48,24 +48,33 @@
 HELD = {"name": "tutor", "adapters": "a1"}
 
 
-def encoded(form):
-    return form if isinstance(form, bytes) else json.dumps(form).encode()
+def encoded(document):
+    return document if isinstance(document, bytes) else json.dumps(document).encode()
 
 
-def bad_forms():
+def invalid_documents():
     """Good entries with one field removed or made unusable, and what is no entry."""
-    for name in NEEDED:
+    for name in REQUIRED_FIELDS:
         yield {key: value for key, value in SERVER.items() if key != name}
     for name, values in BAD_FIELDS.items():
         for value in values:
             yield {**SERVER, name: value}
     yield {**SERVER, "models": [HELD]}
-    yield from (b"", b"null", b"[]", b"7", b"{", b"\xff\xfe", b'"\xed\xa0\x80"', DEEP)
+    yield from (
+        b"",
+        b"null",
+        b"[]",
+        b"7",
+        b"{",
+        b"\xff\xfe",
+        b'"\xed\xa0\x80"',
+        DEEPLY_NESTED,
+    )
     yield b'{"service": "\\ud800"}'
 
 
 #: Values of any type, for fields of entries that are good otherwise.
-ANYTHING = st.recursive(
+ANY_VALUE = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=8,
@@ -83,9 +92,9 @@
         )
         self.revision = 0
 
-    def write(self, key, form):
+    def write(self, key, document):
         self.revision += 1
-        record = Record(key, encoded(form), self.revision)
+        record = Record(key, encoded(document), self.revision)
         self.gateway_state.apply_document(Changed(record), "store")
 
     def remove(self, key):
@@ -93,7 +102,7 @@
         change = Changed(Record(key, b"", self.revision), deleted=True)
         self.gateway_state.apply_document(change, "store")
 
-    def used(self):
+    def usable_instances(self):
         """The backend servers that calls, loads and orders may go to."""
         of_service = self.gateway_state.fleet.of_service("llm")
         iterated = [
@@ -103,7 +112,7 @@
         assert names == sorted(one.instance for one in iterated)
         return names
 
-    def said(self):
+    def reported(self):
         return [line.detail for line in self.events.of_kind("backend_unreadable")]
 
 
@@ -112,35 +121,35 @@
         self.registry = Registry()
         self.registry.write("servers/i-2", OTHER)
 
-    def test_what_is_no_entry_names_no_backend_server(self):
-        for number, form in enumerate(bad_forms()):
-            with self.subTest(form=str(form)[:80]):
-                self.registry.write(f"servers/new-{number}", form)
-                self.assertEqual(self.registry.used(), ["i-2"])
+    def test_an_invalid_entry_adds_no_backend_server(self):
+        for number, document in enumerate(invalid_documents()):
+            with self.subTest(document=str(document)[:80]):
+                self.registry.write(f"servers/new-{number}", document)
+                self.assertEqual(self.registry.usable_instances(), ["i-2"])
 
-    def test_a_good_entry_that_becomes_unreadable_is_used_no_more(self):
-        for form in bad_forms():
-            with self.subTest(form=str(form)[:80]):
+    def test_a_valid_entry_that_becomes_unreadable_is_not_used(self):
+        for document in invalid_documents():
+            with self.subTest(document=str(document)[:80]):
                 self.registry.write("servers/i-1", SERVER)
-                self.assertEqual(self.registry.used(), ["i-1", "i-2"])
-                self.registry.write("servers/i-1", form)
-                self.registry.write("servers/i-1", form)
-                self.assertEqual(self.registry.used(), ["i-2"])
+                self.assertEqual(self.registry.usable_instances(), ["i-1", "i-2"])
+                self.registry.write("servers/i-1", document)
+                self.registry.write("servers/i-1", document)
+                self.assertEqual(self.registry.usable_instances(), ["i-2"])
 
-    def test_calls_under_way_go_on_and_count_when_the_entry_is_back(self):
+    def test_calls_in_flight_go_on_and_count_when_the_entry_is_back(self):
         self.registry.write("servers/i-1", SERVER)
         fleet = self.registry.gateway_state.fleet
         fleet.get("i-1").call_sent("tutor")
         self.registry.write("servers/i-1", b"x")
         self.assertEqual(fleet.get("i-1").in_flight, 1)
         self.registry.write("servers/i-1", SERVER)
-        self.assertEqual(self.registry.used(), ["i-1", "i-2"])
+        self.assertEqual(self.registry.usable_instances(), ["i-1", "i-2"])
         self.assertEqual(fleet.get("i-1").in_flight, 1)
 
-    def test_a_start_that_leaves_does_not_come_back_by_way_of_unreadable_bytes(self):
-        for form in (SERVER, {**SERVER, "state": "draining"}, b"x", SERVER):
-            self.registry.write("servers/i-1", form)
-        self.assertEqual(self.registry.used(), ["i-2"])
+    def test_a_leaving_start_is_not_restored_after_unreadable_bytes(self):
+        for document in (SERVER, {**SERVER, "state": "draining"}, b"x", SERVER):
+            self.registry.write("servers/i-1", document)
+        self.assertEqual(self.registry.usable_instances(), ["i-2"])
 
     def test_an_unreadable_entry_can_be_removed(self):
         self.registry.write("servers/i-1", SERVER)
@@ -150,7 +159,7 @@
 
     def test_a_service_that_is_not_configured_is_no_fault(self):
         self.registry.write("servers/i-1", {**SERVER, "service": "foreign"})
-        self.assertEqual(self.registry.said(), [])
+        self.assertEqual(self.registry.reported(), [])
         names = [
             one.instance for one in self.registry.gateway_state.fleet.of_service("x")
         ]
@@ -159,63 +168,65 @@
     def test_the_configuration_that_was_in_force_stays(self):
         self.registry.write("op/config", CONFIG)
         self.registry.write("op/config", b"x")
-        self.registry.write("op/config", DEEP)
+        self.registry.write("op/config", DEEPLY_NESTED)
         self.assertEqual(self.registry.gateway_state.config.version, 7)
 
 
 class TestKeys(unittest.TestCase):
-    def test_a_key_that_names_no_backend_server_is_said(self):
+    def test_a_key_that_names_no_backend_server_is_logged(self):
         for key in ("servers/", "servers/a/b", "servers//", "servers/\ud800"):
             with self.subTest(key=ascii(key)):
                 registry = Registry()
                 registry.write(key, SERVER)
-                self.assertEqual(registry.used(), [])
-                self.assertEqual(len(registry.said()), 1)
+                self.assertEqual(registry.usable_instances(), [])
+                self.assertEqual(len(registry.reported()), 1)
                 registry.remove(key)
 
-    def test_a_key_that_no_message_can_carry_is_not_passed_on(self):
+    def test_a_key_that_no_message_can_carry_is_not_forwarded(self):
         """Passed on, it would end the stream to each peer, again and again."""
         registry = Registry()
         registry.write("servers/\ud800", SERVER)
         self.assertEqual(registry.gateway_state.documents(), [])
 
 
-class TestSaid(unittest.TestCase):
+class TestReporting(unittest.TestCase):
     def setUp(self):
         self.registry = Registry()
 
-    def test_a_reason_is_said_once_and_a_new_one_anew(self):
+    def test_each_reason_is_logged_once(self):
         for number in range(20):
             self.registry.write("servers/i-1", b"x" * number)
         for number in range(20):
             self.registry.write("servers/i-1", {**SERVER, "slots": -number})
-        self.assertEqual(len(self.registry.said()), 2)
-        (slots,) = [detail for detail in self.registry.said() if "slots" in detail]
+        self.assertEqual(len(self.registry.reported()), 2)
+        (slots,) = [detail for detail in self.registry.reported() if "slots" in detail]
         self.assertLess(len(slots), 300)
 
-    def test_it_is_said_again_after_the_entry_was_good(self):
-        for form in (b"x", SERVER, b"x", b"x"):
-            self.registry.write("servers/i-1", form)
-        self.assertEqual(len(self.registry.said()), 2)
+    def test_it_is_logged_again_after_the_entry_was_valid(self):
+        for document in (b"x", SERVER, b"x", b"x"):
+            self.registry.write("servers/i-1", document)
+        self.assertEqual(len(self.registry.reported()), 2)
         self.assertEqual(len(self.registry.events.of_kind("backend_listed")), 1)
 
-    def test_that_an_entry_is_back_is_said(self):
-        for form in (SERVER, b"x", SERVER):
-            self.registry.write("servers/i-1", form)
+    def test_that_an_entry_is_back_is_logged(self):
+        for document in (SERVER, b"x", SERVER):
+            self.registry.write("servers/i-1", document)
         self.assertEqual(len(self.registry.events.of_kind("backend_listed")), 2)
 
-    def test_that_a_backend_server_begins_to_leave_is_said(self):
+    def test_that_a_backend_server_begins_to_leave_is_logged(self):
         """Symptom: the log says of a planned leave only that the entry went. Cause: the
         state of before was read after the new one had been taken over."""
-        for form in (SERVER, SERVER, {**SERVER, "state": "draining"}):
-            self.registry.write("servers/i-1", form)
-        said = [line.leaving for line in self.registry.events.of_kind("backend_listed")]
-        self.assertEqual(said, [False, True])
-        for form in (SERVER, b"x", SERVER, {**SERVER, "slots": 2}):
-            self.registry.write("servers/i-1", form)
+        for document in (SERVER, SERVER, {**SERVER, "state": "draining"}):
+            self.registry.write("servers/i-1", document)
+        reported = [
+            line.leaving for line in self.registry.events.of_kind("backend_listed")
+        ]
+        self.assertEqual(reported, [False, True])
+        for document in (SERVER, b"x", SERVER, {**SERVER, "slots": 2}):
+            self.registry.write("servers/i-1", document)
         self.assertEqual(len(self.registry.events.of_kind("backend_listed")), 2)
 
-    def test_it_counts(self):
+    def test_unreadable_documents_are_counted(self):
         meters = Meters()
         self.registry.write("servers/i-1", b"x")
         self.registry.write("op/config", b"x")
@@ -237,11 +248,11 @@
         registry.write("servers/i-1", value)
         registry.write(f"servers/{name}", value)
         records = (Record("servers/i-2", encoded(OTHER), 1),)
-        self.assertIn("i-2", registry.used())
+        self.assertIn("i-2", registry.usable_instances())
         registry.gateway_state.apply_listing("servers/", Found(records, 9), "store")
-        self.assertEqual(registry.used(), ["i-2"])
+        self.assertEqual(registry.usable_instances(), ["i-2"])
 
-    @given(st.sampled_from(NEEDED), ANYTHING)
+    @given(st.sampled_from(REQUIRED_FIELDS), ANY_VALUE)
     def test_a_field_of_any_type_names_a_usable_address_or_nothing(self, name, value):
         registry = Registry()
         registry.write("servers/i-1", {**SERVER, name: value})
@@ -252,25 +263,25 @@
             self.assertIn(backend.registration.slots, range(1, 2**16))
             self.assertEqual(type(backend.registration.zone), str)
 
-    @given(st.sampled_from(NEEDED), ANYTHING)
-    def test_an_entry_is_back_whatever_stood_there_before(self, name, value):
+    @given(st.sampled_from(REQUIRED_FIELDS), ANY_VALUE)
+    def test_a_valid_entry_is_used_whatever_preceded_it(self, name, value):
         registry = Registry()
-        for form in (SERVER, {**SERVER, name: value}, b"x"):
-            registry.write("servers/i-1", form)
+        for document in (SERVER, {**SERVER, name: value}, b"x"):
+            registry.write("servers/i-1", document)
         if not registry.gateway_state.fleet.get("i-1").registration.leaving:
             registry.write("servers/i-1", {**SERVER, "slots": 3})
-            self.assertEqual(registry.used(), ["i-1"])
+            self.assertEqual(registry.usable_instances(), ["i-1"])
 
 
 class TestRealEntry(unittest.IsolatedAsyncioTestCase):
-    async def test_a_process_follows_the_registry_past_foreign_entries(self):
+    async def test_a_process_follows_the_registry_past_invalid_entries(self):
         async with Fleet() as fleet:
             fleet.configure(
                 routes=[ROUTE, PLAIN_ROUTE], services=[SERVICE, {"name": "plain"}]
             )
             replica = await fleet.replica("127.0.0.2", "i-1", "plain")
-            for number, form in enumerate(bad_forms()):
-                fleet.store.put(f"servers/foreign-{number}", encoded(form))
+            for number, document in enumerate(invalid_documents()):
+                fleet.store.put(f"servers/foreign-{number}", encoded(document))
             entry = await fleet.entry("e1")
             await fleet.wait_ready(entry)
 
@@ -291,5 +302,5 @@
             fleet.store.put("servers/i-1", replica.entry())
             await wait_until(lambda: is_answered("r-3"), "an answer again")
             self.assertIsNone(entry.process.returncode)
-            said = entry.events("backend_unreadable")
-            self.assertIn("servers/i-1", [line["key"] for line in said])
+            reported = entry.events("backend_unreadable")
+            self.assertIn("servers/i-1", [line["key"] for line in reported])
--- a/tests/adapter/failures/test_overload.py
+++ b/tests/adapter/failures/test_overload.py
@@ -13,13 +13,16 @@
 LENGTH = [(b"content-length", b"4")]
 
 
-class TestTurnedAway(unittest.IsolatedAsyncioTestCase):
+class TestRejectedConnections(unittest.IsolatedAsyncioTestCase):
     """Read and then dropped, a call that may not be repeated would be lost."""
 
     async def asyncSetUp(self):
-        self.calls, self.turns_away = 0, False
+        self.calls, self.rejects_connections = 0, False
         protocol = limited_protocol(
-            CallLimits, lambda why: None, lambda: False, lambda: self.turns_away
+            CallLimits,
+            lambda why: None,
+            lambda: False,
+            lambda: self.rejects_connections,
         )
 
         async def app(scope, receive, send):
@@ -39,7 +42,7 @@
     async def connect(self):
         return await asyncio.open_connection("127.0.0.1", self.server.port)
 
-    async def ask(self, reader, writer):
+    async def send_call(self, reader, writer):
         with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
             writer.write(REQUEST)
             async with asyncio.timeout(5.0):
@@ -47,13 +50,13 @@
         return b""
 
     async def test_a_new_connection_is_closed_unread(self):
-        self.turns_away = True
-        self.assertEqual(await self.ask(*await self.connect()), b"")
+        self.rejects_connections = True
+        self.assertEqual(await self.send_call(*await self.connect()), b"")
         self.assertEqual(self.calls, 0)
 
-    async def test_one_that_was_taken_before_goes_on(self):
+    async def test_an_accepted_connection_goes_on(self):
         streams = await self.connect()
-        self.assertTrue((await self.ask(*streams)).startswith(b"HTTP/1.1 200"))
-        self.turns_away = True
-        self.assertTrue((await self.ask(*streams)).startswith(b"HTTP/1.1 200"))
+        self.assertTrue((await self.send_call(*streams)).startswith(b"HTTP/1.1 200"))
+        self.rejects_connections = True
+        self.assertTrue((await self.send_call(*streams)).startswith(b"HTTP/1.1 200"))
         self.assertEqual(self.calls, 2)
--- a/tests/adapter/failures/test_planned_stops.py
+++ b/tests/adapter/failures/test_planned_stops.py
@@ -9,7 +9,7 @@
 
 MODEL_NAME = MODEL["name"]
 #: Far above what a close takes that follows an answer, far below the rest of the stop.
-AT_ONCE_S = 0.5
+CLOSE_TIMEOUT_S = 0.5
 
 
 async def connect(entry):
@@ -18,7 +18,7 @@
     return await asyncio.open_connection(host, int(port))
 
 
-async def ask(writer, attempt):
+async def send_call(writer, attempt):
     """Send a call on a connection."""
     head = (
         "POST /a/x HTTP/1.1",
@@ -40,7 +40,7 @@
     return replica
 
 
-async def running(replica, count):
+async def wait_running(replica, count):
     """Wait until so many streams run."""
 
     async def reached():
@@ -67,7 +67,7 @@
                 asyncio.ensure_future(fleet.call(entry, MODEL_NAME))
                 for entry in entries
             ]
-            await running(replica, len(entries))
+            await wait_running(replica, len(entries))
             stops = [asyncio.ensure_future(entry.stop()) for entry in entries]
             for entry in entries:
 
@@ -91,7 +91,7 @@
                 self.assertTrue(body.endswith(b"data: 90\n\n"))
             self.assertEqual(await asyncio.gather(*stops), [0] * len(entries))
 
-    async def test_a_connection_is_closed_with_the_answer_that_was_under_way(self):
+    async def test_a_connection_is_closed_after_the_answer_in_progress(self):
         """Symptom: a call on a kept connection is lost as its entry ends.
 
         A stream's head had gone out before the stop began, without a word that the
@@ -103,14 +103,14 @@
             entry = await fleet.entry("e1")
             await fleet.wait_ready(entry)
             reader, writer = await connect(entry)
-            await ask(writer, "r-1")
-            await running(replica, 1)
+            await send_call(writer, "r-1")
+            await wait_running(replica, 1)
             replica.events = 60
             longer = asyncio.ensure_future(fleet.call(entry, MODEL_NAME, attempt="r-2"))
-            await running(replica, 2)
+            await wait_running(replica, 2)
             stop = asyncio.ensure_future(entry.stop())
             await reader.readuntil(b"\r\n0\r\n\r\n")
-            async with asyncio.timeout(AT_ONCE_S):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 self.assertEqual(await reader.read(), b"")
             self.assertIsNone(entry.process.returncode)
             writer.close()
@@ -135,7 +135,7 @@
                     taken.append(await connect(entry))
                     await asyncio.sleep(0.01)
             reader, writer = taken[-1]
-            await ask(writer, "r-1")
+            await send_call(writer, "r-1")
             head = await reader.readuntil(b"\r\n\r\n")
             # Late in a stop, a refusal that promises that nothing has run.
             self.assertIn(int(head.split()[1]), (200, 503), head)
--- a/tests/adapter/failures/test_poison_loads.py
+++ b/tests/adapter/failures/test_poison_loads.py
@@ -24,7 +24,7 @@
                 replica.on_disk.add(MODEL_NAME)
                 replica.poison_models.add(MODEL_NAME)
                 replica.load_s = 1.0
-                replica.on_start = fleet.lists_again(replica)
+                replica.on_start = fleet.relist_callback(replica)
                 await fleet.agent(f"a{number}", replica)
             entry = await fleet.entry("e0")
             await fleet.wait_ready(entry)
--- a/tests/adapter/failures/test_poison_parts.py
+++ b/tests/adapter/failures/test_poison_parts.py
@@ -16,10 +16,10 @@
 BAD = "badbad01"
 SOUND = ("91bd3f06", "91bd3f07", "91bd3f08")
 #: How soon after the fifth end all entries have to know. Seconds.
-CONTACT_S = 3.0
+PROPAGATION_S = 3.0
 #: What may reach engines later than that.
-ALLOWED_LATER = 3
-FIFTH = 5
+MAX_LATE_ARRIVALS = 3
+PART_QUARANTINE_CRASHES = 5
 
 
 class PoisonPartFleet(PoisonedFleet):
@@ -56,7 +56,7 @@
         status = await self.send(entry, *middle)
         self.outcomes.append((asyncio.get_running_loop().time(), status))
 
-    async def press(self, seconds, bad_every_s, sound_every_s, bad=(BAD,)):
+    async def generate_load(self, seconds, bad_every_s, sound_every_s, bad=(BAD,)):
         """Both kinds of calls for so long, by turns at all entries."""
         loop = asyncio.get_running_loop()
         entries, calls = itertools.cycle(self.entries), []
@@ -72,7 +72,7 @@
             await asyncio.sleep(sound_every_s)
         await asyncio.gather(*calls)
 
-    def ends(self):
+    def engine_crash_times(self):
         """When engines ended, in order."""
         times = [at for item in self.replicas.values() for at in item.crash_times]
         return sorted(times)
@@ -84,7 +84,7 @@
         ]
         return sum(at > time for at in arrivals)
 
-    def sound_served(self, since, until=float("inf")):
+    def sound_success_rate(self, since, until=float("inf")):
         """The part of the sound calls that ended then and were served."""
         found = [status for at, status in self.outcomes if since <= at < until]
         return sum(status == 200 for status in found) / max(1, len(found))
@@ -93,39 +93,45 @@
 class TestPoisonPart(unittest.IsolatedAsyncioTestCase):
     """Each was at its first end, so nobody held any back."""
 
-    def assert_kept_out(self, fleet, parts=1):
-        ends = fleet.ends()
-        if len(ends) >= FIFTH * parts:
-            known_at = ends[FIFTH * parts - 1] + CONTACT_S
+    def assert_quarantined(self, fleet, parts=1):
+        engine_crash_times = fleet.engine_crash_times()
+        if len(engine_crash_times) >= PART_QUARANTINE_CRASHES * parts:
+            known_at = (
+                engine_crash_times[PART_QUARANTINE_CRASHES * parts - 1] + PROPAGATION_S
+            )
             later = fleet.arrivals_after(known_at)
-            self.assertLessEqual(later, ALLOWED_LATER * parts, len(ends))
+            self.assertLessEqual(
+                later, MAX_LATE_ARRIVALS * parts, len(engine_crash_times)
+            )
         # The last end is soon after the first.
-        self.assertLess(ends[-1] - ends[0], 2 * CONTACT_S * parts)
+        self.assertLess(
+            engine_crash_times[-1] - engine_crash_times[0], 2 * PROPAGATION_S * parts
+        )
 
-    async def test_requests_with_it_reach_no_engine_after_some_ends(self):
+    async def test_requests_with_it_reach_no_engine_after_some_crashes(self):
         async with PoisonPartFleet() as fleet:
             await fleet.begin()
-            await fleet.press(20.0, bad_every_s=0.4, sound_every_s=0.1)
-            self.assert_kept_out(fleet)
-            known_at = fleet.ends()[-1] + 2 * CONTACT_S
-            self.assertGreater(fleet.sound_served(known_at), 0.9)
+            await fleet.generate_load(20.0, bad_every_s=0.4, sound_every_s=0.1)
+            self.assert_quarantined(fleet)
+            known_at = fleet.engine_crash_times()[-1] + 2 * PROPAGATION_S
+            self.assertGreater(fleet.sound_success_rate(known_at), 0.9)
 
-    async def test_several_parts_at_once_are_kept_out(self):
+    async def test_several_parts_at_once_are_quarantined(self):
         bad = [f"badbad{number:02x}" for number in range(5)]
         async with PoisonPartFleet() as fleet:
             await fleet.begin(engines=6, bad=bad)
-            await fleet.press(25.0, bad_every_s=0.3, sound_every_s=0.1, bad=bad)
-            self.assert_kept_out(fleet, parts=len(bad))
+            await fleet.generate_load(25.0, bad_every_s=0.3, sound_every_s=0.1, bad=bad)
+            self.assert_quarantined(fleet, parts=len(bad))
 
-    async def test_an_entry_that_starts_later_keeps_it_out_and_serves_the_others(self):
+    async def test_an_entry_that_starts_later_refuses_it_and_serves_others(self):
         async with PoisonPartFleet() as fleet:
             await fleet.begin(entries=1)
-            await fleet.press(6.0, bad_every_s=0.4, sound_every_s=0.1)
-            ended = len(fleet.ends())
+            await fleet.generate_load(6.0, bad_every_s=0.4, sound_every_s=0.1)
+            ended = len(fleet.engine_crash_times())
             late = await fleet.entry("late")
             await fleet.wait_ready(late)
             fleet.entries = [late]
-            await fleet.press(5.0, bad_every_s=0.4, sound_every_s=0.1)
-            self.assertEqual(len(fleet.ends()), ended)
+            await fleet.generate_load(5.0, bad_every_s=0.4, sound_every_s=0.1)
+            self.assertEqual(len(fleet.engine_crash_times()), ended)
             loop = asyncio.get_running_loop()
-            self.assertGreater(fleet.sound_served(loop.time() - 3.0), 0.9)
+            self.assertGreater(fleet.sound_success_rate(loop.time() - 3.0), 0.9)
--- a/tests/adapter/failures/test_poison_requests.py
+++ b/tests/adapter/failures/test_poison_requests.py
@@ -23,7 +23,7 @@
 PAUSE_S = 0.3
 #: A start under a new name is listed after so long, and the one before is listed as
 #: long beside it. Seconds.
-UNLISTED_S = 0.8
+RELIST_DELAY_S = 0.8
 
 
 class PoisonedFleet(Fleet):
@@ -43,11 +43,11 @@
             replica = await self.replica(host, f"i-{number}", "llm", (MODEL_NAME,))
             replica.on_disk.add(MODEL_NAME)
             replica.poison = POISON
-            replica.on_start = self.lists_again(replica)
+            replica.on_start = self.relist_callback(replica)
             if renamed:
                 replica.reports_start = False
                 self.store.put(f"servers/{replica.instance}", replica.entry())
-                replica.on_start = self._lists_under_new_name(replica)
+                replica.on_start = self._relist_renamed_callback(replica)
             await self.agent(f"a{number}", replica)
         for number in range(entries):
             self.entries.append(await self.entry(f"e{number}"))
@@ -55,9 +55,9 @@
             await self.wait_ready(entry)
         for entry in self.entries:
             await self.wait_served(entry)
-            await self.wait_knows_entries(entry)
+            await self.wait_entries_known(entry)
 
-    async def wait_knows_entries(self, entry):
+    async def wait_entries_known(self, entry):
         """Wait until it knows how many share the budget of second attempts: until then
         its part is too small for a stream that engines end under."""
 
@@ -76,7 +76,7 @@
 
         await wait_until(served, f"{entry.document['node-name']} serves")
 
-    async def tries(self, count, entries, body=POISON):
+    async def send_repeatedly(self, count, entries, body=POISON):
         """Call ``count`` times, at one entry after the other; returns the statuses."""
         statuses = []
         for number in range(count):
@@ -85,7 +85,7 @@
             await asyncio.sleep(PAUSE_S)
         return statuses
 
-    async def come_from(self, host):
+    async def set_source_address(self, host):
         """Call from that address from now on."""
         await self.session.close()
         connector = aiohttp.TCPConnector(local_addr=(host, 0), force_close=True)
@@ -99,16 +99,16 @@
             return None
         return status
 
-    def _lists_under_new_name(self, replica):
+    def _relist_renamed_callback(self, replica):
         def start():
             before = replica.instance
             replica.instance = f"{before}+"
-            listing = asyncio.get_running_loop()
+            loop = asyncio.get_running_loop()
             put, remove = self.store.put, self.store.remove
-            listing.call_later(
-                UNLISTED_S, put, f"servers/{replica.instance}", replica.entry()
+            loop.call_later(
+                RELIST_DELAY_S, put, f"servers/{replica.instance}", replica.entry()
             )
-            listing.call_later(2 * UNLISTED_S, remove, f"servers/{before}")
+            loop.call_later(2 * RELIST_DELAY_S, remove, f"servers/{before}")
 
         return start
 
@@ -124,7 +124,7 @@
         """How often an engine has ended."""
         return sum(replica.crashes for replica in self.replicas.values())
 
-    def lists_again(self, replica):
+    def relist_callback(self, replica):
         """What lists a replica that is back."""
 
         def put():
@@ -137,58 +137,58 @@
     async def test_it_reaches_no_engine_after_its_third_crash(self):
         async with PoisonedFleet() as fleet:
             await fleet.begin()
-            statuses = await fleet.tries(12, fleet.entries)
+            statuses = await fleet.send_repeatedly(12, fleet.entries)
             self.assertLessEqual(fleet.poison_runs(), QUARANTINE_CRASHES, statuses)
             self.assertEqual(set(statuses[2:]), {503}, statuses)
             self.assertEqual(fleet.crashes(), QUARANTINE_CRASHES)
 
-    async def test_an_entry_that_starts_later_keeps_it_out_too(self):
+    async def test_an_entry_that_starts_later_refuses_it_too(self):
         async with PoisonedFleet() as fleet:
             await fleet.begin(entries=1)
-            await fleet.tries(3, fleet.entries)
+            await fleet.send_repeatedly(3, fleet.entries)
             late = await fleet.entry("late")
             await fleet.wait_ready(late)
             await fleet.wait_served(late)
-            await fleet.tries(3, [late])
+            await fleet.send_repeatedly(3, [late])
             self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
-    async def test_it_is_kept_out_though_engines_come_back_under_other_names(self):
+    async def test_it_is_quarantined_though_engines_return_under_other_names(self):
         """The agent names the engine that is back as the one before, which made the
         crash look like a lost connection."""
         async with PoisonedFleet() as fleet:
             await fleet.begin(renamed=True)
-            await fleet.tries(20, fleet.entries)
+            await fleet.send_repeatedly(20, fleet.entries)
             self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
-    async def test_it_is_kept_out_whatever_address_it_comes_from(self):
+    async def test_it_is_quarantined_whatever_its_source_address(self):
         """A caller's tries come through different addresses, by the entry that each
         goes to."""
         async with PoisonedFleet() as fleet:
             await fleet.begin()
             for number in range(6):
-                await fleet.come_from(f"127.0.1.{number + 1}")
-                await fleet.tries(1, fleet.entries[number % 2 :])
+                await fleet.set_source_address(f"127.0.1.{number + 1}")
+                await fleet.send_repeatedly(1, fleet.entries[number % 2 :])
             self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
-    async def test_what_an_entry_saw_outlives_it(self):
+    async def test_crashes_that_an_entry_saw_outlive_it(self):
         async with PoisonedFleet() as fleet:
             await fleet.begin()
-            await fleet.tries(3, fleet.entries[:1])
+            await fleet.send_repeatedly(3, fleet.entries[:1])
             await fleet.entries[0].stop(signal.SIGKILL)
-            await fleet.tries(3, fleet.entries[1:])
+            await fleet.send_repeatedly(3, fleet.entries[1:])
             self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
-    async def test_it_is_known_again_after_all_processes_have_ended(self):
+    async def test_quarantine_survives_the_end_of_all_processes(self):
         async with PoisonedFleet() as fleet:
             await fleet.begin(entries=1)
-            await fleet.tries(3, fleet.entries)
+            await fleet.send_repeatedly(3, fleet.entries)
             for program in fleet._programs:
                 await program.stop(signal.SIGKILL)
             for number, replica in enumerate(fleet.replicas.values()):
                 await fleet.agent(f"a{number}", replica)
             entry = await fleet.entry("later")
             await fleet.wait_ready(entry)
-            await fleet.tries(3, [entry])
+            await fleet.send_repeatedly(3, [entry])
             self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
     async def test_one_that_produces_events_first_is_quarantined_after_six_crashes(
@@ -198,7 +198,7 @@
             await fleet.begin()
             for replica in fleet.replicas.values():
                 replica.poison_events = True
-            await fleet.tries(14, fleet.entries)
+            await fleet.send_repeatedly(14, fleet.entries)
             self.assertLessEqual(fleet.poison_runs(), 2 * QUARANTINE_CRASHES)
 
 
@@ -208,7 +208,7 @@
     async def test_they_are_served_beside_a_poison_request(self):
         async with PoisonedFleet() as fleet:
             await fleet.begin()
-            poisoning = asyncio.create_task(fleet.tries(10, fleet.entries))
+            poisoning = asyncio.create_task(fleet.send_repeatedly(10, fleet.entries))
             refused = []
             while not poisoning.done():
                 entry = fleet.entries[len(refused) % 2]
@@ -223,7 +223,7 @@
                 self.assertEqual(len(quarantined), 1, quarantined)
                 self.assertIn("quarantined", reasons)
 
-    async def test_a_stream_that_engines_end_under_is_served_by_resuming(self):
+    async def test_a_stream_whose_engines_crash_is_served_by_resuming(self):
         async with PoisonedFleet() as fleet:
             await fleet.begin(entries=1, engines=6)
             fleet.configure(
@@ -235,14 +235,14 @@
             calling = asyncio.create_task(fleet.status(entry, STREAM, "s-1"))
             crashing = []
             for number in range(5):
-                replica = await self.running_at(fleet, number)
+                replica = await self.replica_of_run(fleet, number)
                 await asyncio.sleep(0.2)
                 crashing.append(asyncio.create_task(replica.crash()))
             self.assertEqual(await calling, 200)
             await asyncio.gather(*crashing)
             self.assertEqual(entry.events("request_quarantined"), [])
 
-    async def running_at(self, fleet, number):
+    async def replica_of_run(self, fleet, number):
         """The replica at which that run of the stream has begun."""
         seen = {}
 
@@ -263,7 +263,7 @@
         self.seen = {}
 
 
-class TestEngineGoneSilently(unittest.IsolatedAsyncioTestCase):
+class TestEngineLostSilently(unittest.IsolatedAsyncioTestCase):
     """An engine that ends without closing its connections loses runs by their callers'
     leaving alone; the request that did it would go on to the next one."""
 
@@ -278,48 +278,48 @@
     async def asyncTearDown(self):
         await self.harness.close()
 
-    def engines_are_silent(self):
+    def report_silent_engines(self):
         """The agent beside each engine that has run something says so."""
         now = asyncio.get_running_loop().time()
         for replica in self.harness.replicas:
             if replica.runs:
-                told = engine_state(
+                state = engine_state(
                     replica.instance,
                     (MODEL_NAME,),
                     silent=True,
                     started_ms=replica.started_ms,
                 )
-                self.harness.gateway_state.fleet.engine_reported(now, told)
+                self.harness.gateway_state.fleet.engine_reported(now, state)
 
-    async def call_and_leave(self, lapses_first=False):
+    async def call_and_disconnect(self, expires_first=False):
         calling = asyncio.create_task(
             self.harness.call(path=b"/a/x", disconnect_after_s=0.2, x_model=MODEL_NAME)
         )
         await asyncio.sleep(0.1)
-        self.engines_are_silent()
-        if lapses_first:
-            self.registrations_lapse()
+        self.report_silent_engines()
+        if expires_first:
+            self.expire_registrations()
         answer = await calling
-        self.registrations_lapse()
+        self.expire_registrations()
         return answer
 
-    def registrations_lapse(self):
+    def expire_registrations(self):
         """Engines that have run something are listed no more."""
         now = asyncio.get_running_loop().time()
         for replica in self.harness.replicas:
             if replica.runs:
                 self.harness.gateway_state.fleet.registry_removed(now, replica.instance)
 
-    async def test_runs_that_are_left_there_count(self):
-        await self.assert_kept_out(lapses_first=False)
+    async def test_abandoned_runs_count_as_lost(self):
+        await self.assert_quarantined(expires_first=False)
 
-    async def test_runs_that_are_left_after_its_registration_lapsed_count_too(self):
-        await self.assert_kept_out(lapses_first=True)
+    async def test_runs_abandoned_after_the_registration_expired_count_too(self):
+        await self.assert_quarantined(expires_first=True)
 
-    async def assert_kept_out(self, lapses_first):
+    async def assert_quarantined(self, expires_first):
         for _ in range(QUARANTINE_CRASHES):
-            await self.call_and_leave(lapses_first)
-        answer = await self.call_and_leave()
+            await self.call_and_disconnect(expires_first)
+        answer = await self.call_and_disconnect()
         self.assertEqual(answer.status, 503)
         self.assertEqual(answer.body, b"quarantined")
         runs = sum(len(replica.runs) for replica in self.harness.replicas)
--- a/tests/adapter/failures/test_processes.py
+++ b/tests/adapter/failures/test_processes.py
@@ -49,8 +49,8 @@
             self.assertEqual(replica.held[MODEL_NAME], {"a3"})
 
 
-class TestStoreInTrouble(unittest.IsolatedAsyncioTestCase):
-    async def test_what_was_known_goes_on_while_the_store_is_silent(self):
+class TestStoreUnavailable(unittest.IsolatedAsyncioTestCase):
+    async def test_known_state_is_used_while_the_store_is_silent(self):
         async with Fleet() as fleet:
             fleet.configure()
             await fleet.replica("127.0.0.2", "i-1", "llm", (MODEL_NAME,))
@@ -66,7 +66,7 @@
             self.assertEqual(status, 200)
             self.assertTrue(await fleet.is_ready(entry))
 
-    async def test_an_entry_that_starts_meanwhile_learns_from_another(self):
+    async def test_an_entry_that_starts_meanwhile_gets_state_from_another(self):
         """Symptom: an entry that restarts during an outage refuses every call.
 
         The store answers nobody, so the new process has no configuration and knows no
@@ -86,7 +86,7 @@
             (taken,) = second.events("config_in_force")
             self.assertEqual((taken["config_version"], taken["source"]), (5, "e1"))
 
-    async def test_a_change_is_in_force_after_the_history_is_lost(self):
+    async def test_a_change_takes_effect_after_the_history_is_compacted(self):
         async with Fleet() as fleet:
             fleet.configure(version=1)
             await fleet.replica("127.0.0.2", "i-1", "llm", (MODEL_NAME,))
@@ -108,7 +108,7 @@
 
 
 class TestMetrics(unittest.IsolatedAsyncioTestCase):
-    async def test_both_programs_show_what_they_did(self):
+    async def test_both_programs_export_metrics(self):
         async with Fleet() as fleet:
             fleet.configure()
             replica = await fleet.replica("127.0.0.2", "i-1", "llm")
@@ -138,7 +138,7 @@
             self.assertEqual(found["bambootiller_engine_models"], 1)
             self.assertGreater(found["bambootiller_fencing_token"], 0)
 
-    async def test_a_metrics_address_that_is_none_is_told_at_the_start(self):
+    async def test_an_invalid_metrics_address_is_reported_at_the_start(self):
         async with Fleet() as fleet:
             fleet.configure()
             replica = await fleet.replica("127.0.0.2", "i-1", "llm")
@@ -149,7 +149,7 @@
 
 
 class TestSignals(unittest.IsolatedAsyncioTestCase):
-    async def test_a_hangup_ends_nothing_and_takes_up_the_new_settings(self):
+    async def test_sighup_reloads_settings_and_ends_nothing(self):
         """Symptom: the process ends with code 129 when its settings file changes."""
         async with Fleet() as fleet:
             fleet.configure()
@@ -167,7 +167,7 @@
             status, _ = await fleet.call(entry, MODEL_NAME)
             self.assertEqual(status, 200)
 
-    async def test_a_hangup_during_a_start_ends_nothing_either(self):
+    async def test_sighup_during_a_start_ends_nothing(self):
         """Symptom: a process ends by itself when settings change as it starts.
 
         The hang-up comes while the libraries are being loaded. The handler is
--- a/tests/adapter/failures/test_programs_that_fail.py
+++ b/tests/adapter/failures/test_program_failures.py
@@ -14,7 +14,7 @@
 
 
 class TestNotReady(unittest.IsolatedAsyncioTestCase):
-    async def test_an_entry_whose_port_was_taken_is_told_with_its_last_lines(self):
+    async def test_a_port_conflict_is_reported_with_the_last_log_lines(self):
         """An outgoing connection has the port, as it may with ports of the kernel."""
         async with Fleet() as fleet:
             fleet.configure()
@@ -24,13 +24,13 @@
                 with near, self.assertRaises(NotReady) as caught:
                     entry = await fleet.entry("e0", front_port=port)
                     await fleet.wait_ready(entry)
-        told = str(caught.exception)
-        self.assertIn("e0", told)
-        self.assertRegex(told, r"exit code [1-9]")
-        self.assertIn(str(port), told)
-        self.assertIn("ddress already in use", told)
+        message = str(caught.exception)
+        self.assertIn("e0", message)
+        self.assertRegex(message, r"exit code [1-9]")
+        self.assertIn(str(port), message)
+        self.assertIn("ddress already in use", message)
 
-    async def test_a_program_that_was_killed_is_told_with_the_signal(self):
+    async def test_a_killed_program_is_reported_with_its_signal(self):
         async with Fleet() as fleet:
             fleet.configure()
             entry = await fleet.entry("e0")
@@ -38,7 +38,7 @@
             with self.assertRaisesRegex(NotReady, "e0: exit code -9"):
                 await fleet.wait_ready(entry)
 
-    async def test_what_is_waited_for_in_vain_tells_of_all_programs(self):
+    async def test_a_timeout_reports_all_programs(self):
         async with Fleet() as fleet:
             fleet.configure()
             entry = await fleet.entry("e0")
--- a/tests/adapter/failures/test_named_limits.py
+++ b/tests/adapter/failures/test_reported_limits.py
@@ -15,13 +15,13 @@
 MODEL_NAME = MODEL["name"]
 LIMIT = 1.9
 #: How soon after it was first named a limit has to hold. Seconds.
-CONTACT_S = 3.0
+PROPAGATION_S = 3.0
 WINDOW_S = 4.0
 #: What may arrive in a window: one and a half times what the limit allows, and 5 more.
-ALLOWED = 1.5 * LIMIT * WINDOW_S + 5
+MAX_ARRIVALS = 1.5 * LIMIT * WINDOW_S + 5
 
 
-def fullest(arrivals, since):
+def max_in_window(arrivals, since):
     """The most arrivals in a window that begins at ``since`` or later."""
     times = [at for at in arrivals if at >= since]
     counts = [sum(begin <= at < begin + WINDOW_S for at in times) for begin in times]
@@ -34,7 +34,7 @@
     def __init__(self):
         super().__init__()
         self.entries, self.agents, self.statuses = [], [], []
-        self.named_at = None
+        self.limited_at = None
 
     async def begin(self, entries, engines=3, holders=1):
         self.configure()
@@ -56,10 +56,10 @@
         status, _ = await self.call(entry, MODEL_NAME)
         return status == 200
 
-    def name(self, per_s=LIMIT):
+    def report_limit(self, per_s=LIMIT):
         """The first engine is in need from now on."""
         self.limited.limit = per_s
-        self.named_at = asyncio.get_running_loop().time()
+        self.limited_at = asyncio.get_running_loop().time()
 
     @contextlib.asynccontextmanager
     async def callers(self, entries, pause_s):
@@ -90,38 +90,38 @@
             status = None
         self.statuses.append((loop.time(), status))
 
-    def served(self, since):
+    def success_rate(self, since):
         """The part of the calls that ended since then and were served."""
         found = [status for at, status in self.statuses if at >= since]
         return sum(status == 200 for status in found) / max(1, len(found))
 
 
-class TestNamedLimit(unittest.IsolatedAsyncioTestCase):
+class TestReportedLimit(unittest.IsolatedAsyncioTestCase):
     """Each entry went on as before: an engine that named 1.9 a second got ten times as
     many calls."""
 
-    def assert_kept(self, fleet):
-        found = fullest(fleet.limited.arrivals, fleet.named_at + CONTACT_S)
-        self.assertLessEqual(found, ALLOWED)
+    def assert_limit_held(self, fleet):
+        found = max_in_window(fleet.limited.arrivals, fleet.limited_at + PROPAGATION_S)
+        self.assertLessEqual(found, MAX_ARRIVALS)
 
-    async def test_all_entries_together_keep_it_and_others_take_the_rest(self):
+    async def test_all_entries_together_respect_it_and_others_serve_the_rest(self):
         async with LimitedFleet() as fleet:
             await fleet.begin(entries=4)
             async with fleet.callers(fleet.entries, 0.1):
                 await asyncio.sleep(1.0)
-                fleet.name()
-                await asyncio.sleep(CONTACT_S + 2 * WINDOW_S)
-            self.assert_kept(fleet)
-            served = fleet.served(fleet.named_at + CONTACT_S)
-            self.assertGreater(served, 0.95)
+                fleet.report_limit()
+                await asyncio.sleep(PROPAGATION_S + 2 * WINDOW_S)
+            self.assert_limit_held(fleet)
+            success_rate = fleet.success_rate(fleet.limited_at + PROPAGATION_S)
+            self.assertGreater(success_rate, 0.95)
 
-    async def test_it_is_kept_while_entries_start_and_agents_stand_still(self):
+    async def test_it_holds_while_entries_start_and_agents_stall(self):
         async with LimitedFleet() as fleet:
             await fleet.begin(entries=3, holders=2)
             async with contextlib.AsyncExitStack() as calling:
                 await calling.enter_async_context(fleet.callers(fleet.entries, 0.05))
-                fleet.name()
-                await asyncio.sleep(CONTACT_S)
+                fleet.report_limit()
+                await asyncio.sleep(PROPAGATION_S)
                 for agent in fleet.agents:
                     agent.process.send_signal(signal.SIGSTOP)
                     await asyncio.sleep(2.0)
@@ -130,20 +130,20 @@
                 await fleet.wait_ready(later)
                 await calling.enter_async_context(fleet.callers([later], 0.05))
                 await asyncio.sleep(WINDOW_S)
-            self.assert_kept(fleet)
+            self.assert_limit_held(fleet)
             self.assertGreater(len(fleet.limited.arrivals), 0)
 
-    async def test_it_is_used_again_once_it_names_none(self):
+    async def test_an_engine_without_a_limit_again_is_used_again(self):
         async with LimitedFleet() as fleet:
             await fleet.begin(entries=2, engines=1)
             async with fleet.callers(fleet.entries, 0.1):
-                fleet.name()
-                await asyncio.sleep(CONTACT_S)
-                self.assertLess(fleet.served(fleet.named_at + 1.0), 0.5)
+                fleet.report_limit()
+                await asyncio.sleep(PROPAGATION_S)
+                self.assertLess(fleet.success_rate(fleet.limited_at + 1.0), 0.5)
                 fleet.limited.limit = None
                 ended_at = asyncio.get_running_loop().time()
                 await asyncio.sleep(6.0)
-            self.assertGreater(fleet.served(ended_at + 3.0), 0.95)
+            self.assertGreater(fleet.success_rate(ended_at + 3.0), 0.95)
 
     async def test_calls_that_cannot_be_served_are_refused_at_once(self):
         """The only engine is in need: those it doesn't take are told when to come
@@ -151,9 +151,9 @@
         async with LimitedFleet() as fleet:
             await fleet.begin(entries=2, engines=1)
             async with fleet.callers(fleet.entries, 0.1):
-                fleet.name()
-                await asyncio.sleep(CONTACT_S + WINDOW_S)
-            self.assert_kept(fleet)
+                fleet.report_limit()
+                await asyncio.sleep(PROPAGATION_S + WINDOW_S)
+            self.assert_limit_held(fleet)
             refused = [
                 line
                 for entry in fleet.entries
@@ -164,7 +164,7 @@
             for line in refused:
                 self.assertGreaterEqual(line["come_back_s"], 0.25)
 
-    async def test_a_plain_service_is_kept_to_its_limit_too(self):
+    async def test_it_holds_for_a_plain_service_too(self):
         async with LimitedFleet() as fleet:
             await fleet.begin(entries=3)
             plain = {**ROUTE, "name": "p", "path-prefix": "/p/", "kind": "safe"}
@@ -179,14 +179,14 @@
                 await wait_until(
                     lambda e=entry: self.plain_call(fleet, e), "it is served"
                 )
-            fleet.name()
-            end = fleet.named_at + CONTACT_S + WINDOW_S
+            fleet.report_limit()
+            end = fleet.limited_at + PROPAGATION_S + WINDOW_S
             statuses = []
             while asyncio.get_running_loop().time() < end:
                 calls = [self.plain_call(fleet, entry) for entry in fleet.entries]
                 statuses += await asyncio.gather(*calls)
                 await asyncio.sleep(0.05)
-            self.assert_kept(fleet)
+            self.assert_limit_held(fleet)
             self.assertGreater(sum(statuses) / len(statuses), 0.99)
 
     async def plain_call(self, fleet, entry):
--- a/tests/adapter/failures/test_restarts.py
+++ b/tests/adapter/failures/test_restarts.py
@@ -11,7 +11,7 @@
 
 
 class TestReport(unittest.IsolatedAsyncioTestCase):
-    async def test_the_report_tells_the_start(self):
+    async def test_a_report_contains_the_start_time(self):
         replica = StandinReplica("i-1", "llm")
         await replica.server.start()
         engine = PlatformEngine(replica.server.address, "a1")
@@ -45,7 +45,7 @@
     def backend(self):
         return self.harness.gateway_state.fleet.get("i-1")
 
-    async def test_no_call_goes_out_on_a_connection_to_the_start_before(self):
+    async def test_no_call_uses_a_connection_to_the_previous_start(self):
         self.assertEqual((await self.harness.call()).status, 200)
         before = self.harness.context.pool(self.backend())
         self.harness.add_document("servers/i-1", self.replica.entry())
@@ -55,14 +55,14 @@
         self.harness.context.sweep(asyncio.get_running_loop().time())
         self.assertEqual(before.open, 0)
 
-    async def test_failures_of_the_start_before_do_not_count(self):
+    async def test_failures_of_the_previous_start_do_not_count(self):
         loop = asyncio.get_running_loop()
         health = self.harness.context.service("plain").health
         health.unreachable(loop.time(), self.backend().incarnation)
         self.restart()
         self.assertFalse(health.is_avoided(loop.time(), self.backend().incarnation))
 
-    async def test_a_call_lost_by_the_start_before_may_go_to_the_next(self):
+    async def test_a_call_lost_by_the_previous_start_may_go_to_the_next(self):
         def crash(request):
             self.restart()
             return self.replica.answer(request, cut=True)
@@ -81,7 +81,7 @@
         )
 
 
-class TestAnEngineBetweenTwoHeartbeats(unittest.IsolatedAsyncioTestCase):
+class TestRestartBetweenTwoHeartbeats(unittest.IsolatedAsyncioTestCase):
     async def test_its_models_are_loaded_again_before_the_registry_knows(self):
         """Symptom: callers of a model are refused until the registry's next entry.
 
@@ -101,7 +101,7 @@
                 status, _ = await fleet.call(entry, MODEL_NAME)
                 return status == 200
 
-            async def noticed_by(program):
+            async def detected_by(program):
                 return bool(program.events("backend_restarted"))
 
             async def served_on_a_report():
@@ -115,10 +115,10 @@
             await wait_until(served_on_a_report, "the model is served")
             replica.restart()
             await wait_until(
-                lambda: noticed_by(agent), "the agent knows of the restart"
+                lambda: detected_by(agent), "the agent knows of the restart"
             )
             await wait_until(
-                lambda: noticed_by(entry), "the entry knows of the restart"
+                lambda: detected_by(entry), "the entry knows of the restart"
             )
             await wait_until(served, "the model is served again")
             self.assertEqual([order["expected"] for order in replica.orders], [0])
--- a/tests/adapter/failures/test_standstills.py
+++ b/tests/adapter/failures/test_stalls.py
@@ -30,7 +30,7 @@
 from tests.gateway.common import samples
 
 
-class Case(unittest.IsolatedAsyncioTestCase):
+class StallCase(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.harness = EntryHarness()
         self.harness.configure(**{"max-attempts": 2})
@@ -45,15 +45,15 @@
     def holders(self):
         return [self.add(name, "llm", (MODEL_NAME,)) for name in ("i-1", "i-2")]
 
-    def spend_budget(self):
+    def exhaust_retry_budget(self):
         self.harness.context.service("llm").budget = RetryBudget(0.0, 0.0, 10.0)
 
     async def call(self):
         return await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
 
 
-class TestOwnStandstill(Case):
-    async def test_a_stream_whose_entry_stands_still_is_not_taken_for_silent(self):
+class TestEntryStall(StallCase):
+    async def test_stream_is_not_taken_for_silent_after_an_entry_stall(self):
         """The entry stood still for 1.2 s in the middle of a stream, longer than the
         0.7 s of silence after which a call goes elsewhere. The timer of that silence
         ended in the same turn of the loop that brought the events, and won: the stream
@@ -70,7 +70,7 @@
         self.assertEqual(sum(len(replica.runs) for replica in replicas), 1)
         self.assertEqual(self.harness.events.of_kind("answer_lost"), [])
 
-    async def test_a_stream_is_whole_though_no_second_attempt_is_left(self):
+    async def test_stream_is_whole_after_a_stall_without_retry_budget(self):
         """As above, but the budget of second attempts was used up, as it is after a
         moment in which all streams of an entry go elsewhere. The stream was cut: its
         caller saw the connection closed in the middle of an answer that was there.
@@ -78,7 +78,7 @@
         replicas = self.holders()
         for replica in replicas:
             replica.events, replica.gap_s = 20, 0.03
-        self.spend_budget()
+        self.exhaust_retry_budget()
         calling = asyncio.ensure_future(self.call())
         await asyncio.sleep(0.2)
         time.sleep(1.2)
@@ -86,23 +86,23 @@
         self.assertTrue(answer.whole)
         self.assertEqual(answer.status, 200)
 
-    async def test_a_connection_is_made_though_each_turn_of_the_loop_is_slow(self):
+    async def test_connection_is_made_despite_slow_loop_iterations(self):
         """Each turn of the entry's loop took 0.5 s, and making a connection takes
         several turns. The 0.8 s for it ran out although the backend server had
         accepted at once; the call was refused, and the backend server was avoided.
         """
         self.harness.configure(**{"timeout-ms": 20_000})
         replica = self.add("i-1", "plain")
-        starving = asyncio.ensure_future(starve(seconds=10.0, turn_s=0.5))
+        blocking = asyncio.ensure_future(block_loop(seconds=10.0, iteration_s=0.5))
         answer = await self.harness.call(path=b"/plain/x")
-        starving.cancel()
+        blocking.cancel()
         self.assertEqual(answer.status, 200)
         self.assertEqual(len(replica.runs), 1)
         self.assertEqual(self.harness.events.of_kind("cannot_connect"), [])
 
 
-class TestNowhereToGo(Case):
-    async def test_a_silent_stream_is_kept_if_no_second_attempt_is_left(self):
+class TestNoFailoverTarget(StallCase):
+    async def test_silent_stream_is_kept_without_retry_budget(self):
         """The backend server paused for 1 s in its stream, and the budget was used up.
         The entry gave the running stream up first and looked at the budget afterwards:
         the caller lost an answer that would have gone on.
@@ -110,12 +110,12 @@
         replicas = self.holders()
         for replica in replicas:
             replica.events, replica.gap_s = 3, 1.0
-        self.spend_budget()
+        self.exhaust_retry_budget()
         answer = await self.call()
         self.assertTrue(answer.whole)
         self.assertEqual(sum(len(replica.runs) for replica in replicas), 1)
 
-    async def test_a_silent_stream_is_kept_if_all_others_are_full(self):
+    async def test_silent_stream_is_kept_if_all_others_are_full(self):
         """The backend server paused for 1 s in its stream, and the only other holder
         of the model had as many calls as it takes. The running stream was given up,
         nothing was found instead, and the caller's answer was cut.
@@ -126,7 +126,7 @@
         self.assertTrue(answer.whole)
         self.assertEqual(len(running.runs), 1)
 
-    async def test_a_silent_stream_is_kept_if_the_other_cannot_be_reached(self):
+    async def test_silent_stream_is_kept_if_the_other_is_unreachable(self):
         """The backend server paused for 1 s in its stream, and the other holder was
         listed but took no connection. The running stream was given up before that was
         known, and had to be begun again.
@@ -150,39 +150,39 @@
         return calling, running, other
 
 
-class TestBelievedLost(Case):
+class TestSilentAgent(StallCase):
     """The backend servers were well and paused for 1 s in their streams. Their agents
     weren't: that alone had the running streams cut, without a look at whether there was
     anywhere else to go.
     """
 
-    def told(self, silent):
+    def report_agents(self, silent):
         loop = asyncio.get_running_loop()
         for name in ("i-1", "i-2"):
             state = samples.engine_state(name, (MODEL_NAME,), silent=silent)
             self.harness.gateway_state.fleet.engine_reported(loop.time(), state)
 
-    async def answer(self, speaks):
+    async def answer(self, agent_reports):
         for replica in self.holders():
             replica.events, replica.gap_s = 3, 1.0
-        self.told(silent=False)
-        self.spend_budget()
+        self.report_agents(silent=False)
+        self.exhaust_retry_budget()
         calling = asyncio.ensure_future(self.call())
         await asyncio.sleep(0.3)
-        while speaks and not calling.done():
-            self.told(silent=True)
+        while agent_reports and not calling.done():
+            self.report_agents(silent=True)
             await asyncio.sleep(0.2)
         return await calling
 
-    async def test_a_running_stream_is_kept_though_its_agent_says_silent(self):
-        self.assertTrue((await self.answer(speaks=True)).whole)
+    async def test_running_stream_is_kept_if_its_agent_reports_silence(self):
+        self.assertTrue((await self.answer(agent_reports=True)).whole)
 
-    async def test_a_running_stream_is_kept_though_its_agent_has_ended(self):
-        self.assertTrue((await self.answer(speaks=False)).whole)
+    async def test_running_stream_is_kept_if_its_agent_has_ended(self):
+        self.assertTrue((await self.answer(agent_reports=False)).whole)
 
 
-class TestSeveralToChooseFrom(Case):
-    async def test_a_call_to_a_dead_one_goes_on_past_another_dead_one(self):
+class TestSeveralFailoverTargets(StallCase):
+    async def test_failover_goes_on_past_a_second_dead_backend_server(self):
         """The first backend server hung and the second took no connection; the third
         was well. After the second the entry waited a whole silence again, half of the
         call's time, and then there was none left."""
@@ -196,7 +196,7 @@
         self.assertEqual(len(first.runs), 1)
         self.assertEqual(answer.status, 200)
 
-    async def test_an_event_does_not_wait_for_a_connection_elsewhere(self):
+    async def test_event_does_not_wait_for_a_failover_connection(self):
         """The backend server paused for 0.8 s. At 0.7 s the entry began to connect to
         another one, which swallowed the connection, and passed on what the first said
         at 0.8 s only once that had failed, at 1.5 s."""
@@ -207,14 +207,14 @@
         await asyncio.sleep(0.3)
         (other,) = [replica for replica in replicas if not replica.runs]
         backend = self.harness.gateway_state.fleet.get(other.instance)
-        with swallowing_port() as port:
+        with unresponsive_port() as port:
             self.harness.context.pool(backend)._port = port
             answer = await calling
         self.assertLess(answer.arrivals[1] - answer.arrivals[0], 1.1)
 
 
-class TestStoreOfAnEntryThatStoodStill(unittest.IsolatedAsyncioTestCase):
-    async def test_a_backend_server_removed_after_that_is_used_no_longer(self):
+class TestStoreWatchAfterStall(unittest.IsolatedAsyncioTestCase):
+    async def test_backend_server_removed_after_a_stall_is_not_used(self):
         """An entry stood still for longer than it waits for the store, and took that
         for the store's absence. Entries that vanish right after an absence count as
         lapsed for 2.3 s: calls went on to a backend server that had left."""
@@ -254,7 +254,7 @@
         self.assertEqual(events.of_kind("dependency_lost"), [])
 
 
-class TestStoreThatReturned(unittest.IsolatedAsyncioTestCase):
+class TestStoreRecovery(unittest.IsolatedAsyncioTestCase):
     """Symptom: after each outage of the store, live backend servers get no calls for a
     second.
 
@@ -264,7 +264,7 @@
     back in time was read too late.
     """
 
-    async def test_what_comes_back_is_read_in_time(self):
+    async def test_returning_backend_servers_are_read_in_time(self):
         background_loop = BackgroundLoop()
         self.addCleanup(background_loop.close)
         store = background_loop.start_store()
@@ -295,7 +295,7 @@
 
 
 @contextlib.contextmanager
-def swallowing_port():
+def unresponsive_port():
     """A port that takes no further connection and refuses none."""
     with contextlib.ExitStack() as held:
         listening = held.enter_context(socket.socket())
@@ -308,10 +308,10 @@
         yield listening.getsockname()[1]
 
 
-async def starve(seconds, turn_s):
-    """Keep the loop busy: each of its turns takes ``turn_s`` at least."""
+async def block_loop(seconds, iteration_s):
+    """Keep the loop busy: each of its turns takes ``iteration_s`` at least."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     while loop.time() < end:
-        time.sleep(turn_s)
+        time.sleep(iteration_s)
         await asyncio.sleep(0)
--- a/tests/adapter/failures/test_starved_models.py
+++ b/tests/adapter/failures/test_starved_models.py
@@ -7,10 +7,10 @@
 SECONDS = 60.0
 #: What is asked for from the start on can be served until the end: the weight store
 #: brings all models that no engine has within the time that is left. Seconds.
-ASKED_BY_S = 8.0
+REQUESTED_BY_S = 8.0
 #: A load from the store begins so long after the one before has ended: what makes way
 #: ends its runs first. Seconds.
-MOST_IDLE_S = 2.0
+MAX_IDLE_S = 2.0
 
 
 class TestStarvedModels(unittest.IsolatedAsyncioTestCase):
@@ -26,7 +26,7 @@
             ]
             await fleet.run_load(SECONDS, losses)
             idle = [end - begin for begin, end in fleet.idle_store_spans(SECONDS)]
-            self.assertLessEqual(max(idle, default=0.0), MOST_IDLE_S)
-            starved = fleet.starved(requested_by_s=ASKED_BY_S)
+            self.assertLessEqual(max(idle, default=0.0), MAX_IDLE_S)
+            starved = fleet.starved(requested_by_s=REQUESTED_BY_S)
             log_excerpt = fleet.log_excerpt({model for (model, _), _ in starved})
             self.assertEqual(starved, [], log_excerpt)
--- a/tests/adapter/failures/test_store_turns.py
+++ b/tests/adapter/failures/test_store_turns.py
@@ -12,13 +12,13 @@
 MODELS = tuple([f"m{number}" for number in range(6)])
 #: What the configuration states for a load, so that the store is taken to serve one at
 #: a time, and how long it takes here. Seconds.
-STATED_S, LOAD_S = 14.0, 2.5
+CONFIGURED_LOAD_S, LOAD_S = 14.0, 2.5
 CALL_S = 0.3
 #: One load more than the store is known to serve is tried once.
-MOST_TRIED = 1
+MAX_PROBES = 1
 
 
-class TurnsFleet(Fleet):
+class StorePermitFleet(Fleet):
     """Engines without any copy, before a store that serves one load at a time."""
 
     def __init__(self):
@@ -27,7 +27,7 @@
 
     async def begin(self):
         models = [
-            {**MODEL, "name": name, "load-s": STATED_S, "adapters": 0}
+            {**MODEL, "name": name, "load-s": CONFIGURED_LOAD_S, "adapters": 0}
             for name in MODELS
         ]
         engine = {**SERVICE["engine"], "models": models}
@@ -41,7 +41,7 @@
         await self.wait_ready(entry)
         return entry
 
-    async def ask_for_all(self, entry, pause_s=CALL_S):
+    async def call_all_models(self, entry, pause_s=CALL_S):
         """Callers of all models, each of whom is refused and comes back."""
         number = 0
         while True:
@@ -50,7 +50,7 @@
                 asyncio.create_task(self.call(entry, model, attempt=f"r-{number}"))
             await asyncio.sleep(pause_s)
 
-    def under_way(self):
+    def in_progress(self):
         return [load for load in self.weights.loads if load.ended is None]
 
     def loading(self, load):
@@ -60,7 +60,7 @@
                 return replica
         raise AssertionError(f"no replica loads {load.model}")
 
-    def begun_beside_others(self):
+    def started_concurrently(self):
         loads = self.weights.loads
         return [
             load
@@ -74,61 +74,61 @@
         ]
 
 
-class TestLoadAtAnEngineListedNoMore(unittest.IsolatedAsyncioTestCase):
+class TestLoadAtUnlistedEngine(unittest.IsolatedAsyncioTestCase):
     """Two loads began beside that of an engine which the registry had dropped and which
     worked on; they took twice and three times their time."""
 
-    async def test_its_turn_is_not_given_away(self):
-        async with TurnsFleet() as fleet:
+    async def test_its_permit_is_not_given_away(self):
+        async with StorePermitFleet() as fleet:
             entry = await fleet.begin()
-            asking = asyncio.create_task(fleet.ask_for_all(entry))
+            calling = asyncio.create_task(fleet.call_all_models(entry))
 
-            async def two_under_way():
-                return len(fleet.under_way()) == 2
+            async def two_in_progress():
+                return len(fleet.in_progress()) == 2
 
-            await wait_until(two_under_way, "a load is tried beside the first")
-            first, tried = fleet.under_way()
-            dropped = fleet.loading(tried)
+            await wait_until(two_in_progress, "a load is tried beside the first")
+            first, probe = fleet.in_progress()
+            dropped = fleet.loading(probe)
             fleet.store.remove(f"servers/{dropped.instance}")
 
-            async def over():
-                return tried.ended is not None
+            async def has_ended():
+                return probe.ended is not None
 
-            await wait_until(over, "the load at the dropped engine is over")
-            asking.cancel()
-            beside = fleet.begun_beside_others()
-            self.assertLessEqual(len(beside), MOST_TRIED, beside)
+            await wait_until(has_ended, "the load at the dropped engine is over")
+            calling.cancel()
+            concurrent = fleet.started_concurrently()
+            self.assertLessEqual(len(concurrent), MAX_PROBES, concurrent)
 
 
 class TestEngineThatIsGone(unittest.IsolatedAsyncioTestCase):
     """The store served nobody for seconds after an engine had ended in its load: the
     turn was kept until the registry dropped the engine, or the engine was back."""
 
-    AWAY_S = 6.0
+    DOWN_S = 6.0
     #: Too few callers for one load more than the store is known to serve. Seconds.
     CALL_S = 2.0
     #: As long as the store may serve nobody between two loads while somebody waits.
     IDLE_S = 2.0
 
     async def test_its_turn_is_free_at_once(self):
-        async with TurnsFleet() as fleet:
+        async with StorePermitFleet() as fleet:
             entry = await fleet.begin()
-            asking = asyncio.create_task(fleet.ask_for_all(entry, self.CALL_S))
+            calling = asyncio.create_task(fleet.call_all_models(entry, self.CALL_S))
 
-            async def one_under_way():
-                return len(fleet.under_way()) == 1
+            async def one_in_progress():
+                return len(fleet.in_progress()) == 1
 
-            await wait_until(one_under_way, "a load is under way")
-            (load,) = fleet.under_way()
+            await wait_until(one_in_progress, "a load is under way")
+            (load,) = fleet.in_progress()
             replica = fleet.loading(load)
-            replica.down_s = self.AWAY_S
+            replica.down_s = self.DOWN_S
             crash = asyncio.create_task(replica.crash())
 
             async def another():
-                return any(other is not load for other in fleet.under_way())
+                return any(other is not load for other in fleet.in_progress())
 
             await wait_until(another, "another load is under way", pause_s=0.02)
-            idle_s = min(other.began for other in fleet.under_way()) - load.ended
-            asking.cancel()
+            idle_s = min(other.began for other in fleet.in_progress()) - load.ended
+            calling.cancel()
             await crash
             self.assertLessEqual(idle_s, self.IDLE_S)
--- a/tests/adapter/failures/test_unframed_answers.py
+++ b/tests/adapter/failures/test_unframed_answers.py
@@ -23,7 +23,7 @@
     async def asyncTearDown(self):
         await self.harness.close()
 
-    def first_answer(self, *pieces, reset=False):
+    def script_first_answer(self, *pieces, reset=False):
         """The first answer of whoever gets the call first ends behind these bytes."""
 
         def reply(replica):
@@ -45,13 +45,13 @@
     def runs(self):
         return sum(len(replica.runs) for replica in self.harness.replicas)
 
-    async def test_one_that_ends_behind_its_last_event_is_whole(self):
-        self.first_answer(*EVENTS)
+    async def test_one_that_ends_after_its_last_event_is_whole(self):
+        self.script_first_answer(*EVENTS)
         answer = await self.call()
         self.assertEqual((answer.body, answer.whole), (WHOLE, True))
         self.assertEqual(self.runs(), 1)
 
-    async def test_one_that_ends_in_an_event_is_gone_on_with_elsewhere(self):
+    async def test_one_that_ends_within_an_event_is_resumed_elsewhere(self):
         for cut in (
             b"id",
             b"id: 3",
@@ -61,18 +61,18 @@
         ):
             with self.subTest(cut=cut):
                 before = self.runs()
-                self.first_answer(*EVENTS[:2], cut)
+                self.script_first_answer(*EVENTS[:2], cut)
                 answer = await self.call()
                 self.assertEqual((answer.body, answer.whole), (WHOLE, True))
                 self.assertEqual(self.runs() - before, 2)
 
-    async def test_one_that_is_reset_between_two_events_is_gone_on_with_too(self):
-        self.first_answer(*EVENTS[:2], reset=True)
+    async def test_one_that_is_reset_between_two_events_is_resumed_too(self):
+        self.script_first_answer(*EVENTS[:2], reset=True)
         answer = await self.call()
         self.assertEqual((answer.body, answer.whole), (WHOLE, True))
         self.assertEqual(self.runs(), 2)
 
-    async def test_one_that_cannot_be_gone_on_with_does_not_look_whole(self):
+    async def test_one_that_cannot_be_resumed_does_not_look_whole(self):
         for replica in self.harness.replicas:
 
             def unframed(request, replica=replica):
--- a/tests/adapter/failures/test_unread_logs.py
+++ b/tests/adapter/failures/test_unread_logs.py
@@ -12,10 +12,10 @@
 MODEL_NAME = MODEL["name"]
 #: More lines than a pipe of 64 KiB and the waiting lines of the log take together.
 CALLS = 1_500
-AT_ONCE = 50
+CONCURRENCY = 50
 #: What a storm of events may add to a process: the lines that wait are bounded by
 #: 256 KiB, and the rest is for connections and calls. Megabytes.
-MOST_GROWN_MB = 16.0
+MAX_GROWTH_MB = 16.0
 
 
 def memory_mb(pid):
@@ -44,20 +44,20 @@
             await fleet.wait_ready(entry)
             await fleet.call(entry, MODEL_NAME)
             before = memory_mb(entry.process.pid)
-            statuses = await self._storm(fleet, entry)
+            statuses = await self._send_refused_calls(fleet, entry)
             self.assertEqual(statuses, {404: CALLS})
             status, body = await fleet.call(entry, MODEL_NAME, attempt="r-last")
             self.assertEqual(status, 200)
             self.assertTrue(body.endswith(b"data: 5\n\n"))
-            grown = memory_mb(entry.process.pid) - before
-            self.assertLess(grown, MOST_GROWN_MB)
+            growth_mb = memory_mb(entry.process.pid) - before
+            self.assertLess(growth_mb, MAX_GROWTH_MB)
             found = await fleet.metrics(entry)
-            left_out = sum(
+            dropped = sum(
                 value
                 for name, value in found.items()
                 if name.startswith("bambootiller_log_lines_left_out")
             )
-            self.assertGreater(left_out, 0)
+            self.assertGreater(dropped, 0)
             entry.process.send_signal(signal.SIGHUP)
 
             async def reloaded():
@@ -67,13 +67,13 @@
             await wait_until(reloaded, "the process goes on after a hang-up")
             self.assertEqual(await entry.stop(), 0)
 
-    async def _storm(self, fleet, entry):
+    async def _send_refused_calls(self, fleet, entry):
         """Calls that are each refused with a line; returns the statuses and counts."""
         statuses = {}
-        for first in range(0, CALLS, AT_ONCE):
+        for first in range(0, CALLS, CONCURRENCY):
             calls = [
                 fleet.call(entry, None, path="/nowhere/", attempt=f"r-{number}")
-                for number in range(first, first + AT_ONCE)
+                for number in range(first, first + CONCURRENCY)
             ]
             for status, _ in await asyncio.gather(*calls):
                 statuses[status] = statuses.get(status, 0) + 1
