--- a/packages/bambootiller/src/bambootiller/gateway/customer_audit.py
+++ b/packages/bambootiller/src/bambootiller/gateway/customer_audit.py
@@ -1,4 +1,4 @@
-"""Says whose keys and quotas a configuration has changed, never a key."""
+"""Logs whose API keys and quotas a configuration has changed; never logs a key."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
     QuotasInForce,
 )
 
-#: Customers whose quotas one line tells; a configuration may have thousands.
+#: The most customers whose quotas one log line lists; a configuration may have
+#: thousands of customers.
 MAX_LOGGED_QUOTAS = 40
 
 
 class CustomerAudit:
-    """Compares each configuration with the one before.
+    """Compares each configuration with the previous one.
 
     Example::
 
-        knowledge.on_config(CustomerAudit(events).configured)
+        gateway_state.on_config(CustomerAudit(events).configured)
     """
 
     def __init__(self, events: EventLog) -> None:
@@ -28,7 +29,7 @@
         self._quotas: tuple[CustomerQuota, ...] = ()
 
     def configured(self, config: GatewayConfig) -> None:
-        """A configuration has come into force."""
+        """Log what a configuration that has come into force changes."""
         self._log_keys(config)
         self._log_quotas(config)
 
--- a/packages/bambootiller/src/bambootiller/gateway/event_log.py
+++ b/packages/bambootiller/src/bambootiller/gateway/event_log.py
@@ -1,10 +1,10 @@
-"""One line of JSON on standard output for each decision.
+"""Writes one line of JSON to standard output for each decision.
 
-A line that touches a request carries its id; each carries what decided it, with the
-version or the age of those inputs. Two things must never happen: that a reader who has
-stopped reading holds up the process, and that a storm of events fills the disk of
-whoever collects them. So nothing here waits, and each kind of event has a budget a
-second; what was left out is counted and said.
+A line about a request carries its id, and each line carries the inputs of its decision
+with their version or age. Two things must never happen: that a reader which has stopped
+reading blocks the process, and that a burst of events fills the disk of the log
+collector. So writes never block, and each kind of event has a budget of lines a second;
+dropped lines are counted and reported.
 
 Example::
 
@@ -22,21 +22,22 @@
 
 from bambootiller_core.gateway.log_lines import LinesLeftOut, LogLine
 
-#: Lines a second of one kind. Failures have kinds of their own, so those of successes
-#: don't crowd them out.
+#: Lines a second of one kind of event. Failures are kinds of their own, so lines about
+#: successes don't use up their budget.
 MAX_LINES_PER_S = 50.0
-#: What may wait for a reader that is slow, in bytes; beyond it lines are left out.
+#: The most bytes that are buffered for a slow reader; further lines are dropped.
 MAX_BUFFERED_BYTES = 256 * 1024
-#: The part of it that lines of successes may fill; the rest is kept for failures.
+#: The fraction of the buffer open to lines about successes; the rest is reserved for
+#: failures.
 SUCCESS_FRACTION = 0.5
-#: How often lines left out are reported. Seconds.
+#: How often dropped lines are reported. Seconds.
 REPORT_INTERVAL_S = 5.0
 
 Listener = Callable[[LogLine], None]
 
 
 class EventLog:
-    """Writes events to a file descriptor that it sets to non-blocking."""
+    """Writes events to a file descriptor, which it sets to non-blocking."""
 
     def __init__(
         self, instance: str, fd: int = 1, per_s: float = MAX_LINES_PER_S
@@ -51,16 +52,16 @@
         self._reported_at = time.monotonic()
         self._started_at = time.monotonic()
         self._listeners: list[Listener] = []
-        #: How many lines of each event weren't written since the start.
+        #: The number of lines dropped since the start, by kind of event.
         self.dropped: Counter[str] = Counter()
         os.set_blocking(fd, False)
 
     def on_line(self, listener: Listener) -> None:
-        """Call ``listener`` for each line, also for those that are left out."""
+        """Call ``listener`` for each line, also for those that are dropped."""
         self._listeners.append(listener)
 
     def emit(self, line: LogLine) -> None:
-        """Write one line, unless its kind has used up its budget."""
+        """Write one line, unless its kind of event has used up its budget."""
         now = time.monotonic()
         for listener in self._listeners:
             listener(line)
@@ -87,8 +88,8 @@
         return True
 
     def _write(self, line: LogLine, now: float) -> None:
-        # The time of day may jump; the time since the start doesn't, and puts the lines
-        # of one process in order.
+        # The wall clock may jump; the time since the start doesn't, and orders the
+        # lines of one process.
         record: dict[str, Any] = {
             "time": round(time.time(), 3),
             "uptime_s": round(now - self._started_at, 3),
@@ -117,7 +118,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good; serving goes on without its log.
+                # The reader is gone for good; the process goes on without a log.
                 self._buffer.clear()
                 self._buffered_bytes = 0
                 return
--- a/packages/bambootiller/src/bambootiller/gateway/metered_key_value.py
+++ b/packages/bambootiller/src/bambootiller/gateway/metered_key_value.py
@@ -1,4 +1,4 @@
-"""Counts the calls of the key-value service by their answers."""
+"""Counts calls of the key-value service by their outcomes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class MeteredKeyValue:
-    """A key-value service whose calls are counted; passes everything on.
+    """Wraps a key-value service and counts the calls; forwards each unchanged.
 
     Example::
 
@@ -41,21 +41,21 @@
     async def transact(
         self, compares: Sequence[Compare], writes: Sequence[Put | Delete]
     ) -> WriteOutcome:
-        """Carry out ``writes`` if all ``compares`` hold."""
+        """Apply ``writes`` if all ``compares`` hold."""
         return self._counted("transact", await self._kv.transact(compares, writes))
 
     async def grant_lease(self, ttl_s: float) -> LeaseOutcome:
-        """Begin a lease of so many seconds."""
+        """Grant a lease of that many seconds."""
         return self._counted("grant_lease", await self._kv.grant_lease(ttl_s))
 
     async def keep_lease(self, lease: int) -> LeaseOutcome:
-        """Have a lease begin anew."""
+        """Renew a lease for its full duration."""
         return self._counted("keep_lease", await self._kv.keep_lease(lease))
 
     async def watch(
         self, prefix: str, from_revision: int
     ) -> AsyncIterator[tuple[Changed, ...] | Unavailable]:
-        """Yield changes under ``prefix``; each answer counts as a call."""
+        """Yield changes under ``prefix``; each batch counts as a call."""
         async for batch in self._kv.watch(prefix, from_revision):
             if isinstance(batch, Unavailable):
                 self._counted("watch", batch)
--- a/packages/bambootiller/src/bambootiller/gateway/meters.py
+++ b/packages/bambootiller/src/bambootiller/gateway/meters.py
@@ -1,9 +1,9 @@
-"""Counters and latency histograms, kept from the lines that a process logs.
+"""Counters and latency histograms, updated from the events that a process logs.
 
-Each kind of line that counts has a function here, registered by a decorator. Metrics
-are kept for every line, also for those that the log leaves out in a storm. Labels come
-from bounded sets: the operator may have hundreds of routes, and a label value each
-would fill the collector.
+Each counted kind of event has a function here, registered by a decorator. Every event
+is counted, also those that the log drops when there are too many. The number of values
+of a label is bounded: an operator may have hundreds of routes, and a label value for
+each would overload the metrics collector.
 
 Example::
 
@@ -29,14 +29,16 @@
 from bambootiller_core.gateway import log_lines as lines
 from bambootiller_core.gateway.unserved import UnservedTracker
 
-#: Values of one label that are told apart; all further ones count as "other".
+#: The most distinct values of one label; all further ones count as "other".
 MAX_LABEL_VALUES = 40
 OTHER = "other"
 PREFIX = "bambootiller_"
-#: From a few milliseconds, what a good answer takes, to the longest deadlines. Seconds.
+#: From a few milliseconds, the time of a good answer, to the longest deadlines.
+#: Seconds.
 LATENCY_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 12.0, 30.0)
 
-#: Models and adapters are counted by how long nobody has been served. Seconds.
+#: Models and adapters are counted by the time for which no call to them has been
+#: served. Seconds.
 UNSERVED_AGES_S = (4, 8, 16, 32)
 
 Count = Callable[["Meters", lines.LogLine], None]
@@ -44,7 +46,7 @@
 
 
 def counts(kind: type[lines.LogLine]) -> Callable[[Count], Count]:
-    """Register the function that counts lines of one kind."""
+    """Register the function that counts events of one kind."""
 
     def register(function: Count) -> Count:
         _COUNTS[kind] = function
@@ -54,9 +56,9 @@
 
 
 class BoundedLabel:
-    """Lets through the first values of a label, and calls the rest "other".
+    """Keeps the first values of a label, and replaces the rest by "other".
 
-    >>> label = BoundedLabel(most=1)
+    >>> label = BoundedLabel(max_values=1)
     >>> label("a"), label("b"), label("a")
     ('a', 'other', 'a')
     """
@@ -173,7 +175,7 @@
         )
 
     def count(self, line: lines.LogLine) -> None:
-        """Count one line."""
+        """Update the metrics from one event."""
         function = _COUNTS.get(type(line))
         if function is not None:
             function(self, line)
@@ -191,15 +193,15 @@
         return self._customer(name)
 
     def shares(self, shares: Mapping[str, float]) -> None:
-        """Show the parts of limits that this entry holds; of customers that have no
-        label of their own none is shown."""
+        """Set the gauges of this entry's shares of customers' limits. Customers beyond
+        the bound on label values are left out."""
         for name, share in shares.items():
             label = self._customer(name)
             if label != OTHER:
                 self.quota_share.labels(label).set(share)
 
     def add_gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """A level that is read when the page is asked for."""
+        """Add a gauge whose value is read each time the page is requested."""
         self._gauge(name, text).set_function(read)
 
     def _show_unserved(self) -> None:
--- a/packages/bambootiller/src/bambootiller/gateway/metrics_page.py
+++ b/packages/bambootiller/src/bambootiller/gateway/metrics_page.py
@@ -1,9 +1,9 @@
 """Serves the metrics page on a port of its own.
 
-The agent carries no HTTP server for calls, and one for a page that is read every few
-seconds would cost it a fifth more memory. So this speaks as much HTTP/1.1 as a scraper
-needs: one GET a connection. What else comes is answered with an error at once; a sender
-that dawdles is closed on.
+The agent has no HTTP server for calls, and one for a page that is read every few
+seconds would take a fifth more memory. So this module implements the part of HTTP/1.1
+that a scraper needs: one GET per connection. Any other request gets an error at once,
+and the connection of a slow sender is closed.
 
 Example::
 
@@ -20,13 +20,13 @@
 from bambootiller import logs
 from bambootiller.settings import Address
 
-#: A scraper that hasn't sent its request by then is closed on. Seconds.
+#: A connection without a complete request after this time is closed. Seconds.
 READ_TIMEOUT_S = 2.0
-#: One that hasn't taken the page by then is reset. Seconds.
+#: A connection that hasn't accepted the page after this time is reset. Seconds.
 WRITE_TIMEOUT_S = 5.0
-#: The longest head that is read. Bytes.
+#: The longest request head that is accepted. Bytes.
 MAX_HEAD_BYTES = 8192
-#: Connections at a time; further ones are closed at once.
+#: The most concurrent connections; further ones are closed at once.
 MAX_CONNECTIONS = 8
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 
@@ -34,7 +34,7 @@
 
 
 class MetricsPage:
-    """One page at one path, as a component of the application; others are 404."""
+    """One page at one path, as a component of the application; other paths are 404."""
 
     name = "metrics page"
 
@@ -51,13 +51,14 @@
         return self._server.sockets[0].getsockname()[1]
 
     async def prepare(self) -> None:
-        """Nothing to take beforehand."""
+        """Do nothing: there is no resource to acquire before the start."""
 
     async def drain(self, seconds: float) -> None:
-        """A page is made in one step; nothing is under way."""
+        """Do nothing: a page is built in one step, so no work is pending."""
 
     async def start(self) -> None:
-        """Listen. A port that can't be had costs the metrics, and no call."""
+        """Listen. If the port can't be bound there are no metrics, but calls are still
+        served."""
         host, port = self._listen.host, self._listen.port
         try:
             self._server = await asyncio.start_server(
@@ -84,7 +85,8 @@
         try:
             await self._answer(reader, writer)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            # The scraper has gone or dawdles. It comes again, and says so itself.
+            # The scraper has disconnected or is too slow. It reports that itself, and
+            # tries again.
             writer.transport.abort()
         finally:
             self._open.discard(writer)
--- a/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
+++ b/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
@@ -1,8 +1,8 @@
-"""Entries of the registry that can't be read, and what is said of them.
+"""Registrations that can't be read: their effect and their log lines.
 
-Others write under the registry's prefix too. An entry that can't be read names no
-backend server to use, also if an earlier one did: an address that its owner doesn't
-stand by any more may belong to somebody else by now.
+Other writers use the registry's prefix too. While a registration can't be read, its
+backend server isn't used, even if an earlier version could be read: an address that its
+owner no longer confirms may belong to another server by now.
 """
 
 from __future__ import annotations
@@ -13,16 +13,19 @@
 from bambootiller_core.gateway.fleet import Fleet
 from bambootiller_core.ports import Record
 
-#: What a line says of a fault at most, in characters; enough for a field and its fault.
+#: The longest description of a fault in a log line, in characters; enough for a field
+#: and its fault.
 MAX_DETAIL_CHARS = 200
 KEY_NOT_TEXT = "the key isn't text that a message can carry"
 
 
 class RegistryFaults:
-    """Takes unreadable entries out of use, and says each reason once.
+    """Takes backend servers with unreadable registrations out of use, and logs each
+    reason once.
 
-    An entry may be rewritten each second. A line for each would leave out the lines of
-    others; so the same reason is said again only after the entry was good.
+    A registration may be rewritten each second. A line for each write would use up the
+    event's line budget and crowd out other registrations' lines; so the same reason is
+    logged again only after the registration could be read.
     """
 
     def __init__(self, fleet: Fleet, events: EventLog) -> None:
@@ -33,8 +36,8 @@
     def can_forward(self, record: Record, source: str) -> bool:
         """Whether messages to peers can carry the record's key.
 
-        One that can't ends the stream to each peer with an exception, and again when
-        the stream is opened anew; one sees all peers lost at once.
+        A key that can't be encoded would end the stream to each peer with an exception,
+        and end it again each time it is reopened: all peers would be lost at once.
         """
         try:
             record.key.encode()
@@ -46,7 +49,7 @@
     def mark_unreadable(
         self, record: Record, instance: str | None, why: Unreadable, source: str
     ) -> None:
-        """Use the backend server that the entry named no longer."""
+        """Stop using the backend server of the registration, and log the reason."""
         held = self._fleet.get(instance) if instance is not None else None
         was_used = held is not None and held.readable
         if instance is not None:
@@ -61,5 +64,6 @@
         self._events.emit(line)
 
     def mark_readable(self, key: str) -> None:
-        """The entry can be read, or is gone; a later fault is said anew."""
+        """Record that the registration can be read or is gone, so that a later fault
+        is logged again."""
         self._reported.pop(key, None)
--- a/packages/bambootiller/src/bambootiller/gateway/server_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_limits.py
@@ -1,7 +1,7 @@
-"""What one process knows of the limits that backend servers name.
+"""The rate limits that backend servers report, as one process has received them.
 
-An entry hears them in answers, and tells the agents that collect the demand; those tell
-all entries, as with lost runs (:mod:`quarantine`).
+An entry reads them from answers and reports them to the agents that collect the demand;
+those report them to all entries, as with lost runs (:mod:`quarantine`).
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 
 class ServerLimits:
-    """The limits, as answers and other processes tell them.
+    """The limits reported by answers and by other processes.
 
-    ``send_now`` tells peers soon what is new.
+    ``send_now`` has new limits sent to peers soon.
 
     Example::
 
-        limits.named(backend, 1.9)
+        limits.record_limit(backend, 1.9)
         limits.record_no_limit(backend, sent_at)
     """
 
@@ -40,7 +40,7 @@
         self._listeners: list[Callable[[], None]] = []
 
     def start(self, timers: TimerService, now: float, fleet: Fleet) -> None:
-        """Begin to forget what is over."""
+        """Start the timer that removes limits that no longer apply."""
 
         def forget(now: float) -> None:
             if self._limits.forget(now, lambda name: fleet.get(name) is not None):
@@ -49,32 +49,34 @@
         timers.every("forget named limits", FORGET_INTERVAL_S, now, forget)
 
     def on_change(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` whenever other limits hold than before."""
+        """Call ``listener`` whenever the limits in force have changed."""
         self._listeners.append(listener)
 
     def in_force(self) -> dict[str, float]:
-        """The limits that hold, in calls a second, by backend server."""
+        """The limits in force, in calls a second, by backend server."""
         return self._limits.in_force()
 
     def per_s(self, backend: Backend) -> float | None:
-        """The limit of a backend server, in calls a second, None without one."""
+        """The limit of a backend server, in calls a second; None without one."""
         return self._limits.per_s(backend.instance)
 
     def record_limit(self, backend: Backend, per_s: float) -> None:
-        """An answer names a limit."""
+        """Record the limit that an answer reports, in calls a second."""
         self._apply(ReportedLimit(backend.instance, per_s, self._clock()))
 
     def record_no_limit(self, backend: Backend, sent_at: float) -> None:
-        """The answer to a call that was sent at ``sent_at`` names none."""
+        """Record that the answer to a call that was sent at ``sent_at`` reports no
+        limit."""
         self._apply(ReportedLimit(backend.instance, None, sent_at))
 
     def log_unreadable(self, backend: Backend, detail: str) -> None:
-        """An answer names something that isn't a limit; what held goes on."""
+        """Log that the limit in an answer can't be read; the previous limit stays in
+        force."""
         self._events.emit(BackendLimitUnreadable(backend.instance, detail))
 
     def fill(self, update: Update, peer_stream: PeerStream, own: bool) -> None:
-        """Put into a message what its receiver hasn't been told yet; ``own`` leaves out
-        what others told, unless the receiver hasn't been told anything."""
+        """Add the limits that haven't been sent to the receiver yet. ``own`` leaves
+        out what other processes reported, unless this is the first message to it."""
         update_filter = peer_stream.update_filter(
             "server limits", self._limits.version, own
         )
@@ -85,7 +87,7 @@
             message_codec.add_server_limit(update, limit, now)
 
     def take(self, update: Update, peer_stream: PeerStream) -> None:
-        """Take in what a peer tells."""
+        """Apply the limits in a peer's message."""
         now = self._clock()
         for message in update.server_limits:
             self._apply(message_codec.server_limit_of(message, now), peer_stream.peer)
