--- a/tests/gateway/failures/test_connections.py
+++ b/tests/gateway/failures/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers that go silent or are closed while idle."""
+"""Connections to backend servers that are silent, closed while idle or abandoned."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 class Case(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
-        self.extra = b""
+        self.extra_headers = b""
         self.writers = []
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         port = self.server.sockets[0].getsockname()[1]
@@ -32,9 +32,9 @@
     async def serve(self, reader, writer):
         self.writers.append(writer)
         while await reader.read(1000):
-            writer.write(ANSWER + self.extra + b"\r\nok")
+            writer.write(ANSWER + self.extra_headers + b"\r\nok")
 
-    async def use(self, now=0.0):
+    async def make_call(self, now=0.0):
         conn = await self.pool.acquire(now, 1.0)
         conn.send(REQUEST, b"")
         await conn.head(lambda head: False)
@@ -45,35 +45,35 @@
 
 class TestReusedConnections(Case):
     async def test_a_connection_is_reused_within_its_idle_timeout(self):
-        first, body = await self.use(0.0)
+        first, body = await self.make_call(0.0)
         self.assertEqual(body, b"ok")
-        second, _ = await self.use(0.1)
+        second, _ = await self.make_call(0.1)
         self.assertIs(second, first)
 
     async def test_a_connection_is_not_reused_close_to_its_idle_timeout(self):
-        """Symptom: a non-idempotent call ends with an unknown outcome now and then.
+        """Symptom: now and then the outcome of a non-idempotent call is unknown.
 
-        The backend server closes an idle connection at the moment at which a call is
-        sent on it, and nobody can tell whether the call was read.
+        The backend server closes an idle connection just as a call is sent on it, so it
+        can't be known whether the call was read.
         """
-        self.extra = b"keep-alive: timeout=5\r\n"
-        first, _ = await self.use(0.0)
-        second, _ = await self.use(2.9)
-        third, _ = await self.use(6.0)
+        self.extra_headers = b"keep-alive: timeout=5\r\n"
+        first, _ = await self.make_call(0.0)
+        second, _ = await self.make_call(2.9)
+        third, _ = await self.make_call(6.0)
         self.assertIs(second, first)
         self.assertIsNot(third, first)
 
     async def test_a_connection_marked_close_is_not_reused(self):
-        self.extra = b"connection: close\r\n"
-        first, _ = await self.use(0.0)
-        second, _ = await self.use(0.0)
+        self.extra_headers = b"connection: close\r\n"
+        first, _ = await self.make_call(0.0)
+        second, _ = await self.make_call(0.0)
         self.assertIsNot(second, first)
 
     async def test_a_connection_closed_while_idle_is_not_reused(self):
-        first, _ = await self.use(0.0)
+        first, _ = await self.make_call(0.0)
         self.writers[0].close()
         await asyncio.sleep(0.05)
-        second, _ = await self.use(0.1)
+        second, _ = await self.make_call(0.1)
         self.assertIsNot(second, first)
 
 
@@ -81,31 +81,31 @@
     async def test_the_kernel_detects_a_silent_peer(self):
         """Symptom: calls hang until their deadline on connections that look open.
 
-        The path was cut while the connection was idle; no reset ever comes.
+        The network path was cut while the connection was idle, so no reset arrives.
         """
-        conn, _ = await self.use()
+        conn, _ = await self.make_call()
         sock = conn._transport.get_extra_info("socket")
         self.assertEqual(sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE), 1)
-        option = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
-        self.assertGreater(option, 0)
+        user_timeout_ms = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
+        self.assertGreater(user_timeout_ms, 0)
 
 
 class TestAbandonedCalls(unittest.IsolatedAsyncioTestCase):
     async def test_an_abandoned_call_resets_its_connection(self):
         """Symptom: a backend server gets a call six seconds after its caller left.
 
-        The path to it was cut when the call was sent. The caller leaves, the connection
-        is closed in the ordinary way, and the kernel delivers what it still holds once
-        the path is whole.
+        The network path was cut when the call was sent. After the caller had left, the
+        connection was closed without a reset, so the kernel still delivered the data in
+        its send buffer once the path was restored.
         """
-        ended = asyncio.get_running_loop().create_future()
+        second_read = asyncio.get_running_loop().create_future()
 
         async def serve(reader, writer):
             await reader.read(1000)
             try:
-                ended.set_result(await reader.read(1000))
+                second_read.set_result(await reader.read(1000))
             except ConnectionError as exc:
-                ended.set_result(exc)
+                second_read.set_result(exc)
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
@@ -119,7 +119,7 @@
         conn.send(REQUEST, b"")
         await asyncio.sleep(0.05)
         pool.discard(conn)
-        self.assertIsInstance(await ended, ConnectionResetError)
+        self.assertIsInstance(await second_read, ConnectionResetError)
         server.close()
 
 
@@ -132,7 +132,7 @@
 
     async def test_a_truncated_answer_raises_connection_lost(self):
         conn = await self.pool.acquire(0.0, 1.0)
-        self.extra = b"transfer-encoding: chunked\r\n"
+        self.extra_headers = b"transfer-encoding: chunked\r\n"
         conn.send(REQUEST, b"")
         with self.assertRaises(ConnectionLost):
             await conn.head(lambda head: False)
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -1,4 +1,4 @@
-"""An entry's view of several services of engines."""
+"""An entry's totals of demand and its plans for services of engines."""
 
 import unittest
 from unittest import mock
@@ -31,7 +31,7 @@
 
 
 class FakeGatewayState:
-    """GatewayState without a store: two services, an engine each."""
+    """A gateway state without a store: two services with an engine each."""
 
     batch_delay_s = 0.6
 
@@ -49,7 +49,7 @@
         self.fleet.registry_changed(0.0, registration("b2", "judge"))
 
 
-def told(instance, demands):
+def agent_update(instance, demands):
     update = pb.ResidencyUpdate(sender=f"agent-of-{instance}")
     update.engine.CopyFrom(message_codec.engine_message(engine_state(instance)))
     update.total_demand.extend(message_codec.demand_messages(demands))
@@ -60,15 +60,15 @@
     def test_the_demand_for_one_service_does_not_replace_that_for_the_other(self):
         """Symptom: with two services of engines, loads for the one stop and start.
 
-        Agents of both tell the total demand, each for its own service. An entry kept
-        one table for all: each agent's word wiped out what the other service's agents
-        had said, so plans were made on whichever spoke last.
+        Agents of both report the total demand, each for its own service. An entry kept
+        one table for all services, so each report replaced those of the other service's
+        agents, and plans were made from the last one.
         """
         engines = Engines(
             App(), FakeGatewayState(), None, None, 7, samples.allocator_client()
         )
-        engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
-        engines.received(told("b2", {"critic": Demand(rate=1.0)}))
+        engines.received(agent_update("b1", {"poet": Demand(rate=3.0, waiting=2)}))
+        engines.received(agent_update("b2", {"critic": Demand(rate=1.0)}))
         self.assertEqual(engines.plans.total_demands("tutor", {})["poet"].waiting, 2)
         self.assertNotIn("critic", engines.plans.total_demands("tutor", {}))
         self.assertEqual(engines.plans.total_demands("judge", {})["critic"].rate, 1.0)
@@ -77,7 +77,7 @@
         engines = Engines(
             App(), FakeGatewayState(), None, None, 7, samples.allocator_client()
         )
-        engines.received(told("b1", {"poet": Demand(rate=3.0, waiting=2)}))
+        engines.received(agent_update("b1", {"poet": Demand(rate=3.0, waiting=2)}))
         merged = engines.plans.total_demands(
             "tutor", {"poet": Demand(rate=1.0, waiting=5)}
         )
@@ -85,11 +85,11 @@
 
 
 class TestPlansOfAnEntry(unittest.TestCase):
-    """Symptom: an entry takes a tenth of a core and more for plans that nobody uses.
+    """Symptom: an entry uses a tenth of a core and more for plans that nobody uses.
 
-    Calls for a model wait somewhere nearly always, and while they do, each of 32
-    entries made the plan twenty times a second. Of them all, only those with a waiting
-    call, and the one that sees to the model, ask for anything.
+    Calls for a model are waiting somewhere nearly always, and meanwhile each of 32
+    entries made a plan twenty times per second. Only those with a waiting call and the
+    planner responsible for the model request loads.
     """
 
     def setUp(self):
@@ -101,11 +101,11 @@
             self.app, self.gateway_state, None, None, 7, samples.allocator_client()
         )
         self.plans = []
-        made = Planner.plan
+        original_plan = Planner.plan
 
         def plan(planner, now, backends, demands):
             self.plans.append(now)
-            return made(planner, now, backends, demands)
+            return original_plan(planner, now, backends, demands)
 
         patched = mock.patch.object(Planner, "plan", plan)
         patched.start()
@@ -114,56 +114,56 @@
         self.timers = TimerService()
         self.engines.plans._scheduler.start(self.timers, 10.0)
 
-    def told(self, model, among):
-        update = told("b1", {model: Demand(rate=3.0, waiting=2)})
-        update.entries.extend(among)
+    def report_demand(self, model, entries):
+        update = agent_update("b1", {model: Demand(rate=3.0, waiting=2)})
+        update.entries.extend(entries)
         self.engines.received(update)
 
-    def count_plans(self, count):
-        """How many plans are made in so many beats, which aren't enough to be idle."""
+    def count_plans(self, intervals):
+        """Returns how many plans are made in this many plan intervals, which are fewer
+        than after which an idle entry makes one."""
         before = len(self.plans)
-        for _ in range(count):
+        for _ in range(intervals):
             self.app.time += PLAN_INTERVAL_S
             self.timers.advance(self.app.time)
         return len(self.plans) - before
 
     def entries_with_other_planner(self):
-        """Entries of which another sees to the model and to the weight store."""
+        """Returns a model and entries of which another one is the responsible planner
+        for the model and for the weight store."""
         for number in range(9999):
             model, other = f"m{number}", f"other-{number}"
             names = ("entry-1", other)
-            seen_to = (model, "weight store of tutor")
-            if all(responsible_planner(name, names) == other for name in seen_to):
+            subjects = (model, "weight store of tutor")
+            if all(responsible_planner(name, names) == other for name in subjects):
                 return model, names
         raise AssertionError("no entry that sees to a model and to the weight store")
 
     def test_an_entry_that_requests_nothing_plans_only_when_idle(self):
         model, names = self.entries_with_other_planner()
-        self.told(model, names)
+        self.report_demand(model, names)
         self.engines.plans.make_plans(self.app.time)
         self.assertEqual(self.count_plans(3), 0)
         self.app.time += IDLE_PLAN_INTERVAL_S
         self.assertEqual(self.count_plans(1), 1)
 
     def entries_without_planning(self):
-        """Entries of which this one sees to no model."""
+        """Returns entries among which this one is no planner of any model."""
         for first in range(99):
-            entries_with_other_planner = tuple(
-                f"other-{number}" for number in range(first, first + 20)
-            )
-            names = ("entry-1", *entries_with_other_planner)
+            others = tuple(f"other-{number}" for number in range(first, first + 20))
+            names = ("entry-1", *others)
             if "entry-1" not in rendezvous.ranked("planner", names)[:4]:
                 return names
         raise AssertionError("no entries among which this one isn't a planner")
 
     def test_an_entry_that_is_no_planner_makes_no_plans(self):
-        """Symptom: the more entries, the more plans that nobody acts on.
+        """Symptom: the more entries there are, the more plans are made for nothing.
 
-        Each of 68 entries saw to a few models, and so all of them made the plan of all
-        models four times a second, also without a call of their own that waited: more
-        than the calls and their events took.
+        Each of 68 entries was responsible for a few models, so all of them made the
+        plan of all models four times per second, even without a waiting call of their
+        own. That took more processor time than the calls and their events.
         """
-        self.told("poet", self.entries_without_planning())
+        self.report_demand("poet", self.entries_without_planning())
         before = len(self.plans)
         for _ in range(4):
             self.app.time += IDLE_PLAN_INTERVAL_S
@@ -171,20 +171,20 @@
         self.assertEqual(len(self.plans) - before, 0)
 
     def test_an_entry_that_makes_no_plans_reports_its_demand(self):
-        self.told("poet", self.entries_without_planning())
+        self.report_demand("poet", self.entries_without_planning())
         self.engines.plans.demand("tutor").asked(self.app.time, "critic")
         self.app.time += IDLE_PLAN_INTERVAL_S
         self.timers.advance(self.app.time)
         self.assertIn("critic", self.engines.plans.own_demands("tutor"))
 
     def test_the_responsible_planner_plans_at_each_interval(self):
-        self.told("poet", ("entry-1",))
+        self.report_demand("poet", ("entry-1",))
         self.engines.plans.make_plans(self.app.time)
         self.assertEqual(self.count_plans(3), 3)
 
     def test_an_entry_with_a_waiting_call_plans_at_each_interval(self):
         model, names = self.entries_with_other_planner()
-        self.told(model, names)
+        self.report_demand(model, names)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").begin_waiting(self.app.time, "poet")
         self.assertEqual(self.count_plans(3), 3)
@@ -193,8 +193,8 @@
         """Symptom: with 39 engines and 186 models an entry that refuses a call now and
         then spends a tenth of a core on plans.
 
-        Refused callers count as waiting until they are due back, and while they do the
-        plan was made twenty times a second, whatever it took to make.
+        Refused callers count as waiting until they are expected back, and meanwhile the
+        plan was made twenty times per second, however long it took to make.
         """
         models = [samples.model(f"m{number}") for number in range(186)]
         spec = samples.engine(samples.model("poet"), *models)
@@ -213,14 +213,14 @@
 
     def test_an_entry_that_expects_refused_callers_plans_at_each_interval(self):
         model, names = self.entries_with_other_planner()
-        self.told(model, names)
+        self.report_demand(model, names)
         self.engines.plans.demand("tutor").asked(self.app.time, "poet")
         self.engines.plans.demand("tutor").refused(self.app.time, "poet", 3.0)
         self.engines.plans.make_plans(self.app.time)
         self.assertEqual(self.count_plans(3), 3)
 
     def test_a_call_gets_a_current_plan(self):
-        self.engines.received(told("b1", {}))
+        self.engines.received(agent_update("b1", {}))
         demand = self.engines.plans.demand("tutor")
         demand.asked(self.app.time, "poet")
         demand.begin_waiting(self.app.time, "poet")
@@ -244,11 +244,11 @@
         self.assertEqual(len(self.plans) - before, 1)
 
     def test_a_further_call_for_an_unplanned_model_causes_a_new_plan(self):
-        """Symptom: calls are refused one after the other, though together they are
-        worth a load.
+        """Symptom: calls are refused one after the other, though together they justify
+        a load.
 
-        A plan that had left a model out while one refused caller was due back held for
-        all further calls, and such a plan was at hand nearly always.
+        A plan that left a model out while one refused caller was expected back was used
+        for all further calls as well, and there was such a plan nearly always.
         """
         demand = self.engines.plans.demand("tutor")
         demand.asked(self.app.time, "unheard")
--- a/tests/gateway/failures/test_event_log.py
+++ b/tests/gateway/failures/test_event_log.py
@@ -1,4 +1,4 @@
-"""The log when nobody reads it, and when there is too much to say."""
+"""The event log when its reader stalls and when there are too many lines."""
 
 import json
 import os
@@ -46,7 +46,7 @@
     def test_a_stalled_reader_does_not_block_the_process(self):
         """Symptom: all calls stop when the log collector hangs.
 
-        The pipe to it is full, and the process waits for room in it.
+        The pipe to it is full, and the process blocks on writing to it.
         """
         events = EventLog("i-1", self.writer, per_s=1e9)
         for number in range(20_000):
@@ -74,7 +74,7 @@
     def test_failures_are_buffered_when_successes_are_dropped(self):
         """Symptom: after a hang of the collector the failures of that time are missing.
 
-        The buffer is full of lines about what went well.
+        The buffer is full of lines about successes.
         """
         events = EventLog("i-1", self.writer, per_s=1e9)
         for number in range(20_000):
@@ -85,9 +85,9 @@
 
     def test_listeners_receive_dropped_lines(self):
         events = EventLog("i-1", self.writer, per_s=5)
-        heard = []
-        events.on_line(heard.append)
+        received = []
+        events.on_line(received.append)
         for _ in range(50):
             events.emit(PeerHeard("10.0.0.1:7"))
-        self.assertEqual(len(heard), 50)
+        self.assertEqual(len(received), 50)
         self.assertGreater(events.dropped["peer_heard"], 30)
