--- a/tests/gateway/cover/test_attempts.py
+++ b/tests/gateway/cover/test_attempts.py
@@ -64,7 +64,7 @@
         self.assertEqual(decision, Refusal(RefusalReason.OUTCOME_UNKNOWN))
         self.assertEqual(decision.status, 502)
 
-    def test_nor_is_a_stream_that_cannot_be_resumed(self):
+    def test_a_stream_that_cannot_be_resumed_is_not_sent_again(self):
         decision = decide(
             CallKind.STREAM, AttemptOutcome.UNKNOWN, sent(may_have_run=True)
         )
--- a/tests/gateway/cover/test_config.py
+++ b/tests/gateway/cover/test_config.py
@@ -56,7 +56,7 @@
         route = samples.route(CallKind.STREAM, target_s=0.25, max_event_gap_s=0.2)
         self.assertEqual(route.event_timeout_s, 2.0)
 
-    def test_other_calls_have_none(self):
+    def test_other_calls_have_no_event_timeout(self):
         self.assertIsNone(samples.route().event_timeout_s)
 
 
--- a/tests/gateway/cover/test_crash_ledger.py
+++ b/tests/gateway/cover/test_crash_ledger.py
@@ -34,7 +34,7 @@
     return CrashVerdict.CRASHED
 
 
-class Case(unittest.TestCase):
+class LedgerTestCase(unittest.TestCase):
     def setUp(self):
         self.ledger = CrashLedger()
 
@@ -61,8 +61,8 @@
         self.assertEqual(found, set(names))
 
 
-class TestQuarantine(Case):
-    def test_begins_with_the_third_crash(self):
+class TestQuarantine(LedgerTestCase):
+    def test_quarantine_begins_with_the_third_crash(self):
         for number in range(2):
             self.assertEqual(self.crash(number, "p"), [])
             self.assert_quarantined()
@@ -75,7 +75,7 @@
             self.crash(1, "p")
         self.assert_quarantined()
 
-    def test_ends_a_while_after_the_last_crash(self):
+    def test_quarantine_ends_a_while_after_the_last_crash(self):
         for number in range(3):
             self.crash(number, "p")
         self.assertIs(self.decision("p", QUARANTINE_S), AdmissionDecision.QUARANTINED)
@@ -85,7 +85,7 @@
             self.decision("p", 2.0 + QUARANTINE_S), AdmissionDecision.ADMITTED
         )
 
-    def test_is_forgotten_with_its_crashes(self):
+    def test_quarantine_is_forgotten_with_its_crashes(self):
         for number in range(3):
             self.crash(number, "p")
         self.ledger.forget(RETENTION_S + 3)
@@ -101,8 +101,8 @@
         self.assertEqual(len(self.ledger._runs), MAX_REQUESTS)
 
 
-class TestSoundRequests(Case):
-    def test_one_that_completes_is_cleared_for_good(self):
+class TestSoundRequests(LedgerTestCase):
+    def test_a_request_that_completes_is_cleared_for_good(self):
         self.crash(1, "s")
         self.crash(2, "s")
         self.assertEqual(self.ledger.completed("s"), 2)
@@ -110,7 +110,7 @@
             self.crash(number, "s")
         self.assert_quarantined()
 
-    def test_one_that_has_completed_before_its_crashes_is_not_suspected(self):
+    def test_a_request_that_completed_before_its_crashes_is_not_suspected(self):
         self.ledger.completed("s")
         for number in range(3):
             self.crash(number, "s")
@@ -122,7 +122,7 @@
             self.crash(number, "p", "s" if number < 3 else "t")
         self.assert_quarantined("p")
 
-    def test_one_that_was_quarantined_by_mistake_is_released(self):
+    def test_a_request_that_was_quarantined_by_mistake_is_released(self):
         for number in range(2):
             self.crash(number, "p", "z")
         self.crash(2, "z")
@@ -145,7 +145,7 @@
         self.assertIs(self.decision("s"), AdmissionDecision.ADMITTED)
 
 
-class TestStagger(Case):
+class TestStagger(LedgerTestCase):
     def test_requests_that_share_two_crashes_run_one_after_the_other(self):
         for number in range(2):
             self.crash(number, "a", "b", "c", at=0.0)
@@ -168,7 +168,7 @@
         self.assertIs(self.decision("p"), AdmissionDecision.QUARANTINED)
 
 
-class TestUpdates(Case):
+class TestUpdates(LedgerTestCase):
     def test_what_a_peer_reported_is_not_sent_back(self):
         self.ledger.run_lost(lost("p", 1), source="e1")
         self.ledger.run_lost(lost("q", 1))
@@ -213,15 +213,15 @@
 class TestCrashVerdict(unittest.TestCase):
     """The registry and the agent show whether a backend server crashed or survived."""
 
-    def begin(self, started_ms=5):
+    def register_and_lose_run(self, started_ms=5):
         self.started_ms = started_ms
         self.fleet = Fleet()
         self.fleet.registry_changed(0.0, registration("b1", started_ms=started_ms))
-        self.run_ = LostRun("p", Incarnation("b1", started_ms), False, 10.0)
+        self.lost_run = LostRun("p", Incarnation("b1", started_ms), False, 10.0)
         self.before = CrashVerdict.UNDECIDED
 
     def verdict(self, now):
-        self.before = crash_verdict(now, self.run_, self.before, self.fleet)
+        self.before = crash_verdict(now, self.lost_run, self.before, self.fleet)
         return self.before
 
     def agent_reports(self, now, **fields):
@@ -229,7 +229,7 @@
         self.fleet.engine_reported(now, state)
 
     def test_another_start_or_none_means_that_it_crashed(self):
-        self.begin()
+        self.register_and_lose_run()
         self.assertIs(self.verdict(10.0), CrashVerdict.UNDECIDED)
         self.fleet.registry_changed(11.0, registration("b1", started_ms=6))
         self.assertIs(self.verdict(11.0), CrashVerdict.CRASHED)
@@ -237,7 +237,7 @@
         self.assertIs(self.verdict(12.0), CrashVerdict.CRASHED)
 
     def test_an_engine_that_answers_again_in_the_same_start_was_only_busy(self):
-        self.begin()
+        self.register_and_lose_run()
         self.agent_reports(10.1, silent=True)
         self.assertIs(self.verdict(10.1), CrashVerdict.CRASHED)
         self.agent_reports(10.5, silent=False)
@@ -245,20 +245,20 @@
         self.agent_reports(10.1 + AGENT_DETECTION_S)
         self.assertIs(self.verdict(10.1 + AGENT_DETECTION_S), CrashVerdict.SURVIVED)
 
-    def test_one_that_answers_again_in_an_unknown_start_has_crashed(self):
-        self.begin(started_ms=None)
+    def test_an_engine_that_answers_again_in_an_unknown_start_has_crashed(self):
+        self.register_and_lose_run(started_ms=None)
         self.agent_reports(10.1, silent=True)
         self.assertIs(self.verdict(10.1), CrashVerdict.CRASHED)
         self.agent_reports(13.6, silent=False)
         self.assertIs(self.verdict(13.6), CrashVerdict.CRASHED)
 
     def test_a_report_from_before_the_run_was_lost_proves_nothing(self):
-        self.begin()
+        self.register_and_lose_run()
         self.agent_reports(10.0)
         self.assertIs(self.verdict(10.1 + AGENT_DETECTION_S), CrashVerdict.UNDECIDED)
 
     def test_without_an_agent_the_registration_has_to_outlive_its_heartbeats(self):
-        self.begin()
+        self.register_and_lose_run()
         self.assertIs(self.verdict(10.0 + REGISTRY_DETECTION_S), CrashVerdict.UNDECIDED)
         self.assertIs(self.verdict(10.1 + REGISTRY_DETECTION_S), CrashVerdict.SURVIVED)
 
@@ -266,7 +266,7 @@
 BAD, NEIGHBOUR, COMMON = map(part_name, ("bad", "neighbour", "common"))
 
 
-class TestParts(Case):
+class TestParts(LedgerTestCase):
     """Requests that all differ may share a part that crashes backend servers.
 
     Each of them counts a single crash, so the crashes are counted by part as well.
@@ -325,7 +325,7 @@
         self.assertIs(self.call_decision("r9", BAD), AdmissionDecision.QUARANTINED)
         self.assertIs(self.call_decision("r9", NEIGHBOUR), AdmissionDecision.ADMITTED)
 
-    def test_one_that_produces_events_first_is_quarantined_after_six_crashes(self):
+    def test_a_part_that_produces_events_first_is_quarantined_after_six_crashes(self):
         for number in range(5):
             self.crash(number, BAD, progressed=(BAD,))
         self.assert_quarantined()
--- a/tests/gateway/cover/test_demand_collection.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -25,7 +25,7 @@
 
 
 class TestCollectors(unittest.TestCase):
-    def test_all_entries_choose_the_same_few(self):
+    def test_all_entries_choose_the_same_collectors(self):
         chosen = collectors("tutor", HOSTS)
         self.assertEqual(len(chosen), 2)
         self.assertEqual(chosen, collectors("tutor", reversed(HOSTS)))
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -49,12 +49,12 @@
 
     def test_models_that_they_hold_do_not_count_as_held(self):
         app = App("e1")
-        knowledge = FakeGatewayState(app)
-        knowledge.fleet.engine_reported(app.at, samples.engine_state("b1", ["m1"]))
-        plans = EnginePlans(app, knowledge, lambda backend, load_request: True)
+        gateway_state = FakeGatewayState(app)
+        gateway_state.fleet.engine_reported(app.at, samples.engine_state("b1", ["m1"]))
+        plans = EnginePlans(app, gateway_state, lambda backend, load_request: True)
         plans.demand(SERVICE).asked(app.at, "m1")
         self.assertEqual(plans.own_demands(SERVICE)["m1"].holders, 1)
-        knowledge.fleet.get("b1").mark_unreachable(app.at)
+        gateway_state.fleet.get("b1").mark_unreachable(app.at)
         app.at += AGENT_TIMEOUT_S + 0.1
         demand = plans.own_demands(SERVICE)["m1"]
         self.assertEqual((demand.holders, demand.copies), (0, 0))
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -15,7 +15,7 @@
     def names(self):
         return [backend.instance for backend in self.fleet.of_service("plain")]
 
-    def test_a_leaving_one_gets_no_calls(self):
+    def test_a_leaving_backend_server_gets_no_calls(self):
         leaving = samples.registration(leaving=True, revision=2)
         self.fleet.registry_changed(1.0, leaving)
         self.assertEqual(self.names(), [])
@@ -35,7 +35,7 @@
         self.fleet.registry_changed(1.1, samples.registration(revision=3))
         self.assertEqual(self.names(), [])
 
-    def test_a_removed_one_is_gone_at_once(self):
+    def test_a_removed_backend_server_is_forgotten_at_once(self):
         self.fleet.registry_removed(1.0, "b1")
         self.assertIsNone(self.fleet.get("b1"))
 
@@ -51,14 +51,17 @@
 
     def setUp(self):
         self.fleet = Fleet()
-        self.ended = samples.registration("b1", address="10.0.0.1:80", revision=7)
-        self.begun = samples.registration("b2", address="10.0.0.1:80", revision=9)
+        self.ended_start = samples.registration("b1", address="10.0.0.1:80", revision=7)
+        self.new_start = samples.registration("b2", address="10.0.0.1:80", revision=9)
 
     def names(self):
         return [backend.instance for backend in self.fleet.of_service("plain")]
 
     def test_only_the_last_start_counts_in_whatever_order_they_are_listed(self):
-        for order in ((self.ended, self.begun), (self.begun, self.ended)):
+        for order in (
+            (self.ended_start, self.new_start),
+            (self.new_start, self.ended_start),
+        ):
             self.fleet = Fleet()
             for record in order:
                 self.fleet.registry_changed(0.0, record)
@@ -69,12 +72,12 @@
         record = samples.registration(
             "b2", service="other", address="10.0.0.1:80", revision=9
         )
-        self.fleet.registry_changed(0.0, self.ended)
+        self.fleet.registry_changed(0.0, self.ended_start)
         self.fleet.registry_changed(1.0, record)
         self.assertEqual(self.names(), [])
 
     def test_the_earlier_start_counts_again_if_the_last_one_is_removed(self):
-        for record in (self.ended, self.begun):
+        for record in (self.ended_start, self.new_start):
             self.fleet.registry_changed(0.0, record)
         self.fleet.registry_removed(1.0, "b2")
         self.assertEqual(self.names(), ["b1"])
@@ -93,23 +96,23 @@
         self.fleet.registry_changed(0.0, samples.registration())
         self.fleet.store_returned(10.0)
 
-    def test_one_that_is_missing_right_after_the_return_is_kept_for_a_while(self):
+    def test_a_backend_server_missing_after_the_recovery_is_kept_for_a_while(self):
         self.fleet.registry_listed(10.0, [])
         self.assertEqual(self.fleet.sweep(10.0 + EXPIRY_GRACE_S - 0.1), [])
         self.assertEqual(len(self.fleet.of_service("plain")), 1)
 
-    def test_one_that_is_back_stays(self):
+    def test_a_backend_server_that_registers_again_stays(self):
         self.fleet.registry_listed(10.0, [])
         self.fleet.registry_changed(11.0, samples.registration(revision=9))
         self.assertEqual(self.fleet.sweep(10.0 + EXPIRY_GRACE_S), [])
         self.assertEqual(len(self.fleet.of_service("plain")), 1)
 
-    def test_one_that_stays_missing_is_gone(self):
+    def test_a_backend_server_that_stays_missing_is_removed(self):
         self.fleet.registry_listed(10.0, [])
         self.assertEqual(self.fleet.sweep(10.0 + EXPIRY_GRACE_S), ["b1"])
         self.assertIsNone(self.fleet.get("b1"))
 
-    def test_one_that_was_leaving_is_not_kept(self):
+    def test_a_backend_server_that_was_leaving_is_not_kept(self):
         self.fleet.registry_changed(9.0, samples.registration(leaving=True, revision=2))
         self.fleet.registry_listed(10.0, [])
         self.assertIsNone(self.fleet.get("b1"))
@@ -126,14 +129,14 @@
         self.assertFalse(backend.accepts_orders(60.0))
         self.assertIn("tutor", backend.holdings)
 
-    def test_the_load_figures_of_a_silent_agent_do_not(self):
+    def test_the_load_figures_of_a_silent_agent_expire(self):
         state = samples.engine_state(holdings=["tutor"], running=9)
         self.fleet.engine_reported(1.0, state)
         backend = self.fleet.get("b1")
         self.assertEqual(backend.occupied(1.5), 9)
         self.assertEqual(backend.occupied(60.0), 0)
 
-    def test_an_engine_that_is_silent_and_whose_agent_is_too_is_lost(self):
+    def test_an_engine_is_lost_if_its_agent_is_silent_as_well(self):
         """Symptom: for seconds after an instance's power loss, calls for its models
         are sent to it, and no other engine loads them.
 
--- a/tests/gateway/cover/test_health.py
+++ b/tests/gateway/cover/test_health.py
@@ -12,7 +12,7 @@
             for _ in range(20):
                 self.health.succeeded(0.0, name, 0.02)
 
-    def test_one_that_fails_more_than_the_others_costs_more(self):
+    def test_a_backend_server_that_fails_more_than_others_costs_more(self):
         for _ in range(5):
             self.health.failed(0.0, "a")
         self.assertGreater(self.health.cost(0.0, "a"), 1.0)
@@ -29,12 +29,12 @@
             self.health.failed(0.0, "a")
         self.assertLess(self.health.cost(20.0, "a"), self.health.cost(0.0, "a"))
 
-    def test_a_slow_one_costs_more(self):
+    def test_a_slow_backend_server_costs_more(self):
         for _ in range(30):
             self.health.succeeded(0.0, "a", 0.2)
         self.assertGreater(self.health.cost(0.0, "a"), 0.5)
 
-    def test_an_unreachable_one_is_avoided_longer_each_time(self):
+    def test_an_unreachable_backend_server_is_avoided_longer_each_time(self):
         self.health.unreachable(0.0, "a")
         self.assertTrue(self.health.is_avoided(0.3, "a"))
         self.assertFalse(self.health.is_avoided(0.5, "a"))
--- a/tests/gateway/cover/test_initial_discovery.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -26,55 +26,65 @@
     def setUp(self):
         self.discovery = InitialDiscovery()
 
-    def is_over(self, now, *backends):
+    def is_complete_after(self, now, *backends):
         return self.discovery.is_complete(now, backends, QUIET_S)
 
     def test_it_lasts_while_engines_appear(self):
-        self.assertFalse(self.is_over(0.0, reported_backend("b1")))
+        self.assertFalse(self.is_complete_after(0.0, reported_backend("b1")))
         self.assertFalse(
-            self.is_over(0.9, reported_backend("b1"), reported_backend("b2"))
+            self.is_complete_after(0.9, reported_backend("b1"), reported_backend("b2"))
         )
         self.assertFalse(
-            self.is_over(1.8, reported_backend("b1"), reported_backend("b2"))
+            self.is_complete_after(1.8, reported_backend("b1"), reported_backend("b2"))
         )
         self.assertTrue(
-            self.is_over(2.0, reported_backend("b1"), reported_backend("b2"))
+            self.is_complete_after(2.0, reported_backend("b1"), reported_backend("b2"))
         )
 
     def test_a_late_report_of_a_listed_engine_does_not_prolong_it(self):
         """Otherwise the first load from the store started seconds too late."""
         silent = samples.backend("b2")
-        self.assertFalse(self.is_over(0.0, reported_backend("b1"), silent))
-        self.assertFalse(self.is_over(QUIET_S - 0.1, reported_backend("b1"), silent))
+        self.assertFalse(self.is_complete_after(0.0, reported_backend("b1"), silent))
+        self.assertFalse(
+            self.is_complete_after(QUIET_S - 0.1, reported_backend("b1"), silent)
+        )
         self.assertTrue(
-            self.is_over(QUIET_S, reported_backend("b1"), reported_backend("b2"))
+            self.is_complete_after(
+                QUIET_S, reported_backend("b1"), reported_backend("b2")
+            )
         )
 
     def test_it_lasts_until_each_engine_reported_but_not_for_ever(self):
         silent = samples.backend("b2")
-        self.assertFalse(self.is_over(0.0, reported_backend("b1"), silent))
+        self.assertFalse(self.is_complete_after(0.0, reported_backend("b1"), silent))
         self.assertFalse(
-            self.is_over(MAX_STALL_S - 0.1, reported_backend("b1"), silent)
+            self.is_complete_after(MAX_STALL_S - 0.1, reported_backend("b1"), silent)
+        )
+        self.assertTrue(
+            self.is_complete_after(MAX_STALL_S, reported_backend("b1"), silent)
         )
-        self.assertTrue(self.is_over(MAX_STALL_S, reported_backend("b1"), silent))
 
     def test_engines_that_come_and_go_do_not_prolong_it_for_ever(self):
         """While engines crashed and restarted nothing was loaded from the store."""
         now, both = 0.0, (reported_backend("b1"), reported_backend("b2"))
         while now < MAX_DISCOVERY_S - 0.1:
-            self.assertFalse(self.is_over(now, *both[: 1 + round(now * 2) % 2]))
+            self.assertFalse(
+                self.is_complete_after(now, *both[: 1 + round(now * 2) % 2])
+            )
             now += 0.5
-        self.assertTrue(self.is_over(MAX_DISCOVERY_S, *both))
+        self.assertTrue(self.is_complete_after(MAX_DISCOVERY_S, *both))
 
     def test_it_lasts_until_an_engine_is_listed(self):
-        self.assertFalse(self.is_over(0.0))
-        self.assertFalse(self.is_over(QUIET_S + 0.1))
+        self.assertFalse(self.is_complete_after(0.0))
+        self.assertFalse(self.is_complete_after(QUIET_S + 0.1))
 
-    def test_once_over_it_stays_over(self):
-        self.is_over(0.0, reported_backend("b1"))
-        self.is_over(QUIET_S, reported_backend("b1"))
+    def test_once_complete_it_stays_complete(self):
+        self.is_complete_after(0.0, reported_backend("b1"))
+        self.is_complete_after(QUIET_S, reported_backend("b1"))
         self.assertTrue(
-            self.is_over(QUIET_S + 0.1, reported_backend("b1"), samples.backend("b2"))
+            self.is_complete_after(
+                QUIET_S + 0.1, reported_backend("b1"), samples.backend("b2")
+            )
         )
 
 
@@ -103,7 +113,7 @@
         self.changed = ChangeNotifier()
         self.fleet = Fleet()
 
-    def list(self, now, name, address):
+    def register(self, now, name, address):
         record = samples.registration(name, SERVICE, address)
         self.fleet.registry_changed(now, record)
 
@@ -118,31 +128,31 @@
     """
 
     def setUp(self):
-        self.app, self.knowledge, self.load_requests = App(), FakeGatewayState(), []
+        self.app, self.gateway_state, self.load_requests = App(), FakeGatewayState(), []
         self.plans = EnginePlans(
             self.app,
-            self.knowledge,
+            self.gateway_state,
             lambda backend, load_request: self.load_requests.append(load_request.model),
         )
         self.plans.entries = ("e1",)
-        self.knowledge.list(self.app.at, "b1", "10.0.0.1:1")
+        self.gateway_state.register(self.app.at, "b1", "10.0.0.1:1")
         self.report("b1")
 
     def report(self, name, **fields):
-        self.knowledge.fleet.engine_reported(
+        self.gateway_state.fleet.engine_reported(
             self.app.at, samples.engine_state(name, **fields)
         )
 
     def run_for(self, seconds):
         for _ in range(round(seconds / STEP_S)):
             self.app.at += STEP_S
-            for backend in self.knowledge.fleet:
+            for backend in self.gateway_state.fleet:
                 backend.last_received_at = self.app.at
             self.plans.make_plans(self.app.at)
 
     def test_a_model_is_not_prefetched_if_its_copy_is_reported_later(self):
         self.run_for(0.4)
-        self.knowledge.list(self.app.at, "b2", "10.0.0.2:1")
+        self.gateway_state.register(self.app.at, "b2", "10.0.0.2:1")
         self.run_for(0.4)
         self.report("b2", on_disk=frozenset({"tutor"}))
         self.run_for(3.0)
--- a/tests/gateway/cover/test_meters.py
+++ b/tests/gateway/cover/test_meters.py
@@ -115,7 +115,7 @@
     async def asyncTearDown(self):
         await self.page.stop()
 
-    async def ask(self, data):
+    async def fetch(self, data):
         reader, writer = await asyncio.open_connection("127.0.0.1", self.page.port)
         writer.write(data)
         answer = await reader.read()
@@ -123,7 +123,7 @@
         return answer
 
     async def test_the_page_is_at_its_path(self):
-        answer = await self.ask(b"GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n")
+        answer = await self.fetch(b"GET /metrics HTTP/1.1\r\nhost: a\r\n\r\n")
         self.assertTrue(answer.startswith(b"HTTP/1.1 200 OK\r\n"), answer)
         self.assertTrue(answer.endswith(b"\r\n\r\nup 1\n"), answer)
 
@@ -134,7 +134,7 @@
             (b"\x16\x03\x01 nonsense\r\n\r\n", b"400"),
             (b"GET /metrics HTTP/1.1\r\nx: " + b"a" * 2 * MAX_HEAD_BYTES, b"431"),
         ):
-            answer = await self.ask(data)
+            answer = await self.fetch(data)
             self.assertEqual(answer.split(b" ")[1], status, data[:40])
 
     async def test_connections_without_a_request_do_not_pile_up(self):
--- a/tests/gateway/cover/test_overload.py
+++ b/tests/gateway/cover/test_overload.py
@@ -36,7 +36,7 @@
         self.assertEqual(self.overload.share, MAX_SHARE)
         self.assertFalse(self.overload.is_ready)
 
-    def test_it_ends_with_the_overload(self):
+    def test_rejection_ends_with_the_overload(self):
         self.ticks(40, 2 * BUSY_S)
         self.ticks(40, 0.0)
         self.assertEqual(self.overload.share, 0.0)
--- a/tests/gateway/cover/test_residency.py
+++ b/tests/gateway/cover/test_residency.py
@@ -240,9 +240,9 @@
         values = keep_values(("tutor", "poet"), due)
         rival, stronger = Demand(1.3, 8), Demand(1.3, 30)
         holdings = {"tutor": frozenset(), "poet": frozenset()}
-        for incoming, goes in ((rival, False), (stronger, True)):
+        for incoming, should_evict in ((rival, False), (stronger, True)):
             victims = choose_victims(self.spec, holdings, 20.0, {}, values, incoming)
-            self.assertEqual(victims is not None, goes, incoming)
+            self.assertEqual(victims is not None, should_evict, incoming)
 
     def test_a_busy_model_stays_in_a_moment_without_calls(self):
         """Symptom: a model with eight calls per second is evicted for a single caller,
--- a/tests/gateway/cover/test_store_permit_holder.py
+++ b/tests/gateway/cover/test_store_permit_holder.py
@@ -111,11 +111,11 @@
         self.assertIsNone(await third.request_load(store_permits=2))
 
     async def test_of_concurrent_attempts_one_gets_the_permit(self):
-        begun = []
+        attempts = []
         others = [Agent(self.kv, f"b{number}") for number in range(4)]
         for agent in others:
-            begun.append(asyncio.create_task(agent.request_load()))
-        orders = await asyncio.gather(*begun)
+            attempts.append(asyncio.create_task(agent.request_load()))
+        orders = await asyncio.gather(*attempts)
         self.assertEqual(len([order for order in orders if order is not None]), 1)
 
     async def test_the_permit_is_free_after_the_load(self):
@@ -125,8 +125,8 @@
         self.assertIsNotNone(await self.second.request_load("m2"))
 
     async def test_a_load_from_a_copy_needs_no_permit(self):
-        copied = report("a1", on_disk=frozenset({"m1"}))
-        self.first.book.reported(self.first.app.at, copied)
+        report_with_copy = report("a1", on_disk=frozenset({"m1"}))
+        self.first.book.reported(self.first.app.at, report_with_copy)
         self.assertIsNotNone(await self.first.request_load())
         self.assertEqual(self.held(), [])
 
@@ -185,7 +185,7 @@
             agent.holder.acquire(agent.app.at)
         return None
 
-    async def test_it_does_so_though_the_load_request_is_not_repeated(
+    async def test_a_load_without_a_permit_needs_no_repeated_request(
         self,
     ):
         """The entry sees the load as planned and doesn't repeat its request; the store
