--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -151,7 +151,7 @@
         attempt.mark_not_run()
         if answer_kind is AnswerKind.MISDIRECTED and call.ask is not None:
             backend.record_denial(context.clock(), call.ask.model, call.ask.adapter)
-        self.failed(backend)
+        self.record_failure(backend)
         return True
 
     def _record_limit(
@@ -171,18 +171,18 @@
         elif answer_kind is AnswerKind.ANSWER and 200 <= head.status < 300:
             limits.record_no_limit(backend, attempt.sent_at_clock)
 
-    def lost(self, attempt: Attempt, exc: ConnectionLost) -> None:
+    def record_lost_answer(self, attempt: Attempt, exc: ConnectionLost) -> None:
         """Record that the answer to an attempt was lost, and possibly its run."""
         context, backend, conn = self._context, attempt.backend, attempt.conn
         if conn.reused:
             # Whatever broke this reused connection may have broken the idle ones too.
             context.pool(backend).close()
-        self.failed(backend)
+        self.record_failure(backend)
         progressed = attempt.progressed
         self._report.answer_lost(backend, str(exc), conn.reused, progressed)
         context.quarantine.run_lost(self._call, backend, progressed)
 
-    def failed(self, backend: Backend) -> None:
+    def record_failure(self, backend: Backend) -> None:
         """Record a failed attempt in the health of the backend server."""
         context = self._context
         self._service.health.failed(context.clock(), backend.incarnation)
--- a/packages/bambootiller/src/bambootiller/gateway/failover.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -141,7 +141,7 @@
             else:
                 keep_attempt = True
         except ConnectionLost as exc:
-            self._sender.lost(attempt, exc)
+            self._sender.record_lost_answer(attempt, exc)
             return StayReason.FAILED
         finally:
             if not keep_attempt:
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -98,7 +98,7 @@
             return True
         if backend.instance not in self._requested_instances:
             self._requested_instances.add(backend.instance)
-            admission.asked(backend)
+            admission.record_demand(backend)
         self._permit = await admission.permit(backend)
         return self._permit is not None
 
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -201,7 +201,7 @@
             answered = ended in (None, AttemptOutcome.REFUSED)
             return ended
         except ConnectionLost as exc:
-            self._sender.lost(attempt, exc)
+            self._sender.record_lost_answer(attempt, exc)
             return (
                 AttemptOutcome.BROKEN
                 if self._progress.forwarded
@@ -278,8 +278,8 @@
                 return await read()
             except SilenceTimeout as exc:
                 if not await self._stays_on_backend(attempt, str(exc)):
-                    lost = attempt.conn.loss or ConnectionLost(str(exc), False, False)
-                    raise lost from exc
+                    loss = attempt.conn.loss or ConnectionLost(str(exc), False, False)
+                    raise loss from exc
 
     async def _stays_on_backend(self, attempt: Attempt, detail: str) -> bool:
         """Whether the call stays with its silent backend server for now; looks for a
@@ -356,7 +356,7 @@
         except asyncio.CancelledError:
             if self._context.clock() >= self._call.deadline:
                 # The body didn't end before the call's deadline.
-                self._sender.failed(attempt.backend)
+                self._sender.record_failure(attempt.backend)
             raise
         self._record_health(attempt, head)
         await self._send({"type": "http.response.body", "body": b""})
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -111,7 +111,7 @@
             > 0
         )
 
-    def asked(self, backend: Backend) -> None:
+    def record_demand(self, backend: Backend) -> None:
         """Count a call in the demand for the backend server's limit."""
         if self.is_limited(backend):
             self._allocator_client.record_demand(
