--- a/packages/bambootiller/src/bambootiller/gateway/allocator_client.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_client.py
@@ -45,7 +45,7 @@
 ASK_TIMEOUT_S = 0.2
 #: A call waits for room that is expected within this time. Seconds; shorter than the
 #: target latencies of most routes.
-MAX_ROOM_WAIT_S = 0.2
+MAX_ADMISSION_WAIT_S = 0.2
 
 
 class Shortage(enum.Enum):
@@ -60,11 +60,11 @@
 class _Waiter:
     """A call that waits until the account covers its cost.
 
-    ``decided`` gets the charge, or None if the call isn't admitted.
+    ``decision`` gets the charge, or None if the call isn't admitted.
     """
 
     cost: float
-    decided: asyncio.Future
+    decision: asyncio.Future
 
 
 @dataclass(slots=True)
@@ -121,7 +121,7 @@
         self._groups: dict[str, _LimitGroup] = {}
         self._limits: dict[str, Limit] = {}
         #: The longest backoff when there is no room, by limit.
-        self._pauses: dict[str, float] = {}
+        self._max_pauses_s: dict[str, float] = {}
         self._allocator: PeerStream | None = None
         self._term = 0
         self._last_answered = 0
@@ -141,19 +141,22 @@
         timers.every("allowances", REVIEW_INTERVAL_S, now, lambda _: self.review())
 
     def set_limits(
-        self, group: str, limits: Mapping[str, Limit], pause_s: float = MAX_ROOM_WAIT_S
+        self,
+        group: str,
+        limits: Mapping[str, Limit],
+        pause_s: float = MAX_ADMISSION_WAIT_S,
     ) -> None:
         """Replace the limits of one group. After an answer that there is no room, the
         allocator is asked again after ``pause_s`` at most."""
         self._groups[group] = _LimitGroup(dict(limits), pause_s)
-        self._limits, self._pauses = {}, {}
+        self._limits, self._max_pauses_s = {}, {}
         for found in self._groups.values():
             self._limits.update(found.limits)
-            self._pauses.update(dict.fromkeys(found.limits, found.pause_s))
+            self._max_pauses_s.update(dict.fromkeys(found.limits, found.pause_s))
         for name in [name for name in self._limit_states if name not in self._limits]:
             for waiter in self._limit_states.pop(name).waiters:
                 # The limit has been removed.
-                _decide(waiter, QuotaCharge(0.0, 0.0))
+                _resolve(waiter, QuotaCharge(0.0, 0.0))
 
     @property
     def has_limits(self) -> bool:
@@ -328,7 +331,7 @@
             async with asyncio.timeout(
                 max(wait_s, STARTUP_ANSWER_TIMEOUT_S) if awaits_allocator else wait_s
             ):
-                found = await waiter.decided
+                found = await waiter.decision
         except TimeoutError:
             was_answered = self.clock() - self.last_received_at < wait_s
             return Shortage.NO_ROOM if was_answered else Shortage.UNKNOWN
@@ -372,16 +375,19 @@
         self._admit_waiters(state, limit)
         if not state.waiters or not grant.room_in_s:
             return math.inf
-        if grant.room_in_s <= MAX_ROOM_WAIT_S:
+        if grant.room_in_s <= MAX_ADMISSION_WAIT_S:
             return grant.room_in_s
         state.admission_interval_s = grant.room_in_s / len(state.waiters)
         pause_s = max(
-            MAX_ROOM_WAIT_S,
-            min(state.admission_interval_s, self._pauses.get(name, MAX_ROOM_WAIT_S)),
+            MAX_ADMISSION_WAIT_S,
+            min(
+                state.admission_interval_s,
+                self._max_pauses_s.get(name, MAX_ADMISSION_WAIT_S),
+            ),
         )
         state.backoff_until = now + pause_s
         for waiter in state.waiters:
-            _decide(waiter, None)
+            _resolve(waiter, None)
         state.waiters.clear()
         return math.inf
 
@@ -392,7 +398,7 @@
             charge = state.account.take(now, limit, state.waiters[0].cost)
             if charge is None:
                 return
-            _decide(state.waiters.popleft(), charge)
+            _resolve(state.waiters.popleft(), charge)
 
     def _schedule_ask(self) -> None:
         allocator = self.allocator
@@ -404,9 +410,9 @@
             allocator.send_now()
 
 
-def _decide(waiter: _Waiter, charge: QuotaCharge | None) -> None:
-    if not waiter.decided.done():
-        waiter.decided.set_result(charge)
+def _resolve(waiter: _Waiter, charge: QuotaCharge | None) -> None:
+    if not waiter.decision.done():
+        waiter.decision.set_result(charge)
 
 
 def _has_changed(reported: float, demand: float) -> bool:
--- a/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
@@ -85,7 +85,7 @@
         self._events = events
         self._tolerance = tolerance
         self._send_now = send_now
-        self._hears_an_entry = has_live_entry
+        self._has_live_entry = has_live_entry
         self._config: GatewayConfig | None = None
         self._limits: dict[str, Limit] = {}
         self._applied_tolerance = tolerance()
@@ -239,7 +239,7 @@
         """Renew the lease until it expires or this agent should not hold it."""
         while self.term:
             await asyncio.sleep(RENEW_INTERVAL_S)
-            if not self._limits or not self._hears_an_entry():
+            if not self._limits or not self._has_live_entry():
                 # Entries connect only to agents of listed engines. If this agent's
                 # engine is gone, another agent has to take over.
                 await self.release()
--- a/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
+++ b/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
@@ -72,7 +72,7 @@
         #: How often ``complete`` has changed.
         self.completeness_version = 0
         self._records: dict[str, Changed] = {}
-        self._registry = RegistryFaults(self.fleet, events)
+        self._registry_faults = RegistryFaults(self.fleet, events)
         self._listeners: list[Listener] = []
         self._config_keys: set[str] = set()
         #: A configuration has been received since ``_complete_listeners`` were last
@@ -119,7 +119,7 @@
         """Apply a document unless it is older than the one held, and return whether it
         was applied."""
         record = change.record
-        if not self._registry.can_forward(record, source):
+        if not self._registry_faults.can_forward(record, source):
             return False
         held = self._records.get(record.key)
         if held is not None and held.record.mod_revision >= record.mod_revision:
@@ -127,10 +127,10 @@
         self._records[record.key] = change
         if change.deleted:
             self._on_removed(record, source)
-            is_news = True
+            is_new = True
         else:
-            is_news = self._on_written(record, source)
-        if is_news:
+            is_new = self._on_written(record, source)
+        if is_new:
             for listener in self._listeners:
                 listener(change)
         return True
@@ -158,14 +158,14 @@
     def mark_complete(self, complete: Mapping[str, int]) -> None:
         """Record that all documents up to these revisions have been applied. Each
         revision belongs to a prefix of keys or to one key."""
-        news = {
+        advanced = {
             part: revision
             for part, revision in complete.items()
             if revision > self.complete.get(part, -1)
         }
-        if not news:
+        if not advanced:
             return
-        self.complete.update(news)
+        self.complete.update(advanced)
         self.completeness_version += 1
         for listener in self._revision_listeners:
             listener()
@@ -176,7 +176,7 @@
             listener()
 
     def _on_removed(self, record: Record, source: str) -> None:
-        self._registry.mark_readable(record.key)
+        self._registry_faults.mark_readable(record.key)
         instance = self._directory.instance_of(record.key)
         if instance is None:
             return
@@ -204,12 +204,14 @@
         registration = self._directory.registration(record)
         if isinstance(registration, Unreadable):
             instance = self._directory.instance_of(record.key)
-            self._registry.mark_unreadable(record, instance, registration, source)
+            self._registry_faults.mark_unreadable(
+                record, instance, registration, source
+            )
             self.changed.notify()
             return True
         if registration is None:
             return True
-        self._registry.mark_readable(record.key)
+        self._registry_faults.mark_readable(record.key)
         return self._on_registration(registration, source)
 
     def _on_config(
@@ -238,10 +240,10 @@
         held = self.fleet.get(registration.instance)
         before = held.registration if held is not None else None
         usability_before = self._usability(registration.instance)
-        taken = self.fleet.registry_changed(self._clock(), registration)
+        is_applied = self.fleet.registry_changed(self._clock(), registration)
         if held is not None and held.replaced:
             self.log_restart(held, source)
-        if not taken:
+        if not is_applied:
             # It belongs to an earlier start or is outdated. It isn't forwarded: a peer
             # that gets this registration less often than the service's readers do would
             # take it for the latest.
@@ -261,12 +263,12 @@
             held is not None and held.engine is not None and not held.replaced
         )
         differs = before is None or _differs(before, registration, agent_reports)
-        is_news = differs or usability != usability_before
-        if is_news:
+        is_new = differs or usability != usability_before
+        if is_new:
             # Each backend server rewrites its registration about once a second. A write
             # without new content wakes no waiter and causes no new load plan.
             self.changed.notify()
-        return is_news
+        return is_new
 
     def log_restart(self, before: Backend, source: str) -> None:
         """Log that a backend server has restarted; ``before`` is its state of the
@@ -293,10 +295,10 @@
     Where the agent reports what its engine holds, the holdings in the registration are
     ignored: nothing uses them, and they change with each load.
     """
-    same = {"revision": current.revision}
+    ignored = {"revision": current.revision}
     if agent_reports:
-        same["holdings"] = current.holdings
-    return replace(before, **same) != current
+        ignored["holdings"] = current.holdings
+    return replace(before, **ignored) != current
 
 
 class ChangeNotifier:
@@ -392,10 +394,10 @@
                 self._gateway_state.mark_complete({prefix: change.record.mod_revision})
             if not wanted():
                 return
-            await asyncio.sleep(self._pause())
+            await asyncio.sleep(self._batch_delay())
             began = self._stall_check.now()
 
-    def _pause(self) -> float:
+    def _batch_delay(self) -> float:
         """The delay before the next read. It is short after the key-value service has
         come back: live backend servers would be dropped if their renewed registrations
         were read too late."""
--- a/packages/bambootiller/src/bambootiller/gateway/meters.py
+++ b/packages/bambootiller/src/bambootiller/gateway/meters.py
@@ -123,7 +123,7 @@
         self.passed_on = self._counter(
             "configurations_passed_on_bytes", "Configurations sent to peers"
         )
-        self.dependencies = self._counter(
+        self.dependency_changes = self._counter(
             "dependency_changes",
             "Dependencies lost and regained",
             "dependency",
@@ -358,12 +358,12 @@
 
 @counts(lines.DependencyLost)
 def _dependency_lost(meters: Meters, line: lines.DependencyLost) -> None:
-    meters.dependencies.labels(line.dependency, "lost").inc()
+    meters.dependency_changes.labels(line.dependency, "lost").inc()
 
 
 @counts(lines.DependencyRegained)
 def _dependency_regained(meters: Meters, line: lines.DependencyRegained) -> None:
-    meters.dependencies.labels(line.dependency, "regained").inc()
+    meters.dependency_changes.labels(line.dependency, "regained").inc()
 
 
 @counts(lines.StoodStill)
--- a/packages/bambootiller/src/bambootiller/gateway/metrics_page.py
+++ b/packages/bambootiller/src/bambootiller/gateway/metrics_page.py
@@ -43,7 +43,7 @@
         self._listen = listen
         self._path = path
         self._server: asyncio.Server | None = None
-        self._open: set[asyncio.StreamWriter] = set()
+        self._connections: set[asyncio.StreamWriter] = set()
 
     @property
     def port(self) -> int:
@@ -72,16 +72,16 @@
         if self._server is None:
             return
         self._server.close()
-        for writer in list(self._open):
+        for writer in list(self._connections):
             writer.transport.abort()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if len(self._open) >= MAX_CONNECTIONS:
+        if len(self._connections) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
-        self._open.add(writer)
+        self._connections.add(writer)
         try:
             await self._answer(reader, writer)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
@@ -89,7 +89,7 @@
             # tries again.
             writer.transport.abort()
         finally:
-            self._open.discard(writer)
+            self._connections.discard(writer)
             writer.close()
             with contextlib.suppress(OSError):
                 await writer.wait_closed()
--- a/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
+++ b/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
@@ -31,7 +31,7 @@
     def __init__(self, fleet: Fleet, events: EventLog) -> None:
         self._fleet = fleet
         self._events = events
-        self._reported: dict[str, str] = {}
+        self._reported_faults: dict[str, str] = {}
 
     def can_forward(self, record: Record, source: str) -> bool:
         """Whether messages to peers can carry the record's key.
@@ -55,9 +55,9 @@
         if instance is not None:
             self._fleet.registry_unreadable(instance, record.mod_revision)
         detail = why.detail[:MAX_DETAIL_CHARS]
-        if self._reported.get(record.key) == detail:
+        if self._reported_faults.get(record.key) == detail:
             return
-        self._reported[record.key] = detail
+        self._reported_faults[record.key] = detail
         line = lines.BackendUnreadable(
             record.key, record.mod_revision, detail, was_used, source
         )
@@ -66,4 +66,4 @@
     def mark_readable(self, key: str) -> None:
         """Record that the registration can be read or is gone, so that a later fault
         is logged again."""
-        self._reported.pop(key, None)
+        self._reported_faults.pop(key, None)
--- a/tests/gateway/cover/test_meters.py
+++ b/tests/gateway/cover/test_meters.py
@@ -146,7 +146,7 @@
         for _ in range(20):
             held.append(await asyncio.open_connection("127.0.0.1", self.page.port))
         await asyncio.sleep(0.05)
-        self.assertLessEqual(len(self.page._open), 8)
+        self.assertLessEqual(len(self.page._connections), 8)
         for _, writer in held:
             writer.close()
 
