--- a/tests/adapter/failures/test_bad_input.py
+++ b/tests/adapter/failures/test_bad_input.py
@@ -1,4 +1,4 @@
-"""What callers send that is no proper request, to a real entry over real sockets."""
+"""Malformed and abusive requests, sent to an entry process over real sockets."""
 
 import asyncio
 import unittest
@@ -35,7 +35,10 @@
         return await asyncio.open_connection(host, int(port))
 
     async def answer(self, *pieces, gap_s=0.0):
-        """What comes back until the entry closes or falls silent."""
+        """Send ``pieces`` and return the bytes received until the entry closes.
+
+        Raises TimeoutError if the connection is open 5 s after the last piece.
+        """
         reader, writer = await self.connect()
         data = b""
         try:
@@ -53,7 +56,7 @@
         return data
 
     async def assert_others_served(self):
-        """Whether others are served as before, and nobody ran what was bad."""
+        """Assert that other calls are served and that no malformed request has run."""
         runs = len(self.replica.runs)
         status, _ = await self.fleet.call(self.entry, "", path="/p/ok", attempt="r-ok")
         self.assertEqual(status, 200)
@@ -71,9 +74,9 @@
         await self.assert_others_served()
 
     async def test_a_head_is_refused_once_it_is_too_large(self):
-        """Symptom: an entry is killed for its memory, by one caller.
+        """Guards against one caller exhausting the memory of an entry.
 
-        The caller sends a head without an end, and all of it is kept.
+        The caller sends a head that doesn't end, and the entry buffers all of it.
         """
         line = b"X-Filler: " + b"a" * 1000 + b"\r\n"
         answer = await self.answer(HEAD, *[line] * 50)
@@ -84,9 +87,10 @@
         await self.assert_others_served()
 
     async def test_a_head_that_never_ends_is_answered_in_time(self):
-        """Symptom: an entry runs out of descriptors, with a few calls a second.
+        """Guards against an entry running out of file descriptors.
 
-        Callers begin a head and send a byte now and then; each holds a connection.
+        Callers begin a head and then send a byte from time to time, so that each holds
+        a connection; a few calls per second are enough.
         """
         answer = await self.answer(HEAD, *[b"X"] * 20, gap_s=0.05)
         self.assertIn(b" 408 ", answer.split(b"\r\n")[0])
@@ -122,10 +126,11 @@
         await self.assert_others_served()
 
     async def test_ambiguous_lengths_smuggle_no_request(self):
-        """Symptom: a backend server runs a request that no caller sent as one.
+        """Guards against request smuggling.
 
-        Two parties on the way take the length of a body from different headers, and
-        what the one takes for its end is a request to the other.
+        If two parties on the path take the length of a body from different headers,
+        one of them reads the end of the body as another request, and a backend server
+        runs a request that no caller sent.
         """
         inner = b"POST /p/smuggled HTTP/1.1\r\nHost: classes.example\r\n\r\n"
         chunks = b"0\r\n\r\n" + inner
@@ -142,8 +147,8 @@
 
     async def test_concurrent_calls_with_one_id_are_not_mixed_up(self):
         answers = []
-        # Ten at once: of more than twelve at its one backend server of eight places,
-        # the entry refuses the rest as overloaded, which mixes nothing up either.
+        # Ten at a time: the only backend server has eight slots, and of more than
+        # twelve concurrent calls the entry refuses the rest as overloaded.
         for first in (0, 10):
             calls = [
                 self.fleet.call(self.entry, "", path=f"/p/{number}", attempt="r-same")
--- a/tests/adapter/failures/test_overload.py
+++ b/tests/adapter/failures/test_overload.py
@@ -1,4 +1,4 @@
-"""An entry that the balancer hands more connections than it can serve."""
+"""An entry that gets more connections from the load balancer than it can serve."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,11 @@
 
 
 class TestRejectedConnections(unittest.IsolatedAsyncioTestCase):
-    """Read and then dropped, a call that may not be repeated would be lost."""
+    """Guards against losing a call that must not be retried.
+
+    An overloaded entry has to close a new connection before it reads from it: a call
+    that was read and then dropped can't be told from one that has run.
+    """
 
     async def asyncSetUp(self):
         self.calls, self.rejects_connections = 0, False
--- a/tests/adapter/failures/test_planned_stops.py
+++ b/tests/adapter/failures/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""Callers of an entry that is asked to end, on connections old and new."""
+"""Calls on new and on existing connections while an entry is being stopped."""
 
 import asyncio
 import contextlib
@@ -8,18 +8,19 @@
 from tests.adapter.cover.test_documents import MODEL
 
 MODEL_NAME = MODEL["name"]
-#: Far above what a close takes that follows an answer, far below the rest of the stop.
+#: Far longer than closing a connection after an answer takes, and far shorter than
+#: the rest of the stop.
 CLOSE_TIMEOUT_S = 0.5
 
 
 async def connect(entry):
-    """A connection to the entry's port for callers."""
+    """Open a connection to the entry's port for callers."""
     host, _, port = entry.document["listen"]["front"].rpartition(":")
     return await asyncio.open_connection(host, int(port))
 
 
 async def send_call(writer, attempt):
-    """Send a call on a connection."""
+    """Send a call on an open connection."""
     head = (
         "POST /a/x HTTP/1.1",
         f"host: {HOST}",
@@ -33,7 +34,7 @@
 
 
 async def begin(fleet, events=5):
-    """An entry before one engine whose streams have so many events."""
+    """Configure the fleet and start one engine whose streams have ``events`` events."""
     fleet.configure()
     replica = await fleet.replica("127.0.0.2", "i-1", "llm", (MODEL_NAME,))
     replica.events, replica.gap_s = events, 0.05
@@ -41,7 +42,7 @@
 
 
 async def wait_running(replica, count):
-    """Wait until so many streams run."""
+    """Wait until ``count`` streams have started."""
 
     async def reached():
         return len(replica.runs) >= count
@@ -53,10 +54,11 @@
     async def test_the_port_for_callers_closes_and_the_balancers_goes_on_saying_no(
         self,
     ):
-        """Symptom: some stopping entries take new connections until their very end,
-        and the calls on the last of them are lost; their readiness can't be asked.
+        """Guards against a stopping entry that closes the wrong port.
 
-        The entry had its two ports in a set, and closed whichever came first.
+        The entry kept its two ports in a set and closed whichever came first. If that
+        was the port for the load balancer's readiness check, the entry accepted new
+        connections until its end, and calls on the last of them were lost.
         """
         async with Fleet() as fleet:
             replica = await begin(fleet, events=90)
@@ -77,12 +79,12 @@
                     except ConnectionRefusedError:
                         return True
                     except ConnectionResetError:
-                        # The port closed while this connection was in its queue.
+                        # The port closed while this connection was in its backlog.
                         return False
                     writer.close()
                     return False
 
-                await wait_until(refuses, "the entry takes no more connections")
+                await wait_until(refuses, "the entry accepts no more connections")
                 url = f"http://{entry.document['listen']['ready']}/bambootiller/ready"
                 async with fleet.session.get(url) as response:
                     self.assertEqual(response.status, 503)
@@ -92,10 +94,10 @@
             self.assertEqual(await asyncio.gather(*stops), [0] * len(entries))
 
     async def test_a_connection_is_closed_after_the_answer_in_progress(self):
-        """Symptom: a call on a kept connection is lost as its entry ends.
+        """Guards against losing a call on a keep-alive connection when an entry stops.
 
-        A stream's head had gone out before the stop began, without a word that the
-        connection won't be kept. When the last stream ended the entry closed all
+        A stream's head was sent before the stop began, so it carried no
+        ``connection: close``. When the last stream ended the entry closed all
         connections at once, while the caller was sending its next call.
         """
         async with Fleet() as fleet:
@@ -119,10 +121,10 @@
             self.assertEqual(await stop, 0)
 
     async def test_a_call_on_the_last_connection_that_was_taken_is_answered(self):
-        """Symptom: a new connection's first call is lost as its entry ends.
+        """Guards against losing the first call of a new connection when an entry stops.
 
-        No call was under way when the port closed, so the entry ended at once, though
-        a caller had just connected and was sending.
+        No call was in progress when the port closed, so the entry exited at once,
+        although a caller had just connected and was sending.
         """
         async with Fleet() as fleet:
             replica = await begin(fleet)
@@ -137,7 +139,7 @@
             reader, writer = taken[-1]
             await send_call(writer, "r-1")
             head = await reader.readuntil(b"\r\n\r\n")
-            # Late in a stop, a refusal that promises that nothing has run.
+            # 503: late in a stop, the call is refused and has not been executed.
             self.assertIn(int(head.split()[1]), (200, 503), head)
             self.assertEqual(len(replica.runs), int(head.split()[1] == b"200"))
             self.assertIn(b"connection: close", head.lower())
