--- a/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
@@ -55,7 +55,7 @@
                 return _refusal(RefusalReason.KEPT_APART, admission)
             await asyncio.sleep(admission.retry_in_s)
             admission = self._admission()
-        self._report.kept_apart(admission.crashes, self._context.clock() - began)
+        self._report.isolated(admission.crashes, self._context.clock() - began)
         return None
 
     def _admission(self) -> Admission:
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -261,19 +261,19 @@
         """Whether the agent has to be sent a new report."""
         last_sent: SentReport | None = peer_stream.last_sent.get("entry")
         demands = self.plans.own_demands(backend.registration.service)
-        collects = self._collects(backend)
+        is_collector = self._is_collector(backend)
         now = self._app.now()
         return last_sent is None or last_sent.is_outdated(
-            now, demands, backend, collects
+            now, demands, backend, is_collector
         )
 
     def _current_report(self, backend: Backend) -> SentReport:
         demands = self.plans.own_demands(backend.registration.service)
         return SentReport.now(
-            self._app.now(), demands, backend, self._collects(backend)
+            self._app.now(), demands, backend, self._is_collector(backend)
         )
 
-    def _collects(self, backend: Backend) -> bool:
+    def _is_collector(self, backend: Backend) -> bool:
         registration = backend.registration
         return registration.host in self._collectors.get(registration.service, ())
 
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -303,7 +303,7 @@
         """Keeps a stream to ``address`` open until cancelled. ``rank`` is the order in
         which this side forwards a document to the peer (:mod:`document_propagation`),
         ``to_entry`` whether both sides are entries."""
-        pause = REOPEN_DELAY_S
+        delay_s = REOPEN_DELAY_S
         try:
             while True:
                 was_responsive = await self._run_stream(
@@ -311,12 +311,12 @@
                 )
                 if was_responsive:
                     self._events.emit(PeerSilent(address))
-                pause = (
+                delay_s = (
                     REOPEN_DELAY_S
                     if was_responsive
-                    else min(pause * 2, MAX_REOPEN_DELAY_S)
+                    else min(delay_s * 2, MAX_REOPEN_DELAY_S)
                 )
-                await asyncio.sleep(pause)
+                await asyncio.sleep(delay_s)
         finally:
             await self._channels.drop(address)
 
--- a/packages/bambootiller/src/bambootiller/gateway/failover.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -109,7 +109,7 @@
             if found not in (StayReason.REFUSED, StayReason.FAILED):
                 return found
             full_detail = f"{detail}; then sent to {target.backend.instance}"
-            self._report.silence_borne(silent.backend, full_detail, found.value)
+            self._report.silence_tolerated(silent.backend, full_detail, found.value)
 
     def _stay_reason(
         self, silent: BackendConnection, seen_count: int
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -294,7 +294,7 @@
             return False
         if found is not self._last_stay_reason:
             self._last_stay_reason = found
-            self.report.silence_borne(backend, detail, found.value)
+            self.report.silence_tolerated(backend, detail, found.value)
         if found in (StayReason.SPOKE, StayReason.ATTEMPTS):
             self._silence_detector.restart()
         else:
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -125,12 +125,14 @@
             )
         )
 
-    def silence_borne(self, backend: Backend, detail: str, why: str) -> None:
+    def silence_tolerated(
+        self, backend: Backend, detail: str, stay_reason: str
+    ) -> None:
         """Logs that the backend server is silent and the call isn't failed over."""
         request = self._call.request_id
-        self._emit(lines.SilenceBorne(request, backend.instance, detail, why))
+        self._emit(lines.SilenceBorne(request, backend.instance, detail, stay_reason))
 
-    def kept_apart(self, crashes: float, seconds: float) -> None:
+    def isolated(self, crashes: float, seconds: float) -> None:
         """Logs that the call is sent after it was delayed for so long by crash
         isolation."""
         call = self._call
--- a/packages/bambootiller/src/bambootiller/gateway/store_permit_holder.py
+++ b/packages/bambootiller/src/bambootiller/gateway/store_permit_holder.py
@@ -186,13 +186,13 @@
             self._close_gate()
 
     def _open_gate(self, held: _HeldPermit | None) -> None:
-        self._keep(held)
+        self._set_held(held)
         self._gate.is_open = True
         self._acquiring_since = self._gate.acquiring = None
         self._opened_at = self._app.now()
         self._wake()
 
-    def _keep(self, held: _HeldPermit | None) -> None:
+    def _set_held(self, held: _HeldPermit | None) -> None:
         self._held = held
         if held is not None:
             self._app.spawn(f"lease of {held.key}", self._renew(held))
@@ -203,8 +203,8 @@
         the permit again unless another agent holds it."""
         await asyncio.sleep(RENEW_INTERVAL_S)
         while self._held is held:
-            kept = await self._kv.keep_lease(held.lease)
-            if not isinstance(kept, Granted):
+            renewal = await self._kv.keep_lease(held.lease)
+            if not isinstance(renewal, Granted):
                 renewed = await self._write(held.key, 0, held.model)
                 if isinstance(renewed, _HeldPermit) and self._held is held:
                     self._held = held = renewed
@@ -259,10 +259,10 @@
         if held is None:
             return
         if self._gate.is_open and self._held is None:
-            self._keep(held)
+            self._set_held(held)
         elif self._held is not None and self._held.key == held.key:
             # The late write replaced the record of the permit that was acquired since.
-            self._keep(held)
+            self._set_held(held)
         else:
             await self._remove(held.key, held.revision)
 
