--- a/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/copies.py
@@ -42,7 +42,7 @@
 def _state(now: float, backend: Backend, spec: ModelSpec, memory_mb: float) -> str:
     if backend.registration.leaving:
         return "leaving"
-    if backend.lost(now):
+    if backend.is_lost(now):
         return "lost"
     if not backend.agent_responsive(now):
         return "unheard"
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -162,7 +162,7 @@
         """Record that no connection could be made to it, or a call timed out there."""
         self.unreachable_at = now
 
-    def lost(self, now: float) -> bool:
+    def is_lost(self, now: float) -> bool:
         """Whether the engine appears to be gone or partitioned.
 
         The registry shows that only some seconds later. Until then one call after the
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -161,7 +161,7 @@
         live_backends = [
             backend
             for backend in backends
-            if backend.engine is not None and not backend.lost(now)
+            if backend.engine is not None and not backend.is_lost(now)
         ]
         self._live_backends = live_backends
         self._copy_counts = copies = self._survey_fleet(now, live_backends, demands)
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -218,7 +218,7 @@
             demands = self._refresh_demands(service.name)
             total_demands = self.total_demands(service.name, demands)
             reachable = [
-                backend.instance for backend in backends if not backend.lost(now)
+                backend.instance for backend in backends if not backend.is_lost(now)
             ]
             planner = Planner(
                 service.engine,
@@ -285,7 +285,7 @@
         holders: Counter[str] = Counter()
         copies: Counter[str] = Counter()
         for backend in self._gateway_state.fleet.of_service(service):
-            if backend.lost(now):
+            if backend.is_lost(now):
                 # A lost engine serves nobody; its models are no reason for other
                 # engines to evict theirs.
                 continue
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -157,7 +157,7 @@
             self._links[host].instance = backend.instance
         self._apply_earlier_reports(now)
         reachability = [
-            (host, backend.agent_responsive(now), backend.lost(now))
+            (host, backend.agent_responsive(now), backend.is_lost(now))
             for host, backend in backends_by_host.items()
         ]
         if reachability != self._reachability:
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -305,7 +305,7 @@
     def _is_lost(self, backend: Backend) -> bool:
         """Whether waiting is pointless. A partially forwarded answer isn't given up on
         a suspicion: that an agent has ended doesn't mean that its engine has."""
-        return not self._progress.forwarded and backend.lost(self._context.clock())
+        return not self._progress.forwarded and backend.is_lost(self._context.clock())
 
     def _silence_timeout_s(self, now: float) -> float | None:
         """How long the backend server may be silent before the call fails over, in
--- a/tests/gateway/cover/test_fleet.py
+++ b/tests/gateway/cover/test_fleet.py
@@ -145,20 +145,20 @@
         """
         backend = samples.backend("b1", 0.0, samples.engine_state("b1", ("tutor",)))
         backend.mark_unreachable(1.0)
-        self.assertFalse(backend.lost(1.0), "its agent reported a second ago")
-        self.assertTrue(backend.lost(2.0))
-        self.assertFalse(backend.lost(5.0), "a call has to try again")
+        self.assertFalse(backend.is_lost(1.0), "its agent reported a second ago")
+        self.assertTrue(backend.is_lost(2.0))
+        self.assertFalse(backend.is_lost(5.0), "a call has to try again")
 
     def test_an_engine_that_neither_entry_nor_agent_reaches_is_lost_at_once(self):
         state = samples.engine_state("b1", ("tutor",), silent=True)
         backend = samples.backend("b1", 0.0, state)
-        self.assertFalse(backend.lost(0.1), "no call has failed there")
+        self.assertFalse(backend.is_lost(0.1), "no call has failed there")
         backend.mark_unreachable(0.1)
-        self.assertTrue(backend.lost(0.1))
+        self.assertTrue(backend.is_lost(0.1))
 
     def test_an_engine_whose_agent_alone_is_silent_is_not_lost(self):
         backend = samples.backend("b1", 0.0, samples.engine_state("b1", ("tutor",)))
-        self.assertFalse(backend.lost(60.0))
+        self.assertFalse(backend.is_lost(60.0))
 
     def test_a_report_of_an_unlisted_instance_is_ignored(self):
         state = samples.engine_state("b9", ["tutor"])
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -55,7 +55,7 @@
         second = self.restart(holdings={"poet": frozenset()})
         self.assertTrue(second.serves(1.0, "poet"))
         self.fleet.engine_reported(1.0, reported_state(SECOND_MS, silent=True))
-        self.assertFalse(second.lost(1.0))
+        self.assertFalse(second.is_lost(1.0))
 
     def test_leaving_does_not_carry_over_to_the_next_start(self):
         leaving = registration(FIRST_MS, leaving=True, revision=2)
@@ -87,9 +87,9 @@
         self.assertEqual(second.in_flight_by_model, {"tutor": 1})
 
     def test_calls_waiting_there_see_it_as_lost(self):
-        self.assertFalse(self.first.lost(0.5))
+        self.assertFalse(self.first.is_lost(0.5))
         self.restart()
-        self.assertTrue(self.first.lost(0.5))
+        self.assertTrue(self.first.is_lost(0.5))
 
 
 class TestAgentReportsRestartFirst(Case):
