--- a/packages/bambootiller/src/bambootiller/gateway/agent.py
+++ b/packages/bambootiller/src/bambootiller/gateway/agent.py
@@ -167,7 +167,8 @@
         self._events.emit(lines.Stopping("agent"))
 
     async def stop(self) -> None:
-        """Releases the quota allocation and closes the connections to the engine."""
+        """Gives up the role of the quota allocator, if this agent has it, and closes
+        the connections to the engine."""
         await self._quotas.release()
         await self._engine.close()
         self._events.emit(lines.Stopped("agent"))
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -94,8 +94,8 @@
 
     def load_request(self, backend: Backend, load_request: LoadRequest) -> bool:
         """Queues a load request for the agent beside the engine. Returns False if there
-        is no stream to it, or if the model is quarantined because its loads crash
-        engines."""
+        is no stream to it, or if loads of the model are suspected of crashing engines
+        and not admitted now."""
         if not load_request.adapter and not self._admits_load(load_request.model):
             return False
         link = self._links.get(backend.registration.host)
@@ -114,8 +114,9 @@
         return len(self._links)
 
     def has_collector_reports(self) -> bool:
-        """Whether a collector of each service has reported, as far as the service has
-        any. Collectors report what all entries need to know."""
+        """Whether the agent of a collector of each service has been heard from lately,
+        as far as engines of the service are listed. Collectors report what all entries
+        need to know."""
         config, now = self._gateway_state.config, self._app.now()
         engines: dict[str, dict[str, Backend]] = {}
         for backend in self._gateway_state.fleet:
--- a/packages/bambootiller/src/bambootiller/gateway/exchange.py
+++ b/packages/bambootiller/src/bambootiller/gateway/exchange.py
@@ -3,8 +3,9 @@
 An entry opens a stream to the agent beside each engine and to a few other entries. The
 first message of each side holds its whole state; each later one holds what has changed
 since or what the peer lacks. While nothing changes, both sides send empty messages as
-heartbeats. A connection can go silent without an error, so a stream on which nothing
-has been received for :data:`SILENCE_TIMEOUT_S` is closed and opened again.
+heartbeats. A connection can go silent without an error, so the side that opened a
+stream closes and reopens it if nothing has been received on it for
+:data:`SILENCE_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -289,7 +290,7 @@
         return peer_stream in self._peer_streams
 
     def streams(self) -> list[PeerStream]:
-        """This side of all open streams."""
+        """Returns this side of all open streams."""
         return list(self._peer_streams)
 
     async def keep_open(
