--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
@@ -173,7 +173,7 @@
 
     Example::
 
-        ledger.run_lost(LostRun(fingerprint, incarnation, False, now))
+        ledger.record_lost_run(LostRun(fingerprint, incarnation, False, now))
         ledger.settle(now, lambda run, before: CrashVerdict.CRASHED)
         admission = ledger.admission(now, fingerprint)
         if admission.decision is AdmissionDecision.QUARANTINED: ...
@@ -194,7 +194,7 @@
         #: Counts the changes that peers may have to be sent.
         self.version = 0
 
-    def run_lost(self, run: LostRun, source: str = "") -> bool:
+    def record_lost_run(self, run: LostRun, source: str = "") -> bool:
         """Record a run that ended without an answer; returns whether the ledger has
         changed."""
         name = run.fingerprint
--- a/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_election.py
@@ -79,7 +79,7 @@
         server_limits: ServerLimits,
     ) -> None:
         self._server_limits = server_limits
-        server_limits.on_change(self._limits_changed)
+        server_limits.on_change(self._update_limits)
         self._app = app
         self._kv = kv
         self._events = events
@@ -111,9 +111,9 @@
     def configured(self, config: GatewayConfig) -> None:
         """Apply the limits of a configuration that has come into force."""
         self._config, self._applied_tolerance = config, self._tolerance()
-        self._limits_changed()
+        self._update_limits()
 
-    def _limits_changed(self) -> None:
+    def _update_limits(self) -> None:
         customers = self._config.customers if self._config is not None else None
         self._limits = {
             **limits_of(customers, self._applied_tolerance),
--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -180,7 +180,7 @@
         self.record_failure(backend)
         progressed = attempt.progressed
         self._report.answer_lost(backend, str(exc), conn.reused, progressed)
-        context.quarantine.run_lost(self._call, backend, progressed)
+        context.quarantine.record_lost_run(self._call, backend, progressed)
 
     def record_failure(self, backend: Backend) -> None:
         """Record a failed attempt in the health of the backend server."""
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -328,7 +328,7 @@
         meters.add_gauge(
             "requests_quarantined",
             "Requests that are kept from all backend servers",
-            lambda: engines.quarantine.count,
+            lambda: engines.quarantine.quarantined_count,
         )
         meters.add_gauge(
             "backend_limits",
--- a/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
+++ b/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
@@ -352,13 +352,13 @@
         self._regained_at = float("-inf")
 
     async def follow(
-        self, prefix: str, wanted: Callable[[], bool] = lambda: True
+        self, prefix: str, is_needed: Callable[[], bool] = lambda: True
     ) -> None:
         """Read the prefix and watch its changes; never returns. Pauses while
-        ``wanted()`` is false."""
+        ``is_needed()`` is false."""
         pause = RETRY_S
         while True:
-            if not wanted():
+            if not is_needed():
                 await asyncio.sleep(IDLE_POLL_S)
                 continue
             began = self._stall_check.now()
@@ -374,10 +374,10 @@
             self._on_regained(prefix)
             self._gateway_state.apply_listing(prefix, found, "store")
             self._gateway_state.mark_complete({prefix: found.revision})
-            await self._watch(prefix, found.revision + 1, wanted)
+            await self._watch(prefix, found.revision + 1, is_needed)
 
     async def _watch(
-        self, prefix: str, revision: int, wanted: Callable[[], bool]
+        self, prefix: str, revision: int, is_needed: Callable[[], bool]
     ) -> None:
         began = self._stall_check.now()
         async for batch in self._kv.watch(prefix, revision):
@@ -392,7 +392,7 @@
             for change in batch:
                 self._gateway_state.apply_document(change, "store")
                 self._gateway_state.mark_complete({prefix: change.record.mod_revision})
-            if not wanted():
+            if not is_needed():
                 return
             await asyncio.sleep(self._batch_delay())
             began = self._stall_check.now()
--- a/packages/bambootiller/src/bambootiller/gateway/meters.py
+++ b/packages/bambootiller/src/bambootiller/gateway/meters.py
@@ -41,15 +41,15 @@
 #: served. Seconds.
 UNSERVED_AGES_S = (4, 8, 16, 32)
 
-Count = Callable[["Meters", lines.LogLine], None]
-_COUNTS: dict[type[lines.LogLine], Count] = {}
+CountFunction = Callable[["Meters", lines.LogLine], None]
+_COUNT_FUNCTIONS: dict[type[lines.LogLine], CountFunction] = {}
 
 
-def counts(kind: type[lines.LogLine]) -> Callable[[Count], Count]:
+def counts(kind: type[lines.LogLine]) -> Callable[[CountFunction], CountFunction]:
     """Register the function that counts events of one kind."""
 
-    def register(function: Count) -> Count:
-        _COUNTS[kind] = function
+    def register(function: CountFunction) -> CountFunction:
+        _COUNT_FUNCTIONS[kind] = function
         return function
 
     return register
@@ -169,14 +169,14 @@
             ["customer"],
             registry=self.registry,
         )
-        self._show_unserved()
+        self._add_unserved_gauges()
         self.config_version = self._gauge(
             "config_version", "The configuration in force"
         )
 
     def count(self, line: lines.LogLine) -> None:
         """Update the metrics from one event."""
-        function = _COUNTS.get(type(line))
+        function = _COUNT_FUNCTIONS.get(type(line))
         if function is not None:
             function(self, line)
 
@@ -204,7 +204,7 @@
         """Add a gauge whose value is read each time the page is requested."""
         self._gauge(name, text).set_function(read)
 
-    def _show_unserved(self) -> None:
+    def _add_unserved_gauges(self) -> None:
         unserved = self.unserved
         ages = Gauge(
             PREFIX + "models_unserved",
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -52,7 +52,7 @@
 
     Example::
 
-        quarantine.run_lost(call, backend, progressed=False)
+        quarantine.record_lost_run(call, backend, progressed=False)
         if quarantine.admission(call).decision is AdmissionDecision.QUARANTINED: ...
     """
 
@@ -83,15 +83,15 @@
     def restore(self, runs: Iterable[LostRun]) -> None:
         """Add lost runs that were recorded before this process started."""
         for run in runs:
-            self._ledger.run_lost(run, RECORD_SOURCE)
+            self._ledger.record_lost_run(run, RECORD_SOURCE)
         self.settle(self._clock())
 
     @property
-    def count(self) -> int:
+    def quarantined_count(self) -> int:
         """The number of quarantined requests."""
         return self._ledger.quarantined_count
 
-    def run_lost(self, call: Call, backend: Backend, progressed: bool) -> None:
+    def record_lost_run(self, call: Call, backend: Backend, progressed: bool) -> None:
         """Record that a run of the call ended without an answer."""
         if backend.registration.leaving:
             # It was about to stop, whatever ran there.
@@ -151,7 +151,7 @@
             return
         version, now = self._ledger.version, self._clock()
         for message in update.lost_runs:
-            self._ledger.run_lost(
+            self._ledger.record_lost_run(
                 message_codec.lost_run_of(message, now), peer_stream.peer
             )
         for fingerprint in update.sound:
@@ -164,11 +164,11 @@
             self._send_now()
 
     def _record_lost(
-        self, names: Iterable[str], incarnation: Incarnation, progressed: bool
+        self, fingerprints: Iterable[str], incarnation: Incarnation, progressed: bool
     ) -> None:
         now = self._clock()
-        runs = [LostRun(name, incarnation, progressed, now) for name in names]
-        if any([self._ledger.run_lost(run) for run in runs]):
+        runs = [LostRun(name, incarnation, progressed, now) for name in fingerprints]
+        if any([self._ledger.record_lost_run(run) for run in runs]):
             self.settle(now)
             self._send_now()
 
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine_records.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine_records.py
@@ -29,7 +29,7 @@
 )
 
 #: The number of attempts at a write; a quarantine that isn't recorded still holds.
-WRITE_TRIES = 10
+MAX_WRITE_ATTEMPTS = 10
 
 
 class QuarantineRecords:
@@ -58,9 +58,9 @@
     def start(self) -> None:
         """Read the stored records, and store quarantines from now on."""
         self._app.spawn("quarantine records", self._read())
-        self._quarantine.on_quarantined(self._quarantined)
+        self._quarantine.on_quarantined(self._on_quarantined)
 
-    def _quarantined(self, fingerprint: str, runs: tuple[LostRun, ...]) -> None:
+    def _on_quarantined(self, fingerprint: str, runs: tuple[LostRun, ...]) -> None:
         self._app.spawn(f"quarantine {fingerprint}", self._write(fingerprint, runs))
 
     async def _read(self) -> None:
@@ -83,13 +83,13 @@
         if runs:
             self._quarantine.restore(runs)
             return
-        as_read = Compare(record.key, record.mod_revision)
-        await self._kv.transact([as_read], [Delete(record.key)])
+        unchanged = Compare(record.key, record.mod_revision)
+        await self._kv.transact([unchanged], [Delete(record.key)])
 
     async def _write(self, fingerprint: str, runs: tuple[LostRun, ...]) -> None:
         key = quarantine_record.key_of(fingerprint)
         value = quarantine_record.encode(runs, self._app.now(), time.time())
-        for _ in range(WRITE_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             # Other entries that lost a run of this request write the same key.
             written = await self._kv.transact([Compare(key, 0)], [Put(key, value)])
             if not isinstance(written, (Unavailable, Unknown)):
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -212,7 +212,9 @@
             # have crashed, so the run counts as lost.
             if backend.engine is not None and backend.engine.silent:
                 progressed = attempt.progressed
-                self._context.quarantine.run_lost(self._call, backend, progressed)
+                self._context.quarantine.record_lost_run(
+                    self._call, backend, progressed
+                )
             raise
         finally:
             attempt.end(answered)
--- a/tests/gateway/cover/test_crash_ledger.py
+++ b/tests/gateway/cover/test_crash_ledger.py
@@ -45,7 +45,7 @@
         """
         at = float(number) if at is None else at
         for name in names:
-            self.ledger.run_lost(lost(name, number, name in progressed, at))
+            self.ledger.record_lost_run(lost(name, number, name in progressed, at))
         return self.ledger.settle(at, crashed)
 
     def decision(self, name, now=100.0):
@@ -138,7 +138,7 @@
 
     def test_a_run_lost_at_a_surviving_backend_server_does_not_count(self):
         for number in range(3):
-            self.ledger.run_lost(lost("s", number))
+            self.ledger.record_lost_run(lost("s", number))
         self.assertIs(self.decision("s"), AdmissionDecision.DEFERRED)
         self.ledger.settle(1.0, lambda run, before: CrashVerdict.SURVIVED)
         self.assertTrue(self.ledger.is_empty)
@@ -162,7 +162,7 @@
     def test_the_third_crash_has_a_verdict_before_a_further_run(self):
         for number in range(2):
             self.crash(number, "p")
-        self.ledger.run_lost(lost("p", 2, at=1.0))
+        self.ledger.record_lost_run(lost("p", 2, at=1.0))
         self.assertIs(self.decision("p"), AdmissionDecision.DEFERRED)
         self.ledger.settle(1.0, crashed)
         self.assertIs(self.decision("p"), AdmissionDecision.QUARANTINED)
@@ -170,8 +170,8 @@
 
 class TestUpdates(LedgerTestCase):
     def test_what_a_peer_reported_is_not_sent_back(self):
-        self.ledger.run_lost(lost("p", 1), source="e1")
-        self.ledger.run_lost(lost("q", 1))
+        self.ledger.record_lost_run(lost("p", 1), source="e1")
+        self.ledger.record_lost_run(lost("q", 1))
         self.assertEqual(self.names(0, False, "e1"), ["q"])
         self.assertEqual(self.names(0, False, "e2"), ["p", "q"])
         self.assertEqual(self.names(0, True, "e2"), ["q"])
@@ -186,11 +186,11 @@
         other = CrashLedger()
         for number in range(2):
             self.crash(number, "p")
-        other.run_lost(lost("p", 2))
+        other.record_lost_run(lost("p", 2))
         for run in self.ledger.unsent(UpdateFilter(0, False, "b")).runs:
-            other.run_lost(run, "a")
+            other.record_lost_run(run, "a")
         for run in other.unsent(UpdateFilter(0, False, "a")).runs:
-            self.ledger.run_lost(run, "b")
+            self.ledger.record_lost_run(run, "b")
         for ledger in (self.ledger, other):
             ledger.settle(1.0, crashed)
             decision = ledger.admission(9.0, "p").decision
@@ -206,7 +206,7 @@
     def test_a_suspicion_of_a_sound_request_is_answered(self):
         self.ledger.completed("s")
         self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e1")).sound, ())
-        self.ledger.run_lost(lost("s", 1), source="e1")
+        self.ledger.record_lost_run(lost("s", 1), source="e1")
         self.assertEqual(self.ledger.unsent(UpdateFilter(0, False, "e1")).sound, ("s",))
 
 
