--- a/tests/gateway/cover/test_attempts.py
+++ b/tests/gateway/cover/test_attempts.py
@@ -17,11 +17,13 @@
 
 
 def decide(kind, outcome, progress, now=1.0, **fields):
+    """The next action for a call of this kind after such an attempt."""
     route = samples.route(kind, max_attempts=fields.pop("max_attempts", 2), **fields)
     return next_action(samples.call(route), progress, outcome, now)
 
 
 def sent(**fields):
+    """The progress of a call that was sent once."""
     return Progress(tried=["b1"], sends=1, **fields)
 
 
--- a/tests/gateway/cover/test_copies.py
+++ b/tests/gateway/cover/test_copies.py
@@ -13,6 +13,7 @@
 
 
 def with_copy(instance="b1", held=(), **fields):
+    """A backend server with a copy of ``tutor``."""
     given = {"on_disk": frozenset({"tutor"}), **fields.pop("state", {})}
     state = samples.engine_state(instance, held, **given)
     return samples.backend(instance, NOW, state, service="llm", **fields)
@@ -22,6 +23,7 @@
     """A refusal lists the copies of its model and why each can't be used."""
 
     def states(self, *backends):
+        """The states of the copies that a refusal would list."""
         seen = copies_seen(NOW, backends, "llm", samples.model(), 100.0)
         return [copy.state for copy in seen]
 
--- a/tests/gateway/cover/test_crash_ledger.py
+++ b/tests/gateway/cover/test_crash_ledger.py
@@ -31,6 +31,7 @@
 
 
 def crashed(run, before):
+    """A crash verdict that is always ``CRASHED``."""
     return CrashVerdict.CRASHED
 
 
@@ -214,6 +215,7 @@
     """The registry and the agent show whether a backend server crashed or survived."""
 
     def register_and_lose_run(self, started_ms=5):
+        """Registers a backend server; a run is lost there at 10 s."""
         self.started_ms = started_ms
         self.fleet = Fleet()
         self.fleet.registry_changed(0.0, registration("b1", started_ms=started_ms))
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -78,6 +78,7 @@
         self.plans.start(self.app.at)
 
     def plans_in(self, seconds):
+        """The number of plans made within so many seconds."""
         with mock.patch.object(Planner, "plan", autospec=True, return_value={}) as plan:
             for _ in range(round(seconds / STEP_S)):
                 self.app.at += STEP_S
@@ -86,6 +87,7 @@
 
     @staticmethod
     def other_entry():
+        """An entry that is no planner."""
         return next(name for name in ENTRIES if name not in planners(ENTRIES))
 
     def test_an_entry_with_refused_callers_alone_leaves_plans_to_planners(self):
--- a/tests/gateway/cover/test_initial_discovery.py
+++ b/tests/gateway/cover/test_initial_discovery.py
@@ -19,6 +19,7 @@
 
 
 def reported_backend(name, **fields):
+    """A backend server whose agent has reported."""
     return samples.backend(name, 0.0, samples.engine_state(name, **fields))
 
 
--- a/tests/gateway/cover/test_obstacles.py
+++ b/tests/gateway/cover/test_obstacles.py
@@ -13,6 +13,7 @@
 
 class TestObstacles(unittest.TestCase):
     def find_obstacles(self, *backends, demands=None):
+        """The obstacles to a load of ``tutor``, for which a call waits."""
         names = ("tutor", "poet", "coder")
         spec = samples.engine(*[samples.model(name) for name in names])
         demands = {"tutor": Demand(0.2, 1), **(demands or {})}
--- a/tests/gateway/cover/test_quotas.py
+++ b/tests/gateway/cover/test_quotas.py
@@ -66,6 +66,7 @@
         self.account = QuotaAccount()
 
     def grant(self, now, share=0.0, advance=0.0, asked_at=None):
+        """Grants what the entry requested at ``asked_at``, by default just now."""
         asked_at = now if asked_at is None else asked_at
         self.account.granted(now, LIMIT, asked_at, share, advance)
 
@@ -154,11 +155,16 @@
         self.numbers, self.last_answered = {}, {}
 
     def start_allocator(self, now, members=None, term=1):
+        """An allocator elected at ``now``; ``members``: the recorded shares."""
         allocator = QuotaAllocator(term, now, members or {})
         allocator.configured(now, LIMITS)
         return allocator
 
     def ask(self, now, entry, demand=0.0, share=0.0, wanted=0.0, process="p1"):
+        """Sends a request that confirms the last answer; returns the customer's grant.
+
+        The record of shares is written at once. Returns ``None`` without an answer.
+        """
         key = (entry, process)
         self.numbers[key] = self.numbers.get(key, 0) + 1
         last_answered = self.last_answered.get(key, 0)
--- a/tests/gateway/cover/test_retry_prediction.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -14,6 +14,7 @@
 
 
 def call(caller_timeout_s, now=0.0, name="/a/", **fields):
+    """A call whose caller waits ``caller_timeout_s`` for its answer."""
     route = samples.route(prefix=name, **fields)
     return samples.call(route, now=now, deadline=caller_timeout_s)
 
--- a/tests/gateway/cover/test_selection.py
+++ b/tests/gateway/cover/test_selection.py
@@ -13,6 +13,7 @@
 
 
 def holder(instance, **fields):
+    """A backend server whose engine holds ``tutor``."""
     state = samples.engine_state(instance, ["tutor"], **fields)
     return samples.backend(instance, NOW, state, service="llm", slots=64)
 
--- a/tests/gateway/cover/test_store_concurrency.py
+++ b/tests/gateway/cover/test_store_concurrency.py
@@ -195,6 +195,7 @@
         self.store.start_load("b1")
 
     def silence_agent(self, name, from_s, to_s):
+        """Runs the store until ``to_s``; from ``from_s`` on the agent is silent."""
         self.store.run(from_s - self.store.now)
         self.store.silent[name] = self.store.now - 60
         self.store.run(to_s - self.store.now)
--- a/tests/gateway/cover/test_store_permit_holder.py
+++ b/tests/gateway/cover/test_store_permit_holder.py
@@ -49,11 +49,14 @@
         (self.renewals if lasts else self.tasks).append(task)
 
     async def settle(self):
+        """Waits for all tasks apart from renewals of leases."""
         while self.tasks:
             await self.tasks.pop()
 
 
 class Events:
+    """Records the log lines that are emitted."""
+
     def __init__(self):
         self.lines = []
 
@@ -86,6 +89,7 @@
         return order
 
     async def release_if_unused(self, load_in_progress=False):
+        """Lets the holder release a permit without a load; waits until it has."""
         self.holder.release_if_unused(self.app.at, load_in_progress)
         await self.app.settle()
 
@@ -97,6 +101,7 @@
         self.first, self.second = Agent(self.kv, "a1"), Agent(self.kv, "a2")
 
     def held(self):
+        """The keys of the permits in the key-value service."""
         return [key for key in self.kv.records if key.startswith(prefix_of(SERVICE))]
 
     async def test_one_agent_holds_the_only_permit(self):
--- a/tests/gateway/cover/test_timeline.py
+++ b/tests/gateway/cover/test_timeline.py
@@ -7,6 +7,7 @@
 
 
 def line(instance, uptime_s, event, clock=1000.0, **fields):
+    """A log line; ``clock`` is the process's wall clock at its start."""
     return {
         "time": clock + uptime_s,
         "uptime_s": uptime_s,
--- a/tests/gateway/cover/test_wakeups.py
+++ b/tests/gateway/cover/test_wakeups.py
@@ -12,6 +12,7 @@
 
 class TestWakeups(unittest.TestCase):
     def wakes_calls(self, before=STATE, **changes):
+        """Whether calls wake when ``STATE`` with ``changes`` follows ``before``."""
         backend = samples.backend("b1", 0.0, before)
         return wakes_waiting_calls(backend, replace(STATE, **changes))
 
