--- a/tests/adapter/failures/test_poison_parts.py
+++ b/tests/adapter/failures/test_poison_parts.py
@@ -1,5 +1,5 @@
-"""Requests of which no two are alike, with one part of the prompt in common that ends
-each engine, at any entry and beside sound ones."""
+"""Poison prompt parts: the requests all differ, but share one part of the prompt that
+crashes every engine. They arrive at any entry, among sound requests."""
 
 import asyncio
 import contextlib
@@ -12,20 +12,20 @@
 from tests.adapter.failures.test_poison_requests import PoisonedFleet
 
 MODEL_NAME = MODEL["name"]
-FIRST = "5c1e07a2"
-BAD = "badbad01"
-SOUND = ("91bd3f06", "91bd3f07", "91bd3f08")
-#: How soon after the fifth end all entries have to know. Seconds.
+FIRST_PART = "5c1e07a2"
+POISON_PART = "badbad01"
+SOUND_PARTS = ("91bd3f06", "91bd3f07", "91bd3f08")
+#: All entries must know of the quarantine so long after the fifth crash. Seconds.
 PROPAGATION_S = 3.0
-#: What may reach engines later than that.
+#: How many poison requests may still reach engines after that.
 MAX_LATE_ARRIVALS = 3
 PART_QUARANTINE_CRASHES = 5
 
 
 class PoisonPartFleet(PoisonedFleet):
-    """Callers of sound and of bad prompts at each entry."""
+    """A fleet whose entries all receive sound and poison prompts."""
 
-    async def begin(self, entries=2, engines=5, bad=(BAD,), **fields):
+    async def begin(self, entries=2, engines=5, bad=(POISON_PART,), **fields):
         await super().begin(entries, engines, **fields)
         self.numbers = itertools.count()
         self.outcomes = []
@@ -34,9 +34,12 @@
             replica.events, replica.gap_s = 10, 0.03
 
     async def send(self, entry, *middle):
-        """A call whose body and last part no other has; returns its status."""
+        """Send a call with a unique body and a unique last prompt part.
+
+        Returns its status, None if the call failed.
+        """
         number = next(self.numbers)
-        parts = (FIRST, *middle, f"{number:08x}")
+        parts = (FIRST_PART, *middle, f"{number:08x}")
         headers = {
             "X-Prompt-Prefix": ",".join(f"{part}:100" for part in parts),
             "X-Deadline-Ms": "6000",
@@ -56,12 +59,14 @@
         status = await self.send(entry, *middle)
         self.outcomes.append((asyncio.get_running_loop().time(), status))
 
-    async def generate_load(self, seconds, bad_every_s, sound_every_s, bad=(BAD,)):
-        """Both kinds of calls for so long, by turns at all entries."""
+    async def generate_load(
+        self, seconds, bad_every_s, sound_every_s, bad=(POISON_PART,)
+    ):
+        """Send both kinds of calls to the entries, round robin, for ``seconds``."""
         loop = asyncio.get_running_loop()
         entries, calls = itertools.cycle(self.entries), []
         end, next_bad, bad_parts = loop.time() + seconds, 0.0, itertools.cycle(bad)
-        sound_parts = itertools.cycle(SOUND)
+        sound_parts = itertools.cycle(SOUND_PARTS)
         while loop.time() < end:
             if loop.time() >= next_bad:
                 next_bad = loop.time() + bad_every_s
@@ -73,25 +78,27 @@
         await asyncio.gather(*calls)
 
     def engine_crash_times(self):
-        """When engines ended, in order."""
+        """When engines crashed, in order. Seconds of the event loop's clock."""
         times = [at for item in self.replicas.values() for at in item.crash_times]
         return sorted(times)
 
     def arrivals_after(self, time):
-        """Poison requests that reached engines later than that."""
+        """How many poison requests reached engines after ``time``."""
         arrivals = [
             at for item in self.replicas.values() for at in item.poison_arrivals
         ]
         return sum(at > time for at in arrivals)
 
     def sound_success_rate(self, since, until=float("inf")):
-        """The part of the sound calls that ended then and were served."""
-        found = [status for at, status in self.outcomes if since <= at < until]
-        return sum(status == 200 for status in found) / max(1, len(found))
+        """The fraction of the sound calls finished in that time that were served."""
+        statuses = [status for at, status in self.outcomes if since <= at < until]
+        return sum(status == 200 for status in statuses) / max(1, len(statuses))
 
 
 class TestPoisonPart(unittest.IsolatedAsyncioTestCase):
-    """Each was at its first end, so nobody held any back."""
+    """A quarantine by whole requests isn't enough: each of these requests differs, so
+    each was at its first crash and none was deferred or quarantined.
+    """
 
     def assert_quarantined(self, fleet, parts=1):
         engine_crash_times = fleet.engine_crash_times()
@@ -99,11 +106,11 @@
             known_at = (
                 engine_crash_times[PART_QUARANTINE_CRASHES * parts - 1] + PROPAGATION_S
             )
-            later = fleet.arrivals_after(known_at)
+            late_arrivals = fleet.arrivals_after(known_at)
             self.assertLessEqual(
-                later, MAX_LATE_ARRIVALS * parts, len(engine_crash_times)
+                late_arrivals, MAX_LATE_ARRIVALS * parts, len(engine_crash_times)
             )
-        # The last end is soon after the first.
+        # The crashes stop soon after the first.
         self.assertLess(
             engine_crash_times[-1] - engine_crash_times[0], 2 * PROPAGATION_S * parts
         )
@@ -127,11 +134,11 @@
         async with PoisonPartFleet() as fleet:
             await fleet.begin(entries=1)
             await fleet.generate_load(6.0, bad_every_s=0.4, sound_every_s=0.1)
-            ended = len(fleet.engine_crash_times())
+            crashes = len(fleet.engine_crash_times())
             late = await fleet.entry("late")
             await fleet.wait_ready(late)
             fleet.entries = [late]
             await fleet.generate_load(5.0, bad_every_s=0.4, sound_every_s=0.1)
-            self.assertEqual(len(fleet.engine_crash_times()), ended)
+            self.assertEqual(len(fleet.engine_crash_times()), crashes)
             loop = asyncio.get_running_loop()
             self.assertGreater(fleet.sound_success_rate(loop.time() - 3.0), 0.9)
--- a/tests/adapter/failures/test_poison_requests.py
+++ b/tests/adapter/failures/test_poison_requests.py
@@ -1,4 +1,5 @@
-"""Requests that end each engine that runs them, and come again at any entry."""
+"""Poison requests: they crash every engine that runs them, and are retried at any
+entry."""
 
 import asyncio
 import signal
@@ -16,27 +17,29 @@
 MODEL_NAME = MODEL["name"]
 POISON = b"ends the engine"
 STREAM = b"a long stream"
-#: The crash after which a request that was at each is to reach no engine any more.
+#: A request that was running at so many crashes must reach no engine any more.
 QUARANTINE_CRASHES = 3
-#: The pause between two tries of a caller: entries have told each other by then. An
-#: engine is down for longer, so tries meet different engines. Seconds.
-PAUSE_S = 0.3
-#: A start under a new name is listed after so long, and the one before is listed as
-#: long beside it. Seconds.
+#: The pause between two attempts of a caller: entries have exchanged updates by then.
+#: An engine is down for longer, so attempts reach different engines. Seconds.
+RETRY_INTERVAL_S = 0.3
+#: A replica restarted under a new id is listed after so long, and its previous id
+#: stays listed beside it for as long again. Seconds.
 RELIST_DELAY_S = 0.8
 
 
 class PoisonedFleet(Fleet):
-    """Entries before engines that a request with the body :data:`POISON` ends."""
+    """Entries and engines; a request with the body :data:`POISON` crashes an engine."""
 
     def __init__(self):
         super().__init__()
         self.entries = []
 
     async def begin(self, entries=2, engines=4, renamed=False):
-        """Start all of it; each engine holds the model. If ``renamed``, a replica that
-        is back has a new name, which the registry lists a moment later, beside the name
-        that it had; nobody tells when it started."""
+        """Start the fleet; each engine holds the model.
+
+        If ``renamed``, a replica restarts under a new id, which the registry lists a
+        moment later, beside its previous id, and no start time is reported.
+        """
         self.configure()
         for number in range(engines):
             host = f"127.0.0.{number + 2}"
@@ -58,17 +61,21 @@
             await self.wait_entries_known(entry)
 
     async def wait_entries_known(self, entry):
-        """Wait until it knows how many share the budget of second attempts: until then
-        its part is too small for a stream that engines end under."""
+        """Wait until the entry knows how many entries share the retry budget.
+
+        Until then its share is too small for a stream whose engines crash.
+        """
 
         async def knows():
             found = await self.metrics(entry)
             return found["bambootiller_entries_known"] >= len(self.entries)
 
-        await wait_until(knows, f"{entry.document['node-name']} knows the entries")
+        await wait_until(
+            knows, f"{entry.document['node-name']} knows the number of entries"
+        )
 
     async def wait_served(self, entry):
-        """Wait until the entry has calls of the model answered."""
+        """Wait until the entry serves calls for the model."""
 
         async def served():
             status, _ = await self.call(entry, MODEL_NAME, body=b"first")
@@ -77,22 +84,22 @@
         await wait_until(served, f"{entry.document['node-name']} serves")
 
     async def send_repeatedly(self, count, entries, body=POISON):
-        """Call ``count`` times, at one entry after the other; returns the statuses."""
+        """Send ``count`` calls to the entries, round robin; returns the statuses."""
         statuses = []
         for number in range(count):
             entry = entries[number % len(entries)]
             statuses.append(await self.status(entry, body, f"p-{number}"))
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
         return statuses
 
     async def set_source_address(self, host):
-        """Call from that address from now on."""
+        """Send further calls from the source address ``host``."""
         await self.session.close()
         connector = aiohttp.TCPConnector(local_addr=(host, 0), force_close=True)
         self.session = aiohttp.ClientSession(connector=connector)
 
     async def status(self, entry, body, attempt):
-        """The status of one call, None if it was cut."""
+        """The status of one call, None if its connection failed."""
         try:
             status, _ = await self.call(entry, MODEL_NAME, attempt=attempt, body=body)
         except aiohttp.ClientError:
@@ -113,7 +120,7 @@
         return start
 
     def poison_runs(self):
-        """How many runs of it have begun."""
+        """How many runs of the poison request engines have started."""
         return sum(
             run.body == POISON
             for replica in self.replicas.values()
@@ -121,11 +128,11 @@
         )
 
     def crashes(self):
-        """How often an engine has ended."""
+        """How many crashes all engines together have had."""
         return sum(replica.crashes for replica in self.replicas.values())
 
     def relist_callback(self, replica):
-        """What lists a replica that is back."""
+        """A callback that lists a restarted replica under its id."""
 
         def put():
             self.store.put(f"servers/{replica.instance}", replica.entry())
@@ -153,16 +160,18 @@
             self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
     async def test_it_is_quarantined_though_engines_return_under_other_names(self):
-        """The agent names the engine that is back as the one before, which made the
-        crash look like a lost connection."""
+        """The agent reports the restarted engine under the previous id, which made
+        the crash look like a lost connection.
+        """
         async with PoisonedFleet() as fleet:
             await fleet.begin(renamed=True)
             await fleet.send_repeatedly(20, fleet.entries)
             self.assertEqual(fleet.poison_runs(), QUARANTINE_CRASHES)
 
     async def test_it_is_quarantined_whatever_its_source_address(self):
-        """A caller's tries come through different addresses, by the entry that each
-        goes to."""
+        """A caller's attempts have different source addresses, depending on the entry
+        that each goes to.
+        """
         async with PoisonedFleet() as fleet:
             await fleet.begin()
             for number in range(6):
@@ -203,7 +212,7 @@
 
 
 class TestSoundRequests(unittest.IsolatedAsyncioTestCase):
-    """Requests that only were where engines ended are served all the same."""
+    """Requests that happened to run at crashing engines are still served."""
 
     async def test_they_are_served_beside_a_poison_request(self):
         async with PoisonedFleet() as fleet:
@@ -243,29 +252,33 @@
             self.assertEqual(entry.events("request_quarantined"), [])
 
     async def replica_of_run(self, fleet, number):
-        """The replica at which that run of the stream has begun."""
-        seen = {}
+        """Wait for run ``number`` of the stream; returns the replica that runs it."""
+        found = {}
 
-        async def begun():
+        async def has_started():
             runs = {
                 name: sum(run.body == STREAM for run in replica.runs)
                 for name, replica in fleet.replicas.items()
             }
-            grown = [name for name in runs if runs[name] > self.seen.get(name, 0)]
+            grown = [name for name in runs if runs[name] > self.runs_seen.get(name, 0)]
             if grown:
-                seen["at"], self.seen = grown[0], runs
+                found["replica"], self.runs_seen = grown[0], runs
             return bool(grown)
 
-        await wait_until(begun, f"run {number} of the stream begins", pause_s=0.02)
-        return fleet.replicas[seen["at"]]
+        await wait_until(
+            has_started, f"run {number} of the stream starts", pause_s=0.02
+        )
+        return fleet.replicas[found["replica"]]
 
     def setUp(self):
-        self.seen = {}
+        self.runs_seen = {}
 
 
 class TestEngineLostSilently(unittest.IsolatedAsyncioTestCase):
-    """An engine that ends without closing its connections loses runs by their callers'
-    leaving alone; the request that did it would go on to the next one."""
+    """An engine dies without closing its connections, so its runs end only when their
+    callers disconnect. If those runs didn't count as lost, the poison request would go
+    on to the next engine.
+    """
 
     async def asyncSetUp(self):
         self.harness = EntryHarness()
@@ -279,7 +292,7 @@
         await self.harness.close()
 
     def report_silent_engines(self):
-        """The agent beside each engine that has run something says so."""
+        """Have the agents report each engine that has run a call as silent."""
         now = asyncio.get_running_loop().time()
         for replica in self.harness.replicas:
             if replica.runs:
@@ -304,7 +317,7 @@
         return answer
 
     def expire_registrations(self):
-        """Engines that have run something are listed no more."""
+        """Remove each engine that has run a call from the registry."""
         now = asyncio.get_running_loop().time()
         for replica in self.harness.replicas:
             if replica.runs:
--- a/tests/adapter/failures/test_processes.py
+++ b/tests/adapter/failures/test_processes.py
@@ -1,4 +1,4 @@
-"""The real programs before stand-ins of the platform, while parts fail."""
+"""The real programs against stand-ins of the platform, while parts of it fail."""
 
 import asyncio
 import json
@@ -14,8 +14,8 @@
 MODEL_NAME = MODEL["name"]
 
 
-class TestWholePath(unittest.IsolatedAsyncioTestCase):
-    async def test_a_model_that_nobody_holds_is_loaded_and_its_caller_served(self):
+class TestLoadOnDemand(unittest.IsolatedAsyncioTestCase):
+    async def test_a_model_that_no_engine_holds_is_loaded_and_its_caller_served(self):
         async with Fleet() as fleet:
             fleet.configure()
             replica = await fleet.replica("127.0.0.2", "i-1", "llm")
@@ -33,7 +33,7 @@
             self.assertEqual(loads, [MODEL_NAME])
             self.assertGreater(replica.orders[0]["fencing-token"], 0)
 
-    async def test_an_adapter_is_loaded_when_a_call_asks_for_it(self):
+    async def test_an_adapter_is_loaded_when_a_call_requests_it(self):
         async with Fleet() as fleet:
             fleet.configure()
             replica = await fleet.replica("127.0.0.2", "i-1", "llm", (MODEL_NAME,))
@@ -66,11 +66,11 @@
             self.assertEqual(status, 200)
             self.assertTrue(await fleet.is_ready(entry))
 
-    async def test_an_entry_that_starts_meanwhile_gets_state_from_another(self):
-        """Symptom: an entry that restarts during an outage refuses every call.
+    async def test_an_entry_that_starts_meanwhile_gets_state_from_a_peer(self):
+        """Failure: an entry that restarts during a store outage refuses every call.
 
-        The store answers nobody, so the new process has no configuration and knows no
-        backend server, though the entry beside it knows both.
+        The store answers no request, so the new process has neither a configuration nor
+        backend servers, although another entry has both.
         """
         async with Fleet() as fleet:
             fleet.configure(version=5)
@@ -83,8 +83,8 @@
             await fleet.wait_ready(second)
             status, _ = await fleet.call(second, MODEL_NAME)
             self.assertEqual(status, 200)
-            (taken,) = second.events("config_in_force")
-            self.assertEqual((taken["config_version"], taken["source"]), (5, "e1"))
+            (applied,) = second.events("config_in_force")
+            self.assertEqual((applied["config_version"], applied["source"]), (5, "e1"))
 
     async def test_a_change_takes_effect_after_the_history_is_compacted(self):
         async with Fleet() as fleet:
@@ -97,8 +97,8 @@
             fleet.configure(version=4)
 
             async def in_force():
-                taken = entry.events("config_in_force")
-                return taken[-1]["config_version"] == 4
+                applied = entry.events("config_in_force")
+                return applied[-1]["config_version"] == 4
 
             await wait_until(in_force, "version 4 is in force")
             versions = [
@@ -149,8 +149,8 @@
 
 
 class TestSignals(unittest.IsolatedAsyncioTestCase):
-    async def test_sighup_reloads_settings_and_ends_nothing(self):
-        """Symptom: the process ends with code 129 when its settings file changes."""
+    async def test_sighup_reloads_settings_without_ending_the_process(self):
+        """Failure: SIGHUP after a settings change ended the process with code 129."""
         async with Fleet() as fleet:
             fleet.configure()
             replica = await fleet.replica("127.0.0.2", "i-1", "llm", (MODEL_NAME,))
@@ -167,11 +167,11 @@
             status, _ = await fleet.call(entry, MODEL_NAME)
             self.assertEqual(status, 200)
 
-    async def test_sighup_during_a_start_ends_nothing(self):
-        """Symptom: a process ends by itself when settings change as it starts.
+    async def test_sighup_during_startup_does_not_end_the_process(self):
+        """Failure: a process ends when its settings change while it starts.
 
-        The hang-up comes while the libraries are being loaded. The handler is
-        installed after that, and without one a hang-up ends a process.
+        SIGHUP arrives while the libraries are being imported. If the handler were
+        installed only after that, the default action would end the process.
         """
         async with Fleet() as fleet:
             fleet.configure()
@@ -179,10 +179,12 @@
             entry = await fleet.entry("e1")
             maps = Path(f"/proc/{entry.process.pid}/maps")
 
-            async def loading():
+            async def importing():
                 return "pydantic" in maps.read_text()
 
-            await wait_until(loading, "the libraries are being loaded", pause_s=0.001)
+            await wait_until(
+                importing, "the libraries are being imported", pause_s=0.001
+            )
             self.assertEqual(entry.events("started"), [])
             entry.process.send_signal(signal.SIGHUP)
 
@@ -193,7 +195,7 @@
             await fleet.wait_ready(entry)
             self.assertIsNone(entry.process.returncode)
 
-    async def test_a_planned_stop_cuts_no_stream(self):
+    async def test_a_planned_stop_interrupts_no_stream(self):
         async with Fleet() as fleet:
             fleet.configure()
             replica = await fleet.replica("127.0.0.2", "i-1", "llm", (MODEL_NAME,))
@@ -216,7 +218,7 @@
                 self.assertTrue(body.endswith(b"data: 40\n\n"))
             self.assertFalse(await fleet.is_ready(entry))
 
-    async def test_bad_settings_are_named(self):
+    async def test_invalid_settings_are_reported(self):
         async with Fleet() as fleet:
             entry = await fleet.start("entry", {"node-name": "e1"})
             code = await asyncio.wait_for(entry.process.wait(), 30)
--- a/tests/adapter/failures/test_program_failures.py
+++ b/tests/adapter/failures/test_program_failures.py
@@ -1,9 +1,8 @@
-"""A program of a test that doesn't get ready says why.
+"""When a program of a test doesn't get ready, the test's failure shows the cause.
 
-Symptom: a test fails with "e0 ready: not within 40.0 s", and nothing tells the cause.
-Sequence: an entry can't bind its port and ends; the test goes on asking whether it is
-ready, and then removes the folder with its log. Cause: the harness looked neither at
-exit codes nor at logs.
+Failure: a test fails with "e0 ready: not within 40.0 s" and no cause. An entry can't
+bind its port and exits; the harness, which checked neither exit codes nor logs, keeps
+polling its readiness and then removes the folder with its log.
 """
 
 import signal
@@ -15,13 +14,13 @@
 
 class TestNotReady(unittest.IsolatedAsyncioTestCase):
     async def test_a_port_conflict_is_reported_with_the_last_log_lines(self):
-        """An outgoing connection has the port, as it may with ports of the kernel."""
+        """An outgoing connection uses the port, as can happen with ephemeral ports."""
         async with Fleet() as fleet:
             fleet.configure()
-            with socket.create_server(("127.0.0.1", 0)) as far:
-                near = socket.create_connection(far.getsockname())
-                port = near.getsockname()[1]
-                with near, self.assertRaises(NotReady) as caught:
+            with socket.create_server(("127.0.0.1", 0)) as listener:
+                client = socket.create_connection(listener.getsockname())
+                port = client.getsockname()[1]
+                with client, self.assertRaises(NotReady) as caught:
                     entry = await fleet.entry("e0", front_port=port)
                     await fleet.wait_ready(entry)
         message = str(caught.exception)
