--- a/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
+++ b/packages/bambootiller/src/bambootiller/gateway/gateway_state.py
@@ -41,7 +41,7 @@
 #: expired are written again within two seconds, and those still missing 0.3 s later
 #: count as removed (``fleet.EXPIRY_GRACE_S``). Seconds.
 RECOVERY_BATCH_DELAY_S = 0.25
-#: How often a watcher that isn't needed checks whether it is. Seconds.
+#: How often a paused watcher checks whether it is needed again. Seconds.
 IDLE_POLL_S = 0.5
 
 Listener = Callable[[Changed], None]
@@ -302,7 +302,7 @@
 
 
 class ChangeNotifier:
-    """Wakes tasks that wait for a change of the fleet or of the configuration."""
+    """Wakes tasks that wait for a change of the fleet or the configuration."""
 
     def __init__(self) -> None:
         #: The number of changes so far.
--- a/packages/bambootiller/src/bambootiller/gateway/meters.py
+++ b/packages/bambootiller/src/bambootiller/gateway/meters.py
@@ -46,7 +46,7 @@
 
 
 def counts(kind: type[lines.LogLine]) -> Callable[[CountFunction], CountFunction]:
-    """Register the function that counts events of one kind."""
+    """Register the decorated function to count events of one kind."""
 
     def register(function: CountFunction) -> CountFunction:
         _COUNT_FUNCTIONS[kind] = function
--- a/packages/bambootiller/src/bambootiller/gateway/metrics_page.py
+++ b/packages/bambootiller/src/bambootiller/gateway/metrics_page.py
@@ -65,7 +65,7 @@
                 self._serve, host, port, limit=MAX_HEAD_BYTES
             )
         except OSError as exc:
-            log.warning("no metrics page at {}:{}: {}", host, port, exc)
+            log.warning("cannot bind the metrics page to {}:{}: {}", host, port, exc)
 
     async def stop(self) -> None:
         """Close the port and all connections."""
--- a/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
+++ b/packages/bambootiller/src/bambootiller/gateway/registry_faults.py
@@ -16,7 +16,7 @@
 #: The longest description of a fault in a log line, in characters; enough for a field
 #: and its fault.
 MAX_DETAIL_CHARS = 200
-KEY_NOT_TEXT = "the key isn't text that a message can carry"
+KEY_NOT_TEXT = "the key is not valid text, so messages cannot carry it"
 
 
 class RegistryFaults:
