--- a/tests/adapter/failures/test_calls.py
+++ b/tests/adapter/failures/test_calls.py
@@ -75,9 +75,10 @@
         self.assertLess(loop.time() - started_at, 1.0)
 
     async def test_an_entry_that_has_just_started_waits_for_its_agents(self):
-        """Symptom: all calls of the first moment after a restart are refused.
+        """Guards against refusing all calls right after a restart of the entry.
 
-        The entry has its configuration, but no agent has said yet what it holds.
+        The entry has its configuration, but no agent has reported yet which models its
+        engine holds.
         """
         replica = await self.llm()
         self.harness.context.started_at = asyncio.get_running_loop().time()
@@ -90,10 +91,10 @@
 
 class TestGarbledAnswers(CallCase):
     async def test_an_answer_cut_short_is_replaced_by_another(self):
-        """Symptom: a caller gets half a body with a success.
+        """Guards against a successful answer with half of its body.
 
-        The replica breaks off before the announced length. Nothing has been passed on
-        yet, and the call may run twice.
+        The replica closes the connection before the announced length. Nothing has been
+        forwarded yet, and the call is idempotent, so it is retried.
         """
         replica = await self.plain()
         await self.plain("i-2")
@@ -126,10 +127,10 @@
         self.assertNotIn(b"forged", answer.body)
 
     async def test_an_answer_to_another_call_is_skipped(self):
-        """Symptom: a caller gets the answer to somebody else's call.
+        """Guards against a caller getting the answer to another call.
 
-        An answer that was held up arrives where the next one is due, on the same
-        connection.
+        A delayed answer arrives on the same connection where the next answer is
+        expected.
         """
         replica = await self.plain()
         stray = (
@@ -209,10 +210,10 @@
         self.assertLess(loop.time() - started_at, 0.6)
 
     async def test_the_replicas_run_ends_when_the_caller_disconnects(self):
-        """Symptom: a replica goes on for ten seconds for a caller who has left.
+        """Guards against runs that go on for ten seconds after the caller disconnected.
 
-        The caller leaves in the very moment in which an event comes. The relay's wait
-        for the event ends with the event, and its cancellation is forgotten.
+        The caller disconnects at the moment at which an event arrives. The entry's wait
+        for the event completes with the event, and its cancellation is lost.
         """
         replica = await self.llm()
         replica.events, replica.gap_s = 1000, 0.001
@@ -231,10 +232,10 @@
         self.assertEqual(answer.headers[b"connection"], b"close")
 
     async def test_late_in_a_planned_stop_a_new_call_is_refused_not_cut(self):
-        """Symptom: a stream is cut in the middle by a planned stop.
+        """Guards against a planned stop that cuts a stream.
 
-        A caller reuses a kept connection four seconds after the stop has begun, and its
-        stream isn't over when the process must end.
+        A caller reuses a keep-alive connection four seconds after the stop has begun,
+        and its stream hasn't ended when the process must exit.
         """
         replica = await self.plain()
         self.harness.leaving = True
@@ -280,10 +281,10 @@
         self.assertFalse(answer.whole)
 
     async def test_a_broken_stream_resumes_after_its_last_complete_event(self):
-        """Symptom: a caller's text has a torn piece in the middle.
+        """Guards against a fragment of an event in the middle of a caller's text.
 
-        The replica breaks off in the middle of an event; the second run begins with
-        that event from its start.
+        The replica closes the connection within an event; the second run starts with
+        that event from its beginning.
         """
         replicas = [await self.llm("i-1"), await self.llm("i-2")]
         broken = []
@@ -309,10 +310,10 @@
         self.assertEqual(resumed[0].headers["last-event-id"], "3")
 
     async def test_the_only_holder_is_retried_when_it_loses_an_answer(self):
-        """Symptom: calls end with an unknown outcome although they may be repeated.
+        """Guards against an unknown outcome of calls that may be retried.
 
-        The only engine that holds the model resets the connection; there is no other
-        to turn to.
+        The only engine that holds the model resets the connection, and there is no
+        other one to fail over to.
         """
         replica = await self.llm()
         self.break_off(replica)
@@ -320,11 +321,11 @@
         self.assertEqual((answer.body, answer.whole), (self.whole(), True))
 
     async def test_an_event_out_of_order_loses_no_event_before_it(self):
-        """Symptom: a caller's text lacks an event, and its stream looks whole.
+        """Guards against a stream that looks whole but lacks an event.
 
-        A read brings event 3 and then event 2 again. Neither was passed on, but event 3
-        was noted as passed on before the other was found to be out of order. The second
-        run went on behind it.
+        One read returns event 3 and then event 2 again. Neither was forwarded, but
+        event 3 was recorded as forwarded before event 2 was found to be out of order,
+        so the second run resumed after event 3.
         """
         replicas = [await self.llm("i-1"), await self.llm("i-2")]
         broken = []
@@ -364,10 +365,10 @@
         return {**CONFIG, "routes": [{**ROUTE, "resumable": False}]}
 
     async def test_a_repeated_event_is_forwarded_once(self):
-        """Symptom: a caller's text has a passage twice.
+        """Guards against repeated text in a caller's stream.
 
-        A replica sends an event again. The attempt ends there, and the next one goes on
-        behind the last event passed on.
+        A replica sends an event twice. The attempt ends there, and the next one resumes
+        after the last event that was forwarded.
         """
         replica = await self.llm()
 
@@ -384,11 +385,11 @@
 
 class TestCrash(CallCase):
     async def test_a_crashed_engine_is_not_connected_to_repeatedly(self):
-        """Symptom: an entry makes thousands of connections in a second.
+        """Guards against thousands of connection attempts per second.
 
-        The only engine with a model crashes under a call that may be repeated. It is
-        sent there again, as nobody else holds the model; no connection is made, which
-        costs no attempt, and the next choice is the same.
+        The only engine that holds a model crashes during a call that may be retried.
+        The call is sent there again, as no other engine holds the model. A failed
+        connection doesn't count as an attempt, and the next choice is the same engine.
         """
         replica = await self.llm()
 
@@ -406,9 +407,10 @@
         self.assertLess(loop.time() - started_at, 1.0)
 
     async def test_a_second_attempt_there_uses_no_kept_connection(self):
-        """Symptom: a stream is cut though the engine was back in the same moment.
+        """Guards against cutting a stream although the engine is back at once.
 
-        Its second attempt went out on a connection that had died with the first.
+        The second attempt was sent on an idle connection that had been broken together
+        with that of the first.
         """
         replica = await self.llm()
         replica.gap_s = 0.0
@@ -424,11 +426,11 @@
 
 class TestSilence(CallCase):
     async def test_a_silent_replica_is_waited_for_if_there_is_no_other(self):
-        """Symptom: calls end with an unknown outcome right after a model was loaded.
+        """Guards against unknown outcomes right after a model was loaded.
 
-        All that waited for it arrive at once at its only holder, and the first event
-        takes longer than the silence after which a call goes elsewhere; but there is
-        nowhere to go.
+        All calls that waited for the model arrive at its only holder at once, and the
+        first event takes longer than the silence timeout of a failover, but there is no
+        other holder to fail over to.
         """
         replica = await self.llm()
         replica.events, replica.gap_s = 2, 0.9
@@ -437,10 +439,11 @@
         self.assertTrue(answer.whole)
 
     async def test_a_call_is_given_up_if_its_engine_has_gone_with_its_agent(self):
-        """Symptom: callers are held until they leave, by an instance without power.
+        """Guards against calls that wait for an instance without power.
 
-        Its engine is the only one that holds the model, so there is nowhere to turn to;
-        but nothing will come of waiting either.
+        Its engine is the only one that holds the model, so there is no failover target.
+        Its agent is silent too, so no answer can come: callers waited until they
+        disconnected.
         """
         replica = await self.llm()
         replica.next_replies = [lambda req: Reply(silent=True)]
@@ -473,8 +476,11 @@
 
 
 class TestOneEntryWithMostCallers(unittest.IsolatedAsyncioTestCase):
-    """Its part of the connections was that of any other entry: beyond it, engines with
-    places counted as out of reach and callers were refused."""
+    """Guards against refusals at an entry that gets most of the callers.
+
+    Each entry could use an equal share of the connections only. Beyond its share,
+    engines with free slots counted as unreachable and callers were refused.
+    """
 
     CALLS = 20
 
--- a/tests/adapter/failures/test_customers.py
+++ b/tests/adapter/failures/test_customers.py
@@ -1,4 +1,4 @@
-"""Keys and quotas of customers, with the real programs."""
+"""API keys and quotas of customers, with real processes."""
 
 import asyncio
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class CustomerFleet(Fleet):
-    """One engine, its agent, and entries."""
+    """One engine with its agent, and entries."""
 
     async def begin(self, customers, entries=1):
         self.configure(tenants=customers)
@@ -36,7 +36,7 @@
         return found
 
     async def statuses(self, entry, count, headers, pause_s=0.0):
-        """How calls one after the other end."""
+        """Send ``count`` calls one after the other and return their statuses."""
         found = []
         for number in range(count):
             attempt = f"{entry.document['node-name']}-{len(self.engine.runs)}-{number}"
@@ -47,7 +47,7 @@
 
 
 class TimedRuns(list):
-    """Notes when each run began."""
+    """A list of runs that records when each run began."""
 
     def __init__(self):
         super().__init__()
@@ -58,7 +58,7 @@
         super().append(run)
 
     def max_in_window(self, window_s):
-        """The most runs in any window."""
+        """Return the maximum number of runs in any window of ``window_s`` seconds."""
         return max(
             sum(begin <= at < begin + window_s for at in self.times)
             for begin in self.times
@@ -66,8 +66,11 @@
 
 
 class TestKeys(unittest.IsolatedAsyncioTestCase):
-    """Keys of callers went on to backend servers, unknown ones were served, and callers
-    named customers themselves."""
+    """Guards against calls without a valid key, and against keys that leave the system.
+
+    Keys of callers were forwarded to backend servers, calls with unknown keys were
+    served, and callers could name a customer in a header themselves.
+    """
 
     async def test_backend_servers_get_the_customers_name_and_no_key(self):
         async with CustomerFleet() as fleet:
@@ -150,8 +153,11 @@
 
 
 class TestQuota(unittest.IsolatedAsyncioTestCase):
-    """A customer could run what it liked; with its limit divided by the number of
-    entries, it was refused far below it."""
+    """Guards against a quota that isn't enforced, or is enforced far too low.
+
+    Without quotas a customer could run any number of calls. With its limit divided
+    equally among the entries, it was refused far below the limit.
+    """
 
     LIMIT = {"unit": "completion", "plain-tokens": 200}
 
@@ -164,7 +170,7 @@
                 return bool(fleet.agent_program.events("quota_allocator"))
 
             await wait_until(allocated, "an agent allocates quotas")
-            # The burst fills.
+            # Wait until the token bucket is full.
             await asyncio.sleep(3.5)
             found = await fleet.statuses(entries[0], 12, bearer(KEY))
             self.assertEqual(found, [200] * 12)
@@ -196,11 +202,14 @@
 
 
 class TestAllocatorOutOfReach(unittest.IsolatedAsyncioTestCase):
-    """Entries speak to the agents of listed engines. The engine beside the allocator
-    had left: its agent kept the key, and when all processes ended and came back, nobody
-    was served for eight seconds."""
+    """Guards against an allocator of quotas that no entry can reach.
 
-    #: Well within the lease of the one before. Seconds.
+    Entries connect only to the agents of registered engines. The allocator's engine had
+    left the registry, but its agent kept the allocator's key. When all processes had
+    ended and restarted, no call was served for eight seconds.
+    """
+
+    #: Well below the lease of the previous allocator. Seconds.
     SERVED_S = 6.0
 
     async def begin(self, fleet):
@@ -214,7 +223,7 @@
             for number, agent in enumerate(agents)
             if agent.events("quota_allocator")
         ]
-        # Its engine leaves.
+        # The engine of the allocator leaves the registry.
         engine = (fleet.engine, self.other)[at]
         fleet.store.remove(f"servers/{engine.instance}")
         return entry, agents[at], agents[1 - at], engine
@@ -250,15 +259,18 @@
 
 
 class TestQuotaUnderFailures(unittest.IsolatedAsyncioTestCase):
-    """The bound of a window was broken where entries started anew, or the allocator
-    stood still and another followed it."""
+    """Guards against exceeding the quota's bound for a window under failures.
+
+    The bound was exceeded when entries restarted, and when the allocator stalled and
+    another agent took over.
+    """
 
     WINDOW_S = 4.0
     COST, RATE, BURST, SLACK = 100, 1000, 1000, 500
     CALLERS, PAUSE_S = 3, 0.05
 
     async def generate_load(self, fleet, entry, number):
-        """A caller who sends more than its part, whatever becomes of it."""
+        """Send calls until cancelled, beyond the quota and whatever their outcome."""
         headers = {**bearer(KEY), "X-Token-Usage": f"{self.COST - 10},10"}
         count = 0
         while True:
@@ -302,7 +314,7 @@
             plain = self.RATE * self.WINDOW_S + self.BURST
             allowed = plain * 1.1 + self.SLACK
             self.assertLessEqual(runs.max_in_window(self.WINDOW_S) * self.COST, allowed)
-            # It is the quota that binds.
+            # The quota is the limiting factor, not the load that is generated.
             self.assertGreater(
                 runs.max_in_window(self.WINDOW_S) * self.COST, 0.6 * plain
             )
--- a/tests/adapter/failures/test_endless_answers.py
+++ b/tests/adapter/failures/test_endless_answers.py
@@ -1,4 +1,4 @@
-"""Answers that never end, and never become answers."""
+"""Answers without an end, and bytes that never become a complete answer."""
 
 import asyncio
 import json
@@ -18,7 +18,7 @@
 SEALED = OK + b"X-Response-Seal: i-1\r\n"
 CHUNKED = SEALED + b"transfer-encoding: chunked\r\n\r\n"
 EVENTS = SEALED + b"content-type: text/event-stream\r\nconnection: close\r\n\r\n"
-#: Bytes that never become an answer.
+#: Bytes that never complete the named part of an answer: a prefix and what is repeated.
 NEVER_COMPLETE = {
     "a status line": (b"", BLOCK),
     "a header": (OK + b"X-A: ", BLOCK),
@@ -28,13 +28,13 @@
     "a trailer": (CHUNKED + b"1\r\nx\r\n0\r\nX-A: ", BLOCK),
     "an event": (EVENTS + b"data: ", BLOCK),
 }
-#: Those that bring a body of which there is no end.
+#: Valid heads with a body that never ends.
 ENDLESS_BODIES = {
     "chunks": (CHUNKED, b"10000\r\n" + BLOCK + b"\r\n"),
     "a length": (SEALED + b"content-length: 999999999999\r\n\r\n", BLOCK),
     "a close": (SEALED + b"connection: close\r\n\r\n", BLOCK),
 }
-#: What a process may take more while several of them come. Bytes.
+#: How much the memory of a process may grow while several of them arrive. Bytes.
 MAX_GROWTH_BYTES = 48 << 20
 PLAIN = {
     "name": "p1",
@@ -49,7 +49,7 @@
 
 
 class TestEntry(unittest.IsolatedAsyncioTestCase):
-    """An entry kept whatever a backend server sent, until its memory was full."""
+    """Guards against an endless answer exhausting the memory of an entry."""
 
     async def begin(self, fleet, **fields):
         fleet.configure(
@@ -61,7 +61,7 @@
         return entry
 
     async def status_of(self, fleet, entry, attempt):
-        """The status of a call, None if its connection was cut."""
+        """Return the status of a call, or None if its connection was cut."""
         try:
             status, _ = await fleet.call(entry, None, "/p/x", attempt)
             return status
@@ -103,7 +103,7 @@
                         self.assertTrue(set(statuses) <= {502}, statuses)
                         self.assertLess(loop.time() - began, 1.4)
             judged = entry.events("backend_judged")
-            self.assertTrue(judged, "nothing was judged")
+            self.assertTrue(judged, "no change of a health state was logged")
 
     async def test_an_event_that_never_ends(self):
         async with Fleet() as fleet:
@@ -123,7 +123,7 @@
                     statuses = await self.run_concurrently(
                         fleet, entry, bytes_before, endless
                     )
-                    # Cut: what has come doesn't look whole.
+                    # Cut, so that the received part doesn't look whole.
                     self.assertEqual(set(statuses), {None})
 
     async def test_a_refusal_with_a_body_without_an_end(self):
@@ -156,7 +156,11 @@
 
 
 class TestReportsAndStoreCalls(unittest.IsolatedAsyncioTestCase):
-    """An agent read a report without end, and any process an answer of the store."""
+    """Guards against memory exhaustion by endless reports and endless store answers.
+
+    An agent read an endless report of its engine, and every process an endless answer
+    of the key-value store, without a bound.
+    """
 
     async def serve(self, bytes_before, endless):
         async def handle(request):
--- a/tests/adapter/failures/test_explained.py
+++ b/tests/adapter/failures/test_explained.py
@@ -1,6 +1,6 @@
-"""From a failed request's id to its cause by what the real programs log.
+"""Finding the cause of a failed request from its id, by the logs of real processes.
 
-These are the three ways of docs/OPERATIONS.md, on output of real processes.
+These tests repeat the three procedures of docs/OPERATIONS.md.
 """
 
 import asyncio
@@ -25,7 +25,10 @@
 
 
 async def timeline_of(request, *programs):
-    """What ``bambootiller explain logs`` prints, once a process names the request."""
+    """Return the lines of ``bambootiller explain logs`` for a request.
+
+    Waits until one of the processes has logged the request's id.
+    """
 
     async def is_logged():
         return any(
@@ -34,7 +37,7 @@
             for line in program.lines()
         )
 
-    await wait_until(is_logged, f"a line names {request}")
+    await wait_until(is_logged, f"a line with {request} is logged")
     logs = [str(program.log) for program in programs]
     command = [sys.executable, "-m", "bambootiller.cli.main", "explain", "logs"]
     process = await asyncio.create_subprocess_exec(
--- a/tests/adapter/failures/test_invalid_registry_entries.py
+++ b/tests/adapter/failures/test_invalid_registry_entries.py
@@ -1,10 +1,10 @@
-"""Entries of the registry that another writer has made, or has made unreadable.
+"""Registry entries that another writer has created or has made unreadable.
 
-Symptom: calls go on to a backend server whose entry says nothing any more, or to an
-address that can't be one; or an entry or an agent stops following the store. Sequence:
-somebody else writes under the registry's prefix. Cause: what was known before an entry
-became unreadable stayed in force, other types were converted, and states and addresses
-weren't checked.
+Guards against calls to a backend server whose registry entry is no longer readable,
+calls to an invalid address, and processes that stop following the store. Another
+writer had written under the registry's prefix: the last readable state of a registry
+entry stayed in use, values of other types were converted, and states and addresses
+weren't validated.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
     *("service", "address", "zone", "slots", "state"),
     *("version", "cold-remaining-ms", "seq"),
 )
-#: Nested deeper than any reader's stack should go.
+#: JSON nested deeper than a recursive parser's stack allows.
 DEEPLY_NESTED = b"[" * 100_000
 OTHER = {**SERVER, "address": "10.1.0.10:8080"}
 BAD_FIELDS = {
@@ -53,7 +53,7 @@
 
 
 def invalid_documents():
-    """Good entries with one field removed or made unusable, and what is no entry."""
+    """Yield registry entries with one field missing or invalid, and other bytes."""
     for name in REQUIRED_FIELDS:
         yield {key: value for key, value in SERVER.items() if key != name}
     for name, values in BAD_FIELDS.items():
@@ -73,7 +73,7 @@
     yield b'{"service": "\\ud800"}'
 
 
-#: Values of any type, for fields of entries that are good otherwise.
+#: Values of any type, for one field of an otherwise valid registry entry.
 ANY_VALUE = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
@@ -82,7 +82,7 @@
 
 
 class Registry:
-    """What a process knows, and a counter of revisions."""
+    """The gateway state of one process, and a counter of store revisions."""
 
     def __init__(self):
         self.events = RecordingEventLog()
@@ -103,7 +103,7 @@
         self.gateway_state.apply_document(change, "store")
 
     def usable_instances(self):
-        """The backend servers that calls, loads and orders may go to."""
+        """Return the ids of backend servers that calls, loads and orders may use."""
         of_service = self.gateway_state.fleet.of_service("llm")
         iterated = [
             one for one in self.gateway_state.fleet if not one.registration.leaving
@@ -183,7 +183,10 @@
                 registry.remove(key)
 
     def test_a_key_that_no_message_can_carry_is_not_forwarded(self):
-        """Passed on, it would end the stream to each peer, again and again."""
+        """Guards against a key that can't be encoded ending the stream to each peer.
+
+        If the document were forwarded, every new stream would fail on it again.
+        """
         registry = Registry()
         registry.write("servers/\ud800", SERVER)
         self.assertEqual(registry.gateway_state.documents(), [])
@@ -214,8 +217,11 @@
         self.assertEqual(len(self.registry.events.of_kind("backend_listed")), 2)
 
     def test_that_a_backend_server_begins_to_leave_is_logged(self):
-        """Symptom: the log says of a planned leave only that the entry went. Cause: the
-        state of before was read after the new one had been taken over."""
+        """Guards against a planned leave that is logged only as a removed entry.
+
+        The previous state was read after the new one had been applied, so the change to
+        leaving wasn't detected.
+        """
         for document in (SERVER, SERVER, {**SERVER, "state": "draining"}):
             self.registry.write("servers/i-1", document)
         reported = [
@@ -232,11 +238,11 @@
         self.registry.write("op/config", b"x")
         for line in self.registry.events.lines:
             meters.count(line)
-        for document in ("registry", "configuration"):
+        for label in ("registry", "configuration"):
             found = meters.registry.get_sample_value(
-                "bambootiller_unreadable_documents_total", {"document": document}
+                "bambootiller_unreadable_documents_total", {"document": label}
             )
-            self.assertEqual(found, 1, document)
+            self.assertEqual(found, 1, label)
 
 
 class TestAnyBytes(unittest.TestCase):
@@ -290,8 +296,8 @@
                 return status == 200
 
             await wait_until(lambda: is_answered("r-1"), "an answer")
-            # A line for each foreign entry: the log has room for 50 of a kind a second,
-            # and is to have some again for the one that is looked for below.
+            # Each invalid entry is logged, and the log takes 50 lines of a kind per
+            # second: wait until it has room for the line that is checked below.
             await asyncio.sleep(2.0)
             fleet.store.put("servers/i-1", b"x")
 
--- a/tests/adapter/failures/test_poison_loads.py
+++ b/tests/adapter/failures/test_poison_loads.py
@@ -1,4 +1,4 @@
-"""Models whose load ends each engine that begins it."""
+"""Models whose load crashes every engine that starts it."""
 
 import asyncio
 import unittest
@@ -10,7 +10,7 @@
 )
 
 MODEL_NAME = MODEL["name"]
-#: Engines are back after a second: time enough for six more loads at two engines.
+#: Engines restart after a second, so this is enough for six more loads at two engines.
 SECONDS = 8.0
 
 
--- a/tests/adapter/failures/test_reported_limits.py
+++ b/tests/adapter/failures/test_reported_limits.py
@@ -1,4 +1,4 @@
-"""Backend servers that name how many calls a second they take, and real programs."""
+"""Backend servers that report a limit of calls per second, with real processes."""
 
 import asyncio
 import contextlib
@@ -14,22 +14,26 @@
 
 MODEL_NAME = MODEL["name"]
 LIMIT = 1.9
-#: How soon after it was first named a limit has to hold. Seconds.
+#: How soon after its first report a limit has to hold at all entries. Seconds.
 PROPAGATION_S = 3.0
 WINDOW_S = 4.0
-#: What may arrive in a window: one and a half times what the limit allows, and 5 more.
+#: How many calls may arrive in a window: 1.5 times what the limit allows, and 5 more.
 MAX_ARRIVALS = 1.5 * LIMIT * WINDOW_S + 5
 
 
 def max_in_window(arrivals, since):
-    """The most arrivals in a window that begins at ``since`` or later."""
+    """Return the maximum number of arrivals in a window of ``WINDOW_S``.
+
+    Only windows that start at ``since`` or later count. Times are those of the event
+    loop's clock, in seconds.
+    """
     times = [at for at in arrivals if at >= since]
     counts = [sum(begin <= at < begin + WINDOW_S for at in times) for begin in times]
     return max(counts, default=0)
 
 
 class LimitedFleet(Fleet):
-    """Entries before engines, of which the first holds the model."""
+    """Entries and engines; the first ``holders`` engines hold the model."""
 
     def __init__(self):
         super().__init__()
@@ -57,13 +61,13 @@
         return status == 200
 
     def report_limit(self, per_s=LIMIT):
-        """The first engine is in need from now on."""
+        """Have the first engine report a limit from now on."""
         self.limited.limit = per_s
         self.limited_at = asyncio.get_running_loop().time()
 
     @contextlib.asynccontextmanager
     async def callers(self, entries, pause_s):
-        """A caller at each entry, who calls again after ``pause_s`` whatever came."""
+        """Send a call to each entry every ``pause_s`` seconds, whatever the outcome."""
         calling = [
             asyncio.create_task(self._keep_calling(entry, pause_s)) for entry in entries
         ]
@@ -91,14 +95,16 @@
         self.statuses.append((loop.time(), status))
 
     def success_rate(self, since):
-        """The part of the calls that ended since then and were served."""
+        """Return the fraction of the calls that ended since then and were served."""
         found = [status for at, status in self.statuses if at >= since]
         return sum(status == 200 for status in found) / max(1, len(found))
 
 
 class TestReportedLimit(unittest.IsolatedAsyncioTestCase):
-    """Each entry went on as before: an engine that named 1.9 a second got ten times as
-    many calls."""
+    """Guards against entries that ignore a reported limit.
+
+    An engine that reported a limit of 1.9 calls per second got ten times as many.
+    """
 
     def assert_limit_held(self, fleet):
         found = max_in_window(fleet.limited.arrivals, fleet.limited_at + PROPAGATION_S)
@@ -146,8 +152,7 @@
             self.assertGreater(fleet.success_rate(ended_at + 3.0), 0.95)
 
     async def test_calls_that_cannot_be_served_are_refused_at_once(self):
-        """The only engine is in need: those it doesn't take are told when to come
-        back."""
+        """The only engine has a limit: calls beyond it get a time for a retry."""
         async with LimitedFleet() as fleet:
             await fleet.begin(entries=2, engines=1)
             async with fleet.callers(fleet.entries, 0.1):
@@ -195,7 +200,7 @@
 
 
 class TestWithoutAllocator(unittest.IsolatedAsyncioTestCase):
-    """Nobody shares the limit out, so nothing may be sent there."""
+    """Without an allocator entries have no share of the limit and send no calls."""
 
     async def asyncSetUp(self):
         self.harness = EntryHarness()
