--- a/packages/bambootiller-core/src/bambootiller_core/gateway/overload.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/overload.py
@@ -24,9 +24,9 @@
 DECAY = 0.05
 #: The upper bound of the share. Some connections are always accepted, as other entries
 #: may be overloaded too.
-MAX_SHARE = 0.9
+MAX_REJECTED_FRACTION = 0.9
 #: From this share on, the entry reports that it isn't ready for new connections.
-UNREADY_SHARE = 0.5
+UNREADY_FRACTION = 0.5
 
 
 class Overload:
@@ -35,17 +35,19 @@
     def __init__(self) -> None:
         self._busy_ticks = 0
         #: The fraction of new connections to reject, 0 if the entry keeps up.
-        self.share = 0.0
+        self.rejected_fraction = 0.0
 
     @property
     def is_ready(self) -> bool:
         """Whether the load balancer may keep sending new connections."""
-        return self.share < UNREADY_SHARE
+        return self.rejected_fraction < UNREADY_FRACTION
 
     def tick(self, late_s: float) -> None:
         """Record that the loop ran its timer, ``late_s`` seconds too late."""
         self._busy_ticks = self._busy_ticks + 1 if late_s >= BUSY_S else 0
         if self._busy_ticks >= SUSTAINED_TICKS:
-            self.share = min(MAX_SHARE, self.share + GROWTH)
+            self.rejected_fraction = min(
+                MAX_REJECTED_FRACTION, self.rejected_fraction + GROWTH
+            )
         elif not self._busy_ticks:
-            self.share = max(0.0, self.share - DECAY)
+            self.rejected_fraction = max(0.0, self.rejected_fraction - DECAY)
--- a/packages/bambootiller/src/bambootiller/gateway/entry.py
+++ b/packages/bambootiller/src/bambootiller/gateway/entry.py
@@ -227,14 +227,14 @@
         self._events.emit(line)
 
     def _on_tick(self, late_s: float) -> None:
-        before = self._overload.share
+        before = self._overload.rejected_fraction
         self._overload.tick(late_s)
-        if bool(before) != bool(self._overload.share):
+        if bool(before) != bool(self._overload.rejected_fraction):
             begins = not before
             self._events.emit(lines.Overloaded(begins, round(late_s, 3)))
 
     def _sheds_connection(self) -> bool:
-        return self._app.rng.random() < self._overload.share
+        return self._app.rng.random() < self._overload.rejected_fraction
 
     def is_ready(self) -> bool:
         """Whether the load balancer may send new connections here."""
@@ -338,7 +338,7 @@
         meters.add_gauge(
             "connections_turned_away_share",
             "The part of new connections that is closed unread",
-            lambda: self._overload.share,
+            lambda: self._overload.rejected_fraction,
         )
         meters.add_gauge("engine_streams", "Streams to agents", engines.stream_count)
 
--- a/packages/bambootiller/src/bambootiller/gateway/load_requester.py
+++ b/packages/bambootiller/src/bambootiller/gateway/load_requester.py
@@ -28,7 +28,7 @@
 
 class LoadRequester:
     """Selects and requests loads on behalf of the entry ``instance``. ``entries``
-    returns the entries that are live to the agents, ``load_request`` sends a request to
+    returns the entries that are live to the agents, ``request_load`` sends a request to
     the agent beside an engine, ``emit`` writes a log line.
 
     Example::
@@ -45,13 +45,13 @@
         instance: str,
         fleet: Fleet,
         entries: Callable[[], tuple[str, ...]],
-        load_request: Callable[[Backend, LoadRequest], object],
+        request_load: Callable[[Backend, LoadRequest], object],
         emit: Callable[[LogLine], None],
     ) -> None:
         self._instance = instance
         self._fleet = fleet
         self._entries = entries
-        self._request_load = load_request
+        self._request_load = request_load
         self._emit = emit
         self._store_requests: dict[str, StoreLoadRequests] = {}
 
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -27,7 +27,7 @@
 UNPLANNED_RETRY_S = 6.0
 #: If an adapter isn't loaded after this time it is requested from the next engine.
 #: Seconds.
-ADAPTER_TURN_S = 0.4
+ADAPTER_REQUEST_INTERVAL_S = 0.4
 
 
 class Placement:
@@ -257,12 +257,12 @@
         eligible = [
             backend
             for backend in eligible
-            if _accepts_order_in_s(backend) <= soonest + ADAPTER_TURN_S
+            if _accepts_order_in_s(backend) <= soonest + ADAPTER_REQUEST_INTERVAL_S
         ]
         eligible.sort(
             key=lambda backend: -selection.placement_weight(ask, backend.instance)
         )
-        turn = int((now - began) / ADAPTER_TURN_S) % len(eligible)
+        turn = int((now - began) / ADAPTER_REQUEST_INTERVAL_S) % len(eligible)
         self._context.engines.load_request(
             eligible[turn], LoadRequest(ask.model, ask.adapter)
         )
--- a/tests/gateway/cover/test_overload.py
+++ b/tests/gateway/cover/test_overload.py
@@ -4,7 +4,7 @@
 
 from bambootiller_core.gateway.overload import (
     BUSY_S,
-    MAX_SHARE,
+    MAX_REJECTED_FRACTION,
     SUSTAINED_TICKS,
     Overload,
 )
@@ -23,20 +23,20 @@
         self.ticks(1, 8.0)
         self.ticks(5, 0.0)
         self.ticks(SUSTAINED_TICKS - 1, 2 * BUSY_S)
-        self.assertEqual(self.overload.share, 0.0)
+        self.assertEqual(self.overload.rejected_fraction, 0.0)
         self.assertTrue(self.overload.is_ready)
 
     def test_sustained_overload_rejects_more_and_more(self):
         self.ticks(SUSTAINED_TICKS, 2 * BUSY_S)
-        first = self.overload.share
+        first = self.overload.rejected_fraction
         self.assertGreater(first, 0.0)
         self.ticks(4, 2 * BUSY_S)
-        self.assertGreater(self.overload.share, first)
+        self.assertGreater(self.overload.rejected_fraction, first)
         self.ticks(40, 2 * BUSY_S)
-        self.assertEqual(self.overload.share, MAX_SHARE)
+        self.assertEqual(self.overload.rejected_fraction, MAX_REJECTED_FRACTION)
         self.assertFalse(self.overload.is_ready)
 
     def test_rejection_ends_with_the_overload(self):
         self.ticks(40, 2 * BUSY_S)
         self.ticks(40, 0.0)
-        self.assertEqual(self.overload.share, 0.0)
+        self.assertEqual(self.overload.rejected_fraction, 0.0)
