--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -120,8 +120,8 @@
         self.engines.received(update)
 
     def count_plans(self, intervals):
-        """Returns how many plans are made in this many plan intervals, which are fewer
-        than after which an idle entry makes one."""
+        """Returns how many plans are made within some plan intervals, which together
+        are shorter than an idle entry's pause between plans."""
         before = len(self.plans)
         for _ in range(intervals):
             self.app.time += PLAN_INTERVAL_S
--- a/tests/gateway/failures/test_incremental_updates.py
+++ b/tests/gateway/failures/test_incremental_updates.py
@@ -1,5 +1,5 @@
-"""Streams on which only changes travel: what holds without being said again, and what
-doesn't."""
+"""Streams on which only changes are sent: how long earlier updates stay valid, and
+which changes are sent when."""
 
 import unittest
 from types import SimpleNamespace
@@ -43,7 +43,7 @@
 
 
 class FakeGatewayState:
-    """GatewayState without a store."""
+    """A gateway state without a store."""
 
     def __init__(self):
         self.config = None
@@ -53,7 +53,7 @@
 
 
 class Stream:
-    """The near end of a stream, without the stream."""
+    """A peer stream that counts in ``sent`` how often an update is triggered."""
 
     def __init__(self, peer):
         self.peer = peer
@@ -70,7 +70,7 @@
 
 
 class Streams:
-    """All of them."""
+    """All peer streams of a process."""
 
     def __init__(self):
         self.all = []
@@ -141,8 +141,11 @@
         self.assertFalse(self.backend().agent_responsive(last + AGENT_TIMEOUT_S))
 
     def test_a_restarted_agent_does_not_renew_its_predecessors_figures(self):
-        """What goes wrong: an agent starts again and can't read its engine yet. Its
-        beats would keep alive what the agent before it had said."""
+        """Symptom: outdated figures of an engine stay valid.
+
+        A restarted agent can't read its engine yet, but its heartbeats renew the
+        figures that the agent before it had sent.
+        """
         self.receive(figures(running=3))
         sent_at = self.clock.at
         self.clock.at += 0.6
@@ -152,9 +155,11 @@
         self.assertEqual(self.backend().last_received_at, sent_at)
 
     def test_figures_received_before_the_registration_are_kept(self):
-        """What goes wrong: the agent's first message comes before the registry's
-        entry. It isn't repeated, so the engine would stay unknown until something
-        there changes."""
+        """Symptom: an entry doesn't know an engine's state until it changes.
+
+        The agent's first update arrives before the engine's registration, and it isn't
+        repeated.
+        """
         self.receive(figures("b2", running=2))
         self.assertIsNone(self.backend("b2"))
         self.gateway_state.fleet.registry_changed(
@@ -205,7 +210,7 @@
         self.assertEqual(self.engines.plans.total_demands(SERVICE, {}), {})
 
     def test_an_agent_of_an_earlier_version_repeats_everything(self):
-        """It never says that it begins, and leaves out copies now and then."""
+        """Such an agent never sets ``begins``, and omits copies now and then."""
         first = figures(on_disk=frozenset({"poet"}))
         first.begins = False
         self.receive(first)
@@ -233,7 +238,7 @@
         self.engines.plans._own_demands[SERVICE] = {"poet": Demand(rate=1.0, holders=1)}
 
     def take_update(self):
-        """Whether there is something to tell; it counts as told then."""
+        """Returns whether an update is due, and marks it as sent if so."""
         if not self.engines._needs_update(self.backend, self.stream):
             return False
         self.stream.last_sent["entry"] = self.engines._current_report(self.backend)
@@ -248,8 +253,10 @@
         self.assertFalse(self.take_update())
 
     def test_small_changes_accumulate(self):
-        """What goes wrong: demand that fades in small steps is never told, and an
-        agent keeps a model that nobody asks for."""
+        """Symptom: an agent keeps a model that nobody calls.
+
+        Demand decays in small steps, none of which is large enough to be sent.
+        """
         self.take_update()
         sent_count = 0
         for step in range(40):
@@ -350,8 +357,10 @@
         self.assertEqual(self.in_use(), 2)
 
     def test_a_heartbeat_restores_the_report_of_a_silent_entry(self):
-        """What goes wrong: an entry is frozen for some seconds and goes on on the same
-        stream. It doesn't repeat what it said, and its calls would count for nothing.
+        """Symptom: an agent doesn't count the calls of an entry.
+
+        The entry is frozen for some seconds and then continues on the same stream,
+        without sending its report again.
         """
         self.begin()
         self.receive(self.entry_update(collect=True))
@@ -391,9 +400,9 @@
         self.assertEqual(len(self.fill().engine.holdings), 2)
 
     def test_load_figures_are_sent_less_often_to_many_entries(self):
-        """Symptom: an agent spends a quarter of a core on telling how busy it is.
+        """Symptom: an agent spends a quarter of a core on sending load figures.
 
-        Each change of a load figure went out twice a second to each of 68 entries.
+        Each change of a load figure was sent twice per second to each of 68 entries.
         """
         self.begin()
         for number in range(60):
@@ -409,7 +418,7 @@
         self.assertEqual(self.fill().engine.running, 1)
 
     def add_idle_entries(self, count=30):
-        """Entries without calls for any model."""
+        """Adds streams of entries without calls for any model, and returns them."""
         others = [Stream(f"other-{number}") for number in range(count)]
         for stream in others:
             stream.last_received_at = self.clock.at
@@ -421,7 +430,7 @@
         return others
 
     def report_loaded(self, model="poet"):
-        """The engine holds one more model."""
+        """Has the engine hold one more model, and resets the counts of updates."""
         held = dict.fromkeys(("tutor", model), frozenset())
         for stream in self.streams.all:
             stream.sent = 0
@@ -430,8 +439,8 @@
     def test_a_load_is_sent_later_to_entries_without_interest_in_it(self):
         """Symptom: processes of a large fleet spend most of their time on streams.
 
-        Each load, and each step of it, was told at once to all of 68 entries, of which
-        a few see to loads and one or two have calls for the model.
+        Each load, and each step of it, was sent at once to all of 68 entries, of which
+        a few are planners and one or two have calls for the model.
         """
         self.begin()
         others = self.add_idle_entries()
@@ -450,9 +459,7 @@
         self.report_loaded("clerk")
         self.assertTrue(self.stream.sent)
 
-    def test_a_load_is_sent_at_once_to_the_entry_that_requested_it(
-        self,
-    ):
+    def test_an_entry_that_requested_a_load_is_updated_at_once(self):
         self.begin()
         other = self.add_idle_entries()[0]
         self.report_loaded()
@@ -465,8 +472,10 @@
         self.assertTrue(other.sent)
 
     def test_an_unload_is_sent_to_all_at_once(self):
-        """What goes wrong: a call is sent to an engine that has just unloaded its
-        model, and there is no second attempt."""
+        """Symptom: a call fails as its engine has just unloaded the model.
+
+        It isn't retried.
+        """
         self.begin()
         others = self.add_idle_entries()
         for stream in others:
--- a/tests/gateway/failures/test_orders.py
+++ b/tests/gateway/failures/test_orders.py
@@ -44,10 +44,13 @@
 
 class TestWrongInstanceAtAddress(Case):
     def test_an_order_refused_by_another_instance_is_not_repeated_at_once(self):
-        """An engine had crashed, and its next start answered at the same address under
-        a name that the registry didn't list yet. The agent went on naming the one
-        before: it was refused, decided the same again and sent it, 140 times a second
-        for up to 3.5 s while the store was away, 1,981 of 2,504 orders of a day."""
+        """Symptom: an agent repeats a refused order 140 times per second.
+
+        An engine crashed, and its next start answered at the same address under a name
+        that the registry didn't list yet. The agent still sent orders with the previous
+        name. Each was refused, decided again and sent again, for up to 3.5 s while the
+        store was unreachable: 1,981 of the 2,504 orders of a day.
+        """
         self.book.reported(0.0, report())
         self.request_load("tutor")
         self.assertIsNotNone(self.send_next_order(0.0, OrderAnswer.OTHER_INSTANCE))
@@ -74,11 +77,11 @@
 
 class TestLostAnswers(Case):
     def test_an_unanswered_order_is_sent_again_with_the_same_number(self):
-        """Symptom: an engine loads two models and crashes for want of memory.
+        """Symptom: an engine loads two models and crashes as it runs out of memory.
 
-        The answer to a load is lost, and the engine carries it out seconds later. If a
-        load of another model were sent meanwhile, both would be carried out. Sent with
-        the number of orders accepted so far, only one of them can be.
+        The answer to a load is lost, and the engine executes it seconds later. A load
+        of another model, sent meanwhile, would be executed as well. Each order has the
+        expected number of orders accepted so far, so only one of the two can be.
         """
         self.book.reported(0.0, report(accepted=4))
         self.request_load("tutor")
@@ -112,9 +115,9 @@
 
 class TestRefusedOrders(Case):
     def test_nothing_is_ordered_while_a_model_loads(self):
-        """Symptom: thousands of orders for adapters, all turned down.
+        """Symptom: thousands of orders for adapters are sent and refused.
 
-        An engine that carries out an order for a model refuses those for adapters too.
+        An engine that executes an order for a model refuses those for adapters too.
         """
         self.book.reported(0.0, report(holdings=["tutor"], busy=True))
         self.request_load("tutor", "a1")
@@ -149,11 +152,12 @@
 
 
 class TestRestartsUnderSameName(Case):
-    """Symptom: an agent gives no order for as long as its engine lives, or orders a
-    model beyond the engine's memory.
+    """Symptom: an agent sends no order for as long as its engine runs, or orders a
+    model that exceeds the engine's memory.
 
-    The engine crashes and starts again under its name. It holds nothing, counts its
-    orders anew, and takes orders that name it, late ones to the start before as well.
+    The engine crashes and restarts under the same name. It holds nothing, counts its
+    orders anew, and accepts orders that name it, including late ones that were
+    sent to the previous start.
     """
 
     def setUp(self):
@@ -191,7 +195,7 @@
         self.assertIsNone(self.book.next_order(0.2))
 
     def test_an_earlier_start_time_is_accepted_after_the_takeover_silence(self):
-        """The clock was set back between the two starts."""
+        """The instance's clock was set back between the two starts."""
         self.report_restart(0.1)
         self.book.reported(1.0, report(started_ms=1))
         self.assertEqual(self.book.report.started_ms, 2)
@@ -204,18 +208,19 @@
         self.assertEqual(self.book.state(0.1).in_use, {})
 
     def send_unanswered_load(self, accepted):
-        """An unanswered load of the tutor, to the start before, as its last order."""
+        """Sends a load of the model tutor to the previous start, which isn't answered
+        and is the last order to it."""
         self.book.reported(0.0, report(accepted=accepted, started_ms=1))
         self.request_load("tutor")
         self.send_next_order(0.0, OrderAnswer.UNANSWERED)
 
     def test_memory_is_reserved_for_a_late_order(self):
-        """The late order takes effect once the number is the one that it names."""
+        """The late order is executed once the accepted count is the one it expects."""
         self.send_unanswered_load(accepted=1)
         self.report_restart(1.0, holdings=["poet"])
         self.request_load("clerk", now=1.0)
         self.request_load("tutor", now=1.0, urgency=5)
-        # Poet and clerk leave 20 MB, of the 40 MB that the tutor takes.
+        # Poet and clerk would leave 20 MB free, and tutor takes 40 MB.
         order = self.book.next_order(1.0)
         self.assertEqual((order.kind, order.model), (OrderKind.LOAD, "tutor"))
 
@@ -257,10 +262,10 @@
         self.assertEqual((order.kind, order.model), (OrderKind.LOAD, "clerk"))
 
     def test_the_load_is_reported_during_the_eviction(self):
-        """Symptom: the weight store is asked for each model twice.
+        """Symptom: each model is loaded from the weight store twice.
 
-        While an engine unloads one model for another it looked merely busy, so entries
-        planned the load at a second engine, and both loaded it.
+        While an engine unloaded one model for another it was reported only as busy, so
+        entries planned the load at a second engine, and both loaded the model.
         """
         self.book.reported(0.0, report(holdings=["tutor", "poet"]))
         self.request_load("clerk")
@@ -301,10 +306,10 @@
 
 class TestStaleLoadRequests(Case):
     def test_a_load_request_expires_unless_it_is_renewed(self):
-        """Symptom: an engine loads a model that another has loaded meanwhile.
+        """Symptom: an engine loads a model that another one has loaded meanwhile.
 
-        The plan moved on to another engine while this one was busy; carried out after
-        that, the old wish brings the model a second time.
+        The plan changed to another engine while this one was busy. If the old load
+        request is executed after that, the model is loaded a second time.
         """
         self.book.reported(0.0, report())
         self.request_load("tutor")
@@ -313,7 +318,10 @@
 
 class TestLongLoads(Case):
     def test_a_model_stays_for_the_callers_refused_during_its_load(self):
-        """It was unloaded 0.6 s after it had come, before they were back."""
+        """Symptom: callers return to find their model unloaded again.
+
+        It was unloaded 0.6 s after its load had ended, before they were back.
+        """
         engine = samples.engine(
             samples.model("tutor", load_s=13.0, size_mb=90.0),
             samples.model("poet", load_s=13.0, size_mb=90.0, disk_s=1.0),
--- a/tests/gateway/failures/test_restarts.py
+++ b/tests/gateway/failures/test_restarts.py
@@ -1,4 +1,4 @@
-"""A backend server that starts again under the name that it had."""
+"""A backend server that restarts under the same name."""
 
 import unittest
 
@@ -30,18 +30,18 @@
         self.first = self.fleet.get("b1")
 
     def restart(self, now=1.0, **fields):
-        """The registry lists the second start."""
+        """Has the registry list the second start, and returns its backend."""
         record = registration(SECOND_MS, revision=5, **fields)
         self.fleet.registry_changed(now, record)
         return self.fleet.get("b1")
 
 
 class TestStateOfPreviousStart(Case):
-    """Symptom: calls for a model go to a backend server that doesn't hold it, and
-    nobody loads the model elsewhere.
+    """Symptom: calls for a model go to a backend server that doesn't hold it, and the
+    model isn't loaded elsewhere.
 
-    The backend server crashes and starts again within a heartbeat, under its name. It
-    holds nothing. All that was known stood under its name, and went on to count.
+    The backend server crashes and restarts under the same name within a heartbeat. It
+    holds nothing, but its earlier state was stored by name and stayed valid.
     """
 
     def test_holdings_and_load_figures_are_discarded(self):
@@ -71,11 +71,11 @@
 
 
 class TestCallsOnPreviousStart(Case):
-    """Symptom: a backend server gets more calls at a time than it takes.
+    """Symptom: a backend server gets more calls at a time than it has slots.
 
-    Calls ran there as it crashed. They end when their connections are found broken,
-    after the second start has been given calls; each then took one off the count of
-    the second start.
+    Calls were running there when it crashed. They end when their connections turn out
+    to be broken, after the second start got calls. Each of them then reduced the count
+    of running calls of the second start.
     """
 
     def test_their_ends_free_no_slot_at_the_next_start(self):
@@ -93,10 +93,10 @@
 
 
 class TestAgentReportsRestartFirst(Case):
-    """Symptom: for seconds after a crash, entries plan on copies that are gone.
+    """Symptom: for seconds after a crash, entries plan with copies that are gone.
 
     The agent reads the new start from the engine itself, while the registry still
-    shows the entry of the start before.
+    lists the registration of the previous start.
     """
 
     def setUp(self):
@@ -122,10 +122,10 @@
 
 
 class TestLateUpdatesOfPreviousStart(Case):
-    """Symptom: what a backend server held before its crash counts as held again.
+    """Symptom: models that a backend server held before its crash count as held again.
 
-    A slow watch, a stale read or a peer tells of the start before after the second one
-    is known; a write of the start before may even have the higher revision.
+    A slow watch, a stale read or a peer reports the previous start after the second one
+    is known. A write of the previous start may even have the higher revision.
     """
 
     def test_late_registration_is_ignored(self):
@@ -148,43 +148,48 @@
 
 
 class TestClockSetBack(Case):
-    """Symptom: a healthy backend server gets no calls for as long as it lives.
+    """Symptom: a healthy backend server gets no calls for as long as it runs.
 
-    The clock of its instance was set back between two starts, so the next start tells
-    an earlier time than the one before. All its words count as late ones.
+    The clock of its instance was set back between two starts, so the second start
+    reports an earlier start time than the first, and all its reports are taken as
+    late ones of a previous start.
     """
 
-    BACK_MS = FIRST_MS - 60_000
+    EARLIER_MS = FIRST_MS - 60_000
 
     def test_registration_counts_after_the_takeover_silence(self):
-        back = registration(self.BACK_MS, revision=5)
-        self.assertFalse(self.fleet.registry_changed(1.0, back))
-        back = registration(self.BACK_MS, revision=6)
-        self.assertTrue(self.fleet.registry_changed(TAKEOVER_SILENCE_S, back))
+        earlier = registration(self.EARLIER_MS, revision=5)
+        self.assertFalse(self.fleet.registry_changed(1.0, earlier))
+        earlier = registration(self.EARLIER_MS, revision=6)
+        self.assertTrue(self.fleet.registry_changed(TAKEOVER_SILENCE_S, earlier))
         self.assertIsNot(self.fleet.get("b1"), self.first)
         self.assertTrue(self.first.replaced)
 
     def test_agent_report_counts_after_the_takeover_silence(self):
-        self.assertFalse(self.fleet.engine_reported(1.0, reported_state(self.BACK_MS)))
+        self.assertFalse(
+            self.fleet.engine_reported(1.0, reported_state(self.EARLIER_MS))
+        )
         self.assertTrue(
-            self.fleet.engine_reported(TAKEOVER_SILENCE_S, reported_state(self.BACK_MS))
+            self.fleet.engine_reported(
+                TAKEOVER_SILENCE_S, reported_state(self.EARLIER_MS)
+            )
         )
-        self.assertEqual(self.fleet.get("b1").incarnation.started_ms, self.BACK_MS)
+        self.assertEqual(self.fleet.get("b1").incarnation.started_ms, self.EARLIER_MS)
 
     def test_reports_of_the_current_start_extend_the_takeover_silence(self):
         self.fleet.engine_reported(
             TAKEOVER_SILENCE_S - 1, reported_state(FIRST_MS, ["tutor"])
         )
-        back = registration(self.BACK_MS, revision=5)
-        self.assertFalse(self.fleet.registry_changed(TAKEOVER_SILENCE_S, back))
+        earlier = registration(self.EARLIER_MS, revision=5)
+        self.assertFalse(self.fleet.registry_changed(TAKEOVER_SILENCE_S, earlier))
 
 
 class TestAddresses(Case):
-    """Symptom: a backend server gets no calls as long as another one lives.
+    """Symptom: a backend server gets no calls as long as another one runs.
 
-    The second start has another address than the first, whose address somebody else
-    gets. As the second start's name stood at the old address too, the other one counted
-    as outdated by it.
+    The second start has a different address from the first, whose address another
+    backend server gets. The name of the second start was still recorded at the old
+    address too, so the other backend server counted as superseded by it.
     """
 
     def test_the_address_of_the_previous_start_is_free(self):
@@ -196,55 +201,58 @@
 
 
 class TestStoreConcurrency(Case):
-    """Symptom: the weight store is taken to serve more loads than it does.
+    """Symptom: the weight store's concurrency is estimated too high.
 
-    A load from the store counted as ended when its engine crashed and was listed anew.
-    Cut off at the right moment, it looked like one that ran at full speed.
+    A load from the store counted as ended when its engine crashed and was registered
+    again. If it was cut off at the right moment, it looked like a load at full speed.
     """
 
     def test_a_load_cut_off_by_a_crash_is_not_counted_as_ended(self):
         spec = samples.engine(samples.model("tutor", load_s=6.0))
-        speed = StoreConcurrency(1)
+        store_concurrency = StoreConcurrency(1)
         self.fleet.registry_changed(0.0, samples.registration("b2", service="llm"))
         loading = Loading("tutor", 5.0, True)
         for step in range(140):
             now = step * 0.05
             other = samples.engine_state("b2", loading=loading)
             self.fleet.engine_reported(now, other)
-            # Begun a second later, it ends by the crash after its stated time.
+            # This load starts a second later, and the crash ends it after the time
+            # that was reported for it.
             own = loading if step >= 20 else None
             self.fleet.engine_reported(now, reported_state(FIRST_MS, loading=own))
-            speed.observe(now, list(self.fleet), spec)
+            store_concurrency.observe(now, list(self.fleet), spec)
         second = self.restart(now=7.0)
-        speed.observe(7.0, list(self.fleet), spec)
-        self.assertEqual(speed.loads, 1)
-        self.assertEqual(speed.left_s(7.0, second.incarnation, loading), 5.0)
+        store_concurrency.observe(7.0, list(self.fleet), spec)
+        self.assertEqual(store_concurrency.loads, 1)
+        self.assertEqual(
+            store_concurrency.left_s(7.0, second.incarnation, loading), 5.0
+        )
 
 
 class TestReportIdentity(unittest.TestCase):
-    """Symptom: entries take what an engine held before its crash for what it holds.
+    """Symptom: entries use an engine's state from before its crash as its present one.
 
-    A report doesn't name the engine. Named by the registry alone, a report of the next
-    start counted as one of the start before for up to a heartbeat, and the other way
-    round if it was held up.
+    A report doesn't name the engine. When it was identified by the registration alone,
+    a report of the next start counted as one of the previous start for up to a
+    heartbeat, and the other way round if it was delayed.
     """
 
-    def name(self, report_ms, listed_ms):
+    def identify(self, report_ms, listed_ms):
         report = EngineReport("", {}, 3, started_ms=report_ms)
         return with_identity(report, registration(listed_ms))
 
     def test_the_reports_own_start_time_takes_precedence(self):
         self.assertEqual(
-            self.name(SECOND_MS, FIRST_MS).incarnation, Incarnation("b1", SECOND_MS)
+            self.identify(SECOND_MS, FIRST_MS).incarnation, Incarnation("b1", SECOND_MS)
         )
 
     def test_without_one_the_registered_start_time_is_used(self):
         self.assertEqual(
-            self.name(None, FIRST_MS).incarnation, Incarnation("b1", FIRST_MS)
+            self.identify(None, FIRST_MS).incarnation, Incarnation("b1", FIRST_MS)
         )
 
     def test_a_report_of_a_previous_start_is_dropped(self):
-        self.assertIsNone(self.name(FIRST_MS, SECOND_MS))
+        self.assertIsNone(self.identify(FIRST_MS, SECOND_MS))
 
     def test_a_report_from_an_unregistered_address_is_dropped(self):
         self.assertIsNone(
@@ -261,8 +269,8 @@
     def test_copies_of_the_previous_start_are_not_carried_over(self):
         """Symptom: a load from memory is planned at an engine that has just started.
 
-        A message leaves out the copies if they are as the one before told them. The
-        one before may have told of the start before.
+        An update omits the copies if they are the same as in the one before, which may
+        have been about the previous start.
         """
         before = reported_state(FIRST_MS, in_memory=frozenset({"tutor"}))
         message = message_codec.engine_message(reported_state(SECOND_MS))
