--- a/packages/bambootiller/src/bambootiller/gateway/allocator_client.py
+++ b/packages/bambootiller/src/bambootiller/gateway/allocator_client.py
@@ -138,7 +138,9 @@
 
     def start(self, timers: TimerService, now: float) -> None:
         """Start the periodic review of demand and shares."""
-        timers.every("allowances", REVIEW_INTERVAL_S, now, lambda _: self.review())
+        timers.every(
+            "allocator_client", REVIEW_INTERVAL_S, now, lambda _: self.review()
+        )
 
     def set_limits(
         self,
--- a/packages/bambootiller/src/bambootiller/gateway/server_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_limits.py
@@ -44,9 +44,9 @@
 
         def forget(now: float) -> None:
             if self._limits.forget(now, lambda name: fleet.get(name) is not None):
-                self._changed()
+                self._notify_listeners()
 
-        timers.every("forget named limits", FORGET_INTERVAL_S, now, forget)
+        timers.every("forget reported limits", FORGET_INTERVAL_S, now, forget)
 
     def on_change(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` whenever the limits in force have changed."""
@@ -97,10 +97,10 @@
         if self._limits.apply(limit, source):
             line = BackendLimit(limit.instance, limit.per_s, before, source or "answer")
             self._events.emit(line)
-            self._changed()
+            self._notify_listeners()
         if self._limits.version != version:
             self._send_now()
 
-    def _changed(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
