--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -59,7 +59,7 @@
     def planned(self, service, model):
         return None
 
-    def wanted(self, service, model):
+    def planned_demand(self, service, model):
         return NO_DEMAND
 
     def copies_seen(self, service, model):
