--- a/tests/adapter/failures/test_restarts.py
+++ b/tests/adapter/failures/test_restarts.py
@@ -1,4 +1,4 @@
-"""Replicas that start again under the id that they had."""
+"""Replicas that restart under the same id."""
 
 import asyncio
 import unittest
@@ -10,7 +10,7 @@
 from tests.adapter.common.fleet import Fleet, wait_until
 
 
-class TestReport(unittest.IsolatedAsyncioTestCase):
+class TestReportedStart(unittest.IsolatedAsyncioTestCase):
     async def test_a_report_contains_the_start_time(self):
         replica = StandinReplica("i-1", "llm")
         await replica.server.start()
@@ -23,11 +23,13 @@
         await replica.server.stop()
 
 
-class TestCalls(unittest.IsolatedAsyncioTestCase):
-    """Symptom: calls fail, or avoid a backend server, for what the start before did.
+class TestCallsAfterRestart(unittest.IsolatedAsyncioTestCase):
+    """Failure: after a restart, calls fail at a backend server or avoid it because of
+    its previous start.
 
-    It crashes and is listed anew under its id within a heartbeat. Kept connections,
-    the judgement of its health and the calls that had tried it stood under that id.
+    It crashes and is listed again under the same id within one heartbeat. Idle
+    connections, its health state and the calls that had tried it were kept by that id,
+    so they outlived the restart.
     """
 
     async def asyncSetUp(self):
@@ -83,10 +85,10 @@
 
 class TestRestartBetweenTwoHeartbeats(unittest.IsolatedAsyncioTestCase):
     async def test_its_models_are_loaded_again_before_the_registry_knows(self):
-        """Symptom: callers of a model are refused until the registry's next entry.
+        """Failure: callers of a model are refused until the registry entry is updated.
 
-        The engine crashes and is back at once, empty, under its id. The registry still
-        shows what it held. Only its report tells of the new start.
+        The engine crashes and restarts at once, empty, under the same id. The registry
+        still lists the models that it held; only its own report shows the new start.
         """
         async with Fleet() as fleet:
             fleet.configure()
@@ -105,20 +107,20 @@
                 return bool(program.events("backend_restarted"))
 
             async def served_on_a_report():
-                # Before its first report the agent knows of no start that could end.
+                # Before the first report the agent has no start time to compare with.
                 if not await served():
                     return False
-                # The line of an answer is written after it has gone out.
+                # The log line of an answer is written after the answer is sent.
                 answered = entry.events("answered")
                 return bool(answered) and "agent_age_ms" in answered[-1]["chosen_on"]
 
             await wait_until(served_on_a_report, "the model is served")
             replica.restart()
             await wait_until(
-                lambda: detected_by(agent), "the agent knows of the restart"
+                lambda: detected_by(agent), "the agent detects the restart"
             )
             await wait_until(
-                lambda: detected_by(entry), "the entry knows of the restart"
+                lambda: detected_by(entry), "the entry detects the restart"
             )
             await wait_until(served, "the model is served again")
             self.assertEqual([order["expected"] for order in replica.orders], [0])
--- a/tests/adapter/failures/test_silent_streams.py
+++ b/tests/adapter/failures/test_silent_streams.py
@@ -1,9 +1,9 @@
-"""A stream whose backend server falls silent, and what the other one does with it.
+"""Failover of a stream whose backend server is silent, by the reply of the other one.
 
-Symptom: streams were closed in the middle of their answers although their backend
-servers would have finished them. The log said `silent for 0.70 s`, then `refused`, then
-`cut`: the silent one had been left before the call was sent to the other, which refused
-it, and no attempt was left.
+Failure: streams were closed in the middle of their answers although their backend
+servers would have finished them. The entry gave up the silent backend server before it
+sent the call to the other one; that refused it, no attempt was left, and the stream was
+cut. The log had `silent for 0.70 s`, then `refused`, then `cut`.
 """
 
 import asyncio
@@ -20,8 +20,10 @@
 
 class PausedStreamCase(StallCase):
     async def begin(self, gap_s=1.0):
-        """Have a call under way, whose replica pauses for so long before each event;
-        ``others`` hold its model too."""
+        """Start a call whose replica pauses for ``gap_s`` seconds before each event.
+
+        ``self.running`` is that replica; ``self.others`` hold the model too.
+        """
         for replica in self.replicas:
             replica.events, replica.gap_s = 2, gap_s
         self.calling = asyncio.ensure_future(self.call())
@@ -33,7 +35,7 @@
             other.gap_s = 0.01
 
     def script_others(self, *replies):
-        """What the others do with the calls sent to them, whichever gets them."""
+        """Set the replies to the calls sent to the others, whichever receives them."""
         remaining = list(replies)
 
         def reply_of(other):
@@ -46,13 +48,13 @@
         for other in self.others:
             other.next_replies += [reply_of(other)] * len(replies)
 
-    async def wait_for(self, holds):
+    async def wait_for(self, condition):
         async with asyncio.timeout(5.0):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0.005)
 
     def assert_nothing_in_flight(self):
-        """No call and no connection counts as under way."""
+        """Check that no call, no prefill and no connection counts as in use."""
         fleet = self.harness.gateway_state.fleet
         for backend in map(fleet.get, [replica.instance for replica in self.replicas]):
             pool = self.harness.context.pool(backend)
@@ -136,7 +138,7 @@
         self.assertEqual(self.lost_backends(), [self.others[0].instance])
 
     async def test_it_is_kept_if_the_other_fails(self):
-        """Its caller was sent the other's head and body behind the events."""
+        """The other's head and body used to be sent to the caller after the events."""
         await self.assert_stream_kept(reply_server_error)
         self.assertEqual(self.lost_backends(), [self.others[0].instance])
 
@@ -163,12 +165,12 @@
         self.assertLess(answer.arrivals[1] - answer.arrivals[0], 1.0)
 
     async def test_it_is_left_in_time_if_the_other_works_in_silence(self):
-        """Two that work on the same call for 0.4 s and longer break the users' rule."""
+        """Two backend servers may not run the same call for 0.4 s or longer."""
         await self.begin(gap_s=5.0)
         self.script_others(reply_nothing)
         await self.wait_for(self.lost_backends)
-        (_, received_at), left_at = self.received_calls[0], time.monotonic()
-        self.assertLess(left_at - received_at, 0.35)
+        (_, received_at), lost_at = self.received_calls[0], time.monotonic()
+        self.assertLess(lost_at - received_at, 0.35)
         self.assertEqual(self.lost_backends(), [self.running.instance])
         await asyncio.sleep(0.3)
         self.assertEqual(len(self.received_calls), 1)
@@ -177,21 +179,23 @@
         self.assert_nothing_in_flight()
 
     async def test_it_is_left_in_time_although_the_entry_stalls(self):
-        """The entry stood still while two worked on the call. Its running time stands
-        still with it, theirs doesn't."""
+        """The entry stalls while two backend servers run the call.
+
+        Its running clock stops during the stall, but the backend servers go on.
+        """
         await self.begin(gap_s=5.0)
         self.script_others(reply_nothing)
         await self.wait_for(lambda: self.received_calls)
         time.sleep(0.6)
-        went_on_at = time.monotonic()
+        resumed_at = time.monotonic()
         await self.wait_for(self.lost_backends)
-        self.assertLess(time.monotonic() - went_on_at, 0.1)
+        self.assertLess(time.monotonic() - resumed_at, 0.1)
         self.calling.cancel()
         await asyncio.wait((self.calling,))
         self.assert_nothing_in_flight()
 
     async def test_it_fails_over_if_it_ends_before_the_other_answers(self):
-        """The call is under way there, and isn't sent once more."""
+        """The other already has the call, so it isn't sent again."""
         await self.begin(gap_s=5.0)
         self.script_others(reply_nothing)
         await self.wait_for(lambda: self.received_calls)
@@ -217,7 +221,7 @@
         self.assertEqual(self.lost_backends(), [])
 
     async def test_a_suspected_request_is_not_sent_before_its_run_counts_as_lost(self):
-        """What holds such a request back has to know of all of its runs."""
+        """Crash isolation needs all lost runs of a request before it runs again."""
         await self.begin()
         lost_before_it_was_sent = []
 
@@ -231,7 +235,9 @@
         self.assertEqual(lost_before_it_was_sent, [self.running.instance])
 
     def mark_suspected(self):
-        """A run of whatever request comes next was lost at another backend server."""
+        """Record a lost run of each request, at another backend server, before it is
+        admitted.
+        """
         quarantine, clock = self.harness.context.quarantine, self.harness.context.clock
         backend = self.harness.gateway_state.fleet.get(self.others[0].instance)
         admission = quarantine.admission
--- a/tests/adapter/failures/test_stalls.py
+++ b/tests/adapter/failures/test_stalls.py
@@ -1,11 +1,11 @@
-"""An entry that stands still, or whose backend server is silent, with nowhere to go.
-
-On a small instance entries were starved of their processor for seconds. Streams whose
-runs had ended well were closed in the middle of their answer, and calls were refused
-because no connection to a backend server that accepts at once came about in time. The
-logs said `silent for 0.70 s` of backend servers that had sent all the while,
-`cannot_connect` with a timeout 88 times in 6 s, and `attempt_failed` with `SendAgain`
-after each: the entry had not looked at its sockets, and took that for their silence.
+"""Stalled entries, and silent backend servers without a failover target.
+
+Failure: on a small instance, entries got no processor time for seconds. Streams whose
+runs had succeeded were closed in the middle of their answers, and calls were refused
+because connections to backend servers that accept at once timed out. The entry hadn't
+read its sockets during the stall and took that for silence: the log had `silent for
+0.70 s` for backend servers that had sent all the time, `cannot_connect` with a timeout
+88 times in 6 s, and `attempt_failed` with `SendAgain` after each.
 """
 
 import asyncio
@@ -54,10 +54,10 @@
 
 class TestEntryStall(StallCase):
     async def test_stream_is_not_taken_for_silent_after_an_entry_stall(self):
-        """The entry stood still for 1.2 s in the middle of a stream, longer than the
-        0.7 s of silence after which a call goes elsewhere. The timer of that silence
-        ended in the same turn of the loop that brought the events, and won: the stream
-        was sent to a second backend server, which ran it once more.
+        """The entry stalls for 1.2 s in the middle of a stream, longer than the silence
+        timeout of 0.7 s. That timer used to expire in the same loop iteration that
+        delivered the events, and came first: the stream failed over to a second backend
+        server, which ran the call again.
         """
         replicas = self.holders()
         for replica in replicas:
@@ -71,9 +71,9 @@
         self.assertEqual(self.harness.events.of_kind("answer_lost"), [])
 
     async def test_stream_is_whole_after_a_stall_without_retry_budget(self):
-        """As above, but the budget of second attempts was used up, as it is after a
-        moment in which all streams of an entry go elsewhere. The stream was cut: its
-        caller saw the connection closed in the middle of an answer that was there.
+        """As above, but the retry budget is exhausted, as it is after all streams of an
+        entry have failed over at once. The stream used to be cut: its caller saw the
+        connection closed in the middle of an answer that was complete.
         """
         replicas = self.holders()
         for replica in replicas:
@@ -87,9 +87,10 @@
         self.assertEqual(answer.status, 200)
 
     async def test_connection_is_made_despite_slow_loop_iterations(self):
-        """Each turn of the entry's loop took 0.5 s, and making a connection takes
-        several turns. The 0.8 s for it ran out although the backend server had
-        accepted at once; the call was refused, and the backend server was avoided.
+        """Each iteration of the entry's event loop takes 0.5 s, and connecting takes
+        several iterations. The connect timeout of 0.8 s used to expire although the
+        backend server had accepted at once; the call was refused, and the backend
+        server was avoided.
         """
         self.harness.configure(**{"timeout-ms": 20_000})
         replica = self.add("i-1", "plain")
@@ -103,9 +104,9 @@
 
 class TestNoFailoverTarget(StallCase):
     async def test_silent_stream_is_kept_without_retry_budget(self):
-        """The backend server paused for 1 s in its stream, and the budget was used up.
-        The entry gave the running stream up first and looked at the budget afterwards:
-        the caller lost an answer that would have gone on.
+        """The backend server pauses for 1 s in its stream, and the retry budget is
+        exhausted. The entry used to give up the running stream before it checked the
+        budget: the caller lost an answer that would have continued.
         """
         replicas = self.holders()
         for replica in replicas:
@@ -116,9 +117,9 @@
         self.assertEqual(sum(len(replica.runs) for replica in replicas), 1)
 
     async def test_silent_stream_is_kept_if_all_others_are_full(self):
-        """The backend server paused for 1 s in its stream, and the only other holder
-        of the model had as many calls as it takes. The running stream was given up,
-        nothing was found instead, and the caller's answer was cut.
+        """The backend server pauses for 1 s in its stream, and the only other holder of
+        the model is at its limit of calls. The running stream used to be given up, no
+        other backend server was found, and the caller's answer was cut.
         """
         calling, running, other = await self.paused_stream()
         self.harness.gateway_state.fleet.get(other.instance).in_flight = 1_000
@@ -127,9 +128,9 @@
         self.assertEqual(len(running.runs), 1)
 
     async def test_silent_stream_is_kept_if_the_other_is_unreachable(self):
-        """The backend server paused for 1 s in its stream, and the other holder was
-        listed but took no connection. The running stream was given up before that was
-        known, and had to be begun again.
+        """The backend server pauses for 1 s in its stream, and the other holder is
+        listed but accepts no connection. The running stream used to be given up before
+        that was known, and had to be started again.
         """
         calling, running, other = await self.paused_stream()
         self.background_loop.stop_replica(other)
@@ -138,8 +139,9 @@
         self.assertEqual(len(running.runs), 1)
 
     async def paused_stream(self):
-        """A call under way, the replica that runs it with pauses of 1 s, and another
-        that holds its model."""
+        """Start a call; returns its task, the replica that runs it with pauses of 1 s,
+        and another one that holds the model.
+        """
         replicas = self.holders()
         for replica in replicas:
             replica.events, replica.gap_s = 3, 1.0
@@ -151,9 +153,9 @@
 
 
 class TestSilentAgent(StallCase):
-    """The backend servers were well and paused for 1 s in their streams. Their agents
-    weren't: that alone had the running streams cut, without a look at whether there was
-    anywhere else to go.
+    """The backend servers work and pause for 1 s in their streams, but their agents are
+    silent or report silence. That alone used to cut the running streams, without a
+    check whether there was a failover target.
     """
 
     def report_agents(self, silent):
@@ -183,9 +185,10 @@
 
 class TestSeveralFailoverTargets(StallCase):
     async def test_failover_goes_on_past_a_second_dead_backend_server(self):
-        """The first backend server hung and the second took no connection; the third
-        was well. After the second the entry waited a whole silence again, half of the
-        call's time, and then there was none left."""
+        """The first backend server hangs, the second accepts no connection, the third
+        works. After the second the entry used to wait for a whole silence timeout
+        again, half of the call's time, after which no time was left.
+        """
         self.harness.configure(**{"max-attempts": 3})
         first, second, _ = (self.add(f"i-{n}", "plain") for n in (1, 2, 3))
         self.harness.gateway_state.fleet.get("i-2").in_flight = 1
@@ -197,9 +200,11 @@
         self.assertEqual(answer.status, 200)
 
     async def test_event_does_not_wait_for_a_failover_connection(self):
-        """The backend server paused for 0.8 s. At 0.7 s the entry began to connect to
-        another one, which swallowed the connection, and passed on what the first said
-        at 0.8 s only once that had failed, at 1.5 s."""
+        """The backend server pauses for 0.8 s. At 0.7 s the entry starts to connect to
+        another one, which never answers the connection attempt. The event that the
+        first sent at 0.8 s used to be forwarded only after that attempt had failed, at
+        1.5 s.
+        """
         replicas = self.holders()
         for replica in replicas:
             replica.events, replica.gap_s = 2, 0.8
@@ -215,18 +220,20 @@
 
 class TestStoreWatchAfterStall(unittest.IsolatedAsyncioTestCase):
     async def test_backend_server_removed_after_a_stall_is_not_used(self):
-        """An entry stood still for longer than it waits for the store, and took that
-        for the store's absence. Entries that vanish right after an absence count as
-        lapsed for 2.3 s: calls went on to a backend server that had left."""
+        """An entry stalls for longer than its timeout for the store, and used to take
+        that for an outage of the store. Registry entries that disappear right after an
+        outage are kept for 2.3 s as perhaps only expired, so calls went on to a backend
+        server that had left.
+        """
         background_loop = BackgroundLoop()
         self.addCleanup(background_loop.close)
         store = background_loop.start_store()
         store.put("servers/i-1", json.dumps(SERVER).encode())
-        shorter = mock.patch.multiple(
+        short_timeouts = mock.patch.multiple(
             store_module, WATCH_WAIT_MS=250, WATCH_TIMEOUT_MARGIN_S=0.1
         )
-        shorter.start()
-        self.addCleanup(shorter.stop)
+        short_timeouts.start()
+        self.addCleanup(short_timeouts.stop)
         kv = store_module.PlatformKeyValue(f"http://{store.server.address}")
         self.addAsyncCleanup(kv.close)
         loop, events = asyncio.get_running_loop(), RecordingEventLog()
@@ -255,13 +262,13 @@
 
 
 class TestStoreRecovery(unittest.IsolatedAsyncioTestCase):
-    """Symptom: after each outage of the store, live backend servers get no calls for a
+    """Failure: after each outage of the store, live backend servers get no calls for a
     second.
 
-    An entry of the registry that is missing 2.3 s after the store's return is taken for
-    gone. Backend servers are back in the registry within two seconds, but where a
-    leaving one may take 4 s to get no more work it is read only each 1.2 s: what came
-    back in time was read too late.
+    A registry entry that is still missing 2.3 s after the store's recovery counts as
+    removed. Backend servers register again within two seconds, but if the configuration
+    allows 4 s until a leaving one gets no more work, the registry is read only every
+    1.2 s: entries that came back in time were read too late.
     """
 
     async def test_returning_backend_servers_are_read_in_time(self):
@@ -288,7 +295,7 @@
 
 
 async def tick(running):
-    """Keep the running time of the process under test."""
+    """Advance the running clock of the process under test."""
     while True:
         running.tick(asyncio.get_running_loop().time())
         await asyncio.sleep(TICK_S)
@@ -296,7 +303,7 @@
 
 @contextlib.contextmanager
 def unresponsive_port():
-    """A port that takes no further connection and refuses none."""
+    """A port whose accept queue is full: it neither accepts nor refuses connections."""
     with contextlib.ExitStack() as held:
         listening = held.enter_context(socket.socket())
         listening.bind(("127.0.0.1", 0))
@@ -309,7 +316,7 @@
 
 
 async def block_loop(seconds, iteration_s):
-    """Keep the loop busy: each of its turns takes ``iteration_s`` at least."""
+    """Block the event loop for at least ``iteration_s`` seconds in each iteration."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     while loop.time() < end:
--- a/tests/adapter/failures/test_starved_models.py
+++ b/tests/adapter/failures/test_starved_models.py
@@ -1,21 +1,23 @@
-"""Rarely used models that are asked for again and again, on real processes."""
+"""Starvation of rarely used models that are requested repeatedly, with real
+processes."""
 
 import unittest
 
 from tests.adapter.common.rare_models import RareModelFleet
 
 SECONDS = 60.0
-#: What is asked for from the start on can be served until the end: the weight store
-#: brings all models that no engine has within the time that is left. Seconds.
+#: Models first requested by then can all be served before the end: the remaining time
+#: suffices to load every model that no engine has from the weight store. Seconds.
 REQUESTED_BY_S = 8.0
-#: A load from the store begins so long after the one before has ended: what makes way
-#: ends its runs first. Seconds.
+#: How long the weight store may be idle between two loads: the model to be evicted
+#: first finishes its runs. Seconds.
 MAX_IDLE_S = 2.0
 
 
 class TestStarvedModels(unittest.IsolatedAsyncioTestCase):
-    """The weight store stood idle while callers were refused for what only it has, and
-    models asked for from the first second on were passed over."""
+    """Failure: the weight store was idle while callers of models that only it has were
+    refused, and models requested since the first second weren't loaded.
+    """
 
     async def test_who_asks_again_and_again_is_served(self):
         async with RareModelFleet(seed=1) as fleet:
--- a/tests/adapter/failures/test_store_turns.py
+++ b/tests/adapter/failures/test_store_turns.py
@@ -1,4 +1,4 @@
-"""Turns of the weight store, of which there is one at a time."""
+"""Permits to load from a weight store that serves one load at a time."""
 
 import asyncio
 import unittest
@@ -10,16 +10,16 @@
 
 ENGINES = 5
 MODELS = tuple([f"m{number}" for number in range(6)])
-#: What the configuration states for a load, so that the store is taken to serve one at
-#: a time, and how long it takes here. Seconds.
+#: The configured duration of a load, chosen so that the store's concurrency is assumed
+#: to be 1, and the actual duration in these tests. Seconds.
 CONFIGURED_LOAD_S, LOAD_S = 14.0, 2.5
 CALL_S = 0.3
-#: One load more than the store is known to serve is tried once.
+#: One load beyond the store's known concurrency is started as a probe.
 MAX_PROBES = 1
 
 
 class StorePermitFleet(Fleet):
-    """Engines without any copy, before a store that serves one load at a time."""
+    """Engines without cached weights, and a store that serves one load at a time."""
 
     def __init__(self):
         super().__init__()
@@ -42,7 +42,7 @@
         return entry
 
     async def call_all_models(self, entry, pause_s=CALL_S):
-        """Callers of all models, each of whom is refused and comes back."""
+        """Call all models every ``pause_s`` seconds, as refused callers do."""
         number = 0
         while True:
             for model in MODELS:
@@ -54,7 +54,7 @@
         return [load for load in self.weights.loads if load.ended is None]
 
     def loading(self, load):
-        """The replica that carries out the load."""
+        """The replica that runs ``load``."""
         for replica in self.replicas.values():
             if replica.weight_load is load:
                 return replica
@@ -75,8 +75,9 @@
 
 
 class TestLoadAtUnlistedEngine(unittest.IsolatedAsyncioTestCase):
-    """Two loads began beside that of an engine which the registry had dropped and which
-    worked on; they took twice and three times their time."""
+    """Failure: the registry dropped an engine that went on loading, and two more loads
+    started beside its load; they took twice and three times as long.
+    """
 
     async def test_its_permit_is_not_given_away(self):
         async with StorePermitFleet() as fleet:
@@ -86,7 +87,7 @@
             async def two_in_progress():
                 return len(fleet.in_progress()) == 2
 
-            await wait_until(two_in_progress, "a load is tried beside the first")
+            await wait_until(two_in_progress, "a probe load starts beside the first")
             first, probe = fleet.in_progress()
             dropped = fleet.loading(probe)
             fleet.store.remove(f"servers/{dropped.instance}")
@@ -101,13 +102,15 @@
 
 
 class TestEngineThatIsGone(unittest.IsolatedAsyncioTestCase):
-    """The store served nobody for seconds after an engine had ended in its load: the
-    turn was kept until the registry dropped the engine, or the engine was back."""
+    """Failure: the store was idle for seconds after an engine had crashed in its load,
+    because the permit was held until the registry dropped the engine or the engine was
+    back.
+    """
 
     DOWN_S = 6.0
-    #: Too few callers for one load more than the store is known to serve. Seconds.
+    #: The interval of the calls: too few of them to start a probe load. Seconds.
     CALL_S = 2.0
-    #: As long as the store may serve nobody between two loads while somebody waits.
+    #: How long the store may be idle between two loads while calls wait. Seconds.
     IDLE_S = 2.0
 
     async def test_its_turn_is_free_at_once(self):
@@ -118,16 +121,18 @@
             async def one_in_progress():
                 return len(fleet.in_progress()) == 1
 
-            await wait_until(one_in_progress, "a load is under way")
+            await wait_until(one_in_progress, "a load is in progress")
             (load,) = fleet.in_progress()
             replica = fleet.loading(load)
             replica.down_s = self.DOWN_S
             crash = asyncio.create_task(replica.crash())
 
-            async def another():
+            async def another_in_progress():
                 return any(other is not load for other in fleet.in_progress())
 
-            await wait_until(another, "another load is under way", pause_s=0.02)
+            await wait_until(
+                another_in_progress, "another load is in progress", pause_s=0.02
+            )
             idle_s = min(other.began for other in fleet.in_progress()) - load.ended
             calling.cancel()
             await crash
--- a/tests/adapter/failures/test_unframed_answers.py
+++ b/tests/adapter/failures/test_unframed_answers.py
@@ -1,4 +1,5 @@
-"""Answers with neither a length nor chunks, which end with their connection."""
+"""Answers with neither a content length nor chunked encoding: the end of the connection
+is the end of the answer."""
 
 import unittest
 
@@ -7,11 +8,11 @@
 from tests.adapter.common.entry import MODEL_NAME, EntryHarness
 
 EVENTS = [b"id: %d\ndata: %d\n\n" % (number, number) for number in range(1, 6)]
-WHOLE = b"".join(EVENTS)
+ALL_EVENTS = b"".join(EVENTS)
 
 
 class TestUnframedStreams(unittest.IsolatedAsyncioTestCase):
-    """A stream that was broken off in an event could pass for one that had ended."""
+    """Failure: a stream cut in the middle of an event was taken for a complete one."""
 
     async def asyncSetUp(self):
         self.harness = EntryHarness()
@@ -24,7 +25,7 @@
         await self.harness.close()
 
     def script_first_answer(self, *pieces, reset=False):
-        """The first answer of whoever gets the call first ends behind these bytes."""
+        """Have the first answer, of whichever replica, end after ``pieces``."""
 
         def reply(replica):
             def unframed(request):
@@ -48,7 +49,7 @@
     async def test_one_that_ends_after_its_last_event_is_whole(self):
         self.script_first_answer(*EVENTS)
         answer = await self.call()
-        self.assertEqual((answer.body, answer.whole), (WHOLE, True))
+        self.assertEqual((answer.body, answer.whole), (ALL_EVENTS, True))
         self.assertEqual(self.runs(), 1)
 
     async def test_one_that_ends_within_an_event_is_resumed_elsewhere(self):
@@ -63,13 +64,13 @@
                 before = self.runs()
                 self.script_first_answer(*EVENTS[:2], cut)
                 answer = await self.call()
-                self.assertEqual((answer.body, answer.whole), (WHOLE, True))
+                self.assertEqual((answer.body, answer.whole), (ALL_EVENTS, True))
                 self.assertEqual(self.runs() - before, 2)
 
     async def test_one_that_is_reset_between_two_events_is_resumed_too(self):
         self.script_first_answer(*EVENTS[:2], reset=True)
         answer = await self.call()
-        self.assertEqual((answer.body, answer.whole), (WHOLE, True))
+        self.assertEqual((answer.body, answer.whole), (ALL_EVENTS, True))
         self.assertEqual(self.runs(), 2)
 
     async def test_one_that_cannot_be_resumed_does_not_look_whole(self):
--- a/tests/adapter/failures/test_unread_logs.py
+++ b/tests/adapter/failures/test_unread_logs.py
@@ -1,4 +1,4 @@
-"""Real programs whose standard output nobody reads."""
+"""Real programs whose standard output isn't read."""
 
 import asyncio
 import os
@@ -10,29 +10,28 @@
 from tests.adapter.cover.test_documents import MODEL
 
 MODEL_NAME = MODEL["name"]
-#: More lines than a pipe of 64 KiB and the waiting lines of the log take together.
+#: Logs more lines than a pipe of 64 KiB and the buffered log lines hold together.
 CALLS = 1_500
 CONCURRENCY = 50
-#: What a storm of events may add to a process: the lines that wait are bounded by
+#: How much a burst of events may add to a process: buffered log lines are bounded by
 #: 256 KiB, and the rest is for connections and calls. Megabytes.
 MAX_GROWTH_MB = 16.0
 
 
 def memory_mb(pid):
-    """The memory of a process that is its own."""
+    """The resident anonymous memory of a process. Megabytes."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("RssAnon:"):
             return int(line.split()[1]) / 1024
-    raise AssertionError(f"process {pid} shows no memory")
+    raise AssertionError(f"process {pid} has no RssAnon in its status")
 
 
 class TestUnreadLogs(unittest.IsolatedAsyncioTestCase):
-    async def test_a_log_that_nobody_reads_costs_no_answer_and_no_memory(self):
-        """Symptom: every call stops, or the process grows, when the log collector
-        hangs.
+    async def test_an_unread_log_blocks_no_answer_and_uses_no_memory(self):
+        """Failure: all calls hang, or the process grows, when the log collector hangs.
 
-        The pipe to the collector is full. A process that waits for room in it answers
-        nobody; one that keeps all lines for later grows without bounds.
+        The pipe to the collector is full. A process that blocks on writes to it answers
+        no call; one that buffers all lines grows without bound.
         """
         async with Fleet() as fleet:
             fleet.configure()
@@ -64,11 +63,11 @@
                 found = await fleet.metrics(entry)
                 return found.get("bambootiller_config_version") == 1
 
-            await wait_until(reloaded, "the process goes on after a hang-up")
+            await wait_until(reloaded, "the process reloads its settings after SIGHUP")
             self.assertEqual(await entry.stop(), 0)
 
     async def _send_refused_calls(self, fleet, entry):
-        """Calls that are each refused with a line; returns the statuses and counts."""
+        """Send calls that are each refused and logged; returns the count per status."""
         statuses = {}
         for first in range(0, CALLS, CONCURRENCY):
             calls = [
