--- a/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_availability.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/adapter_availability.py
@@ -5,10 +5,10 @@
 wait until the load ends, and most of them are refused. So a long load goes where this
 costs least, and nowhere while it costs more calls than the load would serve.
 
-The calls that miss an adapter now say little about those that will miss one during the
-load: a model that has just been loaded has had no such call yet. The place of the load
-is therefore decided by all calls for the model, in proportion to its adapters that
-aren't loaded.
+The number of calls that miss an adapter now is a poor estimate of those that will miss
+one during the load: a model that has just been loaded has had no such call yet. The
+engine for the load is therefore chosen by all calls for the model, in proportion to its
+adapters that aren't loaded.
 """
 
 from __future__ import annotations
@@ -56,8 +56,8 @@
                 self._free.update(held)
 
     def blocked_calls(self, load_target: LoadTarget, seconds: float) -> float:
-        """How many calls would wait for an adapter in vain during a load of so many
-        seconds here, judging by the calls that miss one now."""
+        """An estimate of the calls that would wait for an adapter in vain during a load
+        of so many seconds here, from the current rate of calls that miss one."""
         rates = [
             self._demand(name).adapter_miss_rate
             for name in self._without_alternative(load_target, seconds)
@@ -65,8 +65,8 @@
         return seconds * sum(rates)
 
     def calls_at_risk(self, load_target: LoadTarget, seconds: float) -> float:
-        """How many calls would at most, if each call named one of its model's
-        adapters."""
+        """An upper bound on the same number: every call for a model with adapters is
+        assumed to name one of them."""
         rates = [
             self._missing_fraction(load_target, name)
             * max(MIN_KEEP_VALUE, self._demand(name).rate)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/config.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/config.py
@@ -19,7 +19,7 @@
 
 #: The caller of a stream disconnects if no event comes for the longest of these: a
 #: fixed time in seconds, this multiple of the route's target latency, and this multiple
-#: of the longest gap between events that is still on time. The first users' platform
+#: of the longest gap between events that is still on time. The platform's protocol
 #: specifies these values.
 EVENT_TIMEOUT_S = 2.0
 EVENT_TIMEOUT_TARGETS = 4.0
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_evidence.py
@@ -16,8 +16,8 @@
 #: Seconds.
 AGENT_DETECTION_S = 1.2
 #: If the backend server is still registered this long after a run was lost, it didn't
-#: crash: a registration expires after three heartbeats, of 1.2 s on the first users'
-#: platform, and is read up to 1.2 s later. Seconds.
+#: crash: a registration expires after three heartbeats of 1.2 s each, and is read
+#: up to 1.2 s later. Seconds.
 REGISTRY_DETECTION_S = 6.0
 
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
@@ -46,7 +46,8 @@
 #: Lost runs are dropped after this time. Seconds.
 RETENTION_S = 3600.0
 #: Requests that share crashes start this far apart: about the time that a run takes to
-#: crash its backend server plus the time until other processes learn of it. Seconds.
+#: crash its backend server plus the time until other processes receive the report.
+#: Seconds.
 STAGGER_S = 0.3
 #: Further requests share the last step, so that none waits longer than its caller does.
 MAX_STAGGER_STEPS = 8
@@ -110,8 +111,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """The decision on a request, and in how many seconds to ask again if it may not
-    run now.
+    """The decision on a request, and in how many seconds to check it again if it may
+    not run now.
 
     ``crashes`` is the weighted number of crashes that count against the suspect
     ``name``, including lost runs without a verdict.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/entry_reports.py
@@ -154,8 +154,8 @@
         return sorted([request for request, _ in self._load_requests.values()], key=key)
 
     def demands(self) -> dict[str, Demand]:
-        """The demand of all entries together: as they reported it here, or as the entry
-        that requests a load knows it from the collectors, whichever is greater."""
+        """The demand of all entries together: the sum of their reports here, or the
+        collected demand that a load request contains, whichever is greater."""
         if self._demands is None:
             self._demands = self._sum()
         return self._demands
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/fleet.py
@@ -4,7 +4,7 @@
 addresses and which of them are leaving, and is authoritative for these. The agent
 beside an engine reports what the engine holds and how busy it is, a second or more
 before the registry does. After an agent has fallen silent, its last report remains
-valid for the holdings, because nobody else orders its engine to unload; the load
+valid for the holdings, because no other process orders its engine to unload; the load
 figures become stale.
 
 State always belongs to one start of a backend server (:class:`Incarnation`). When
@@ -80,7 +80,8 @@
     ``running_time`` converts a time into this process's running time; see
     :mod:`bambootiller_core.gateway.running_clock`. The agent's silence is measured in
     it. Otherwise all agents would count as silent after a stall of this process, and
-    every call that came meanwhile would be refused because no engine accepts orders.
+    every call that arrived meanwhile would be refused because no engine would be
+    considered to accept orders.
     """
 
     registration: Registration
@@ -163,14 +164,15 @@
         self.unreachable_at = now
 
     def is_lost(self, now: float) -> bool:
-        """Whether the engine appears to be gone or partitioned.
+        """Whether the engine appears to be gone or partitioned: it was unreachable
+        lately, and either its agent is silent or the agent reports that the engine
+        doesn't answer. A start that has been replaced is always lost.
 
-        The registry shows that only some seconds later. Until then one call after the
+        The registry shows a loss only some seconds later. Until then one call after the
         other would be sent there, and models that no other engine holds would count as
-        held, so that nothing loads them. Silence of the agent alone is no proof: its
-        process may have ended while the engine goes on working. Nor is silence of the
-        engine alone, which may be busy; but if its agent reports that it is silent too,
-        the engine counts as lost. A start that has been replaced is always lost.
+        held, so that nothing loads them. Neither sign suffices alone: an agent's
+        process may end while its engine goes on working, and an engine that a call
+        couldn't reach may only be busy.
         """
         if self.replaced:
             return True
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/health.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/health.py
@@ -18,8 +18,8 @@
 #: The half-life of a score, so that a backend server that has recovered is tried again.
 #: Seconds.
 HALF_LIFE_S = 4.0
-#: Failure rates that differ by less than this from the service's typical rate are taken
-#: for chance.
+#: Failure rates that exceed the service's typical rate by less than this are attributed
+#: to chance.
 RATE_TOLERANCE = 0.08
 #: The cost of the failure rate in excess of the typical one, in units of a full batch.
 RATE_COST = 6.0
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/incarnation.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/incarnation.py
@@ -48,8 +48,8 @@
         return self.precedes(other) or other.precedes(self)
 
     def supersedes(self, other: Incarnation, silent_s: float) -> bool:
-        """Whether this incarnation replaces the ``other`` one, of which nothing has
-        been heard for ``silent_s`` seconds.
+        """Whether this incarnation replaces the ``other`` one, about which no message
+        has been received for ``silent_s`` seconds.
 
         An incarnation with an earlier start time replaces the other one only after
         :data:`TAKEOVER_SILENCE_S`. If the clock of the backend server is set back
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/late_orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/late_orders.py
@@ -17,9 +17,9 @@
 
 from bambootiller_core.gateway.order_messages import EngineOrder, OrderKind
 
-#: Seconds after which an order can no longer arrive. The platform's documentation says
-#: that it may take seconds; this equals the default time for which the product's own
-#: agents wait after a restart. Meanwhile an order that leaves no room for a late one is
+#: Seconds after which an order can no longer arrive. The platform specifies only that
+#: it may take seconds; this equals the default time for which the product's own agents
+#: wait after a restart. Until then an order that leaves no room for a late one is
 #: postponed.
 MAX_ORDER_DELAY_S = 10.0
 
@@ -80,7 +80,8 @@
         numbers is missing.
 
         They were sent to different starts, so no start held all of their models. If the
-        agent that knows of them ends together with the engine, nothing rules them out.
+        agent that tracks them ends together with the engine, nothing guards against
+        them.
         """
         orders = {
             item.order
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_priority.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_priority.py
@@ -12,8 +12,8 @@
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 
-#: A model that so many calls wait for goes first, and need not queue for the store:
-#: demand has moved to it, and each further second delays as many calls.
+#: A model with at least this many waiting calls goes first, and need not queue for the
+#: store: demand has shifted to it, and each further second delays that many calls.
 MANY_WAITING = 4
 #: A model with at least this fraction of all demand gets a second engine, so that the
 #: loss of one engine doesn't make it unavailable.
@@ -98,8 +98,8 @@
     become late as well.
 
     The other models with a copy are served in order of arrival: ordered by demand
-    alone, later calls would overtake those that were told to wait, until these had
-    waited for nothing.
+    alone, later calls would overtake earlier ones that already wait, which would then
+    have waited in vain.
 
     Models without any copy: most of their callers are refused at once, and the load
     ends long after it was chosen. So the order depends on the callers that the load
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
@@ -29,8 +29,8 @@
 KEEP_FACTOR = 3.0
 #: Refused callers are about to come back for a model that has been loaded meanwhile. It
 #: isn't evicted for a model with equal demand: they would be refused again, and the
-#: callers of the other model after them. The other model needs as many times more
-#: demand here as it could otherwise have less.
+#: callers of the other model after them. The other model needs at least three times its
+#: demand (:data:`KEEP_FACTOR`), where otherwise a third of it would suffice.
 RETURNING_CALLERS_FACTOR = KEEP_FACTOR**2
 #: The demand assumed for a model without calls so far, in calls per second: about that
 #: of a rarely used model.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
@@ -8,15 +8,15 @@
 #: several, a single caller could have a busy model unloaded that has no call for a
 #: moment, and all of its callers would wait for it to be loaded again.
 WAITING_WEIGHT = 1.0
-#: A model that nobody has been served of for this many seconds counts as if one more of
-#: its callers waited, so that no model is passed over forever in favor of models with
-#: more demand.
+#: For each period of this many seconds without a served call, a model with unserved
+#: calls counts as if one more of its callers waited, so that it isn't passed over
+#: forever in favor of models with more demand.
 UNSERVED_AGING_S = 4.0
 #: A load from the weight store also serves calls that arrive later: as many as arrived
 #: in this many seconds recently.
 FORECAST_S = 5.0
-#: A model that nobody has been served of for this many seconds is worth twice as much
-#: of the store's time, so that none waits forever behind models with more demand.
+#: A model for which no call has been served for this many seconds is worth twice as
+#: much of the store's time, so that none waits forever behind models with more demand.
 STORE_AGING_S = 10.0
 #: Each second for which a caller has been held because its model is next counts as this
 #: many more callers: if another model went first, the caller would have waited for
@@ -72,15 +72,15 @@
     @property
     def expected_callers(self) -> float:
         """The callers that a load from the weight store which starts now can serve:
-        those who wait, and those who are expected back. If they weren't counted, the
-        calls that ended without an answer stand for them."""
+        those who wait, and those who are expected back. If the reporting process
+        doesn't count them, the calls that ended without an answer are the estimate."""
         if self.callers is None:
             return max(self.waiting, self.unserved)
         return self.callers
 
     @property
     def aged_callers(self) -> float:
-        """The expected callers, weighted by how long nobody has been served."""
+        """The expected callers, weighted by how long no call has been served."""
         return self.expected_callers * self._aging
 
     @property
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/model_moves.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/model_moves.py
@@ -22,7 +22,8 @@
 )
 from bambootiller_core.gateway.model_demand import NO_DEMAND, Demand
 
-#: The demand assumed for a model of which only is known that an engine holds it.
+#: The demand assumed for a model that an engine holds and for which no demand is
+#: reported.
 _SINGLE_HOLDER = Demand(holders=1)
 
 #: Seconds that a move must save to be worth its load.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/order_messages.py
@@ -11,7 +11,7 @@
 
 
 class OrderKind(enum.Enum):
-    """What an order asks the engine to do."""
+    """The action that an order requests."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -36,7 +36,7 @@
     ``ACCEPTED``: it is being carried out. ``HOLDS``: it has been carried out, or the
     engine was already in the requested state. ``CONFLICT``: another order is in
     progress, or the number of accepted orders differs. ``FENCED``: the engine has seen
-    a higher fencing token. ``INVALID``: the engine knows no such order.
+    a higher fencing token. ``INVALID``: the engine doesn't recognize the order.
     ``OTHER_INSTANCE``: another backend server has the address. ``UNANSWERED``: the
     order may have been accepted, or may be accepted later.
     """
@@ -86,9 +86,9 @@
 @dataclass(frozen=True, slots=True)
 class LoadRequest:
     """An entry's request to load a model, or an adapter of one; 0 is the highest
-    urgency. ``demand`` is the demand of all entries for the model, as far as the
-    requesting entry knows it. ``store_permits`` is how many loads the weight store is
-    taken to serve at a time, 0 if the entry doesn't state it."""
+    urgency. ``demand`` is the demand of all entries for the model, as far as it has
+    been reported to the requesting entry. ``store_permits`` is the entry's estimate of
+    how many loads the weight store serves at a time, 0 if it states none."""
 
     model: str
     adapter: str = ""
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/orders.py
@@ -109,7 +109,7 @@
 
     @property
     def unconfirmed(self) -> EngineOrder | None:
-        """An order of which it isn't known whether the engine accepted it."""
+        """An order that the engine may or may not have accepted."""
         return self._unconfirmed
 
     def configured(self, engine: EngineSpec) -> None:
@@ -170,8 +170,8 @@
         return report.incarnation.precedes(self._report.incarnation)
 
     def _restarted(self) -> None:
-        """Discard the state of the previous start: a new one holds nothing and knows no
-        orders.
+        """Discard the state of the previous start: a new one holds nothing and has
+        accepted no orders.
 
         Whether an unanswered order was carried out no longer matters. It may reach the
         new start, which refuses it only if the instance name or the order count
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/overload.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/overload.py
@@ -9,7 +9,7 @@
 Example::
 
     overload.tick(late_s)
-    if rng.random() < overload.share: ...  # close the connection unread
+    if rng.random() < overload.rejected_fraction: ...  # close the connection unread
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 BUSY_S = 0.06
 #: How many busy ticks in a row count as overload.
 SUSTAINED_TICKS = 3
-#: How much the share grows with each tick during overload.
+#: How much the fraction grows with each tick during overload.
 GROWTH = 0.1
-#: How much the share shrinks with each tick that isn't busy.
+#: How much the fraction shrinks with each tick that isn't busy.
 DECAY = 0.05
-#: The upper bound of the share. Some connections are always accepted, as other entries
-#: may be overloaded too.
+#: The upper bound of the fraction. Some connections are always accepted, as other
+#: entries may be overloaded too.
 MAX_REJECTED_FRACTION = 0.9
-#: From this share on, the entry reports that it isn't ready for new connections.
+#: From this fraction on, the entry reports that it isn't ready for new connections.
 UNREADY_FRACTION = 0.5
 
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_account.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_account.py
@@ -144,7 +144,8 @@
         return lacking / (self.share * limit.rate_per_s)
 
     def ask(self, now: float, limit: Limit, costs: Sequence[float] = ()) -> CustomerAsk:
-        """Return the request to the allocator while calls of these costs wait."""
+        """Return this customer's part of the next request to the allocator; calls of
+        these ``costs`` wait for admission."""
         balance = self.available(now, limit)
         wanted = max(0.0, sum(costs) - balance) if costs else 0.0
         least = max(0.0, costs[0] - balance) if costs else 0.0
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
@@ -22,7 +22,7 @@
 Example::
 
     allocator = QuotaAllocator(term=91, now=now, members=record)
-    answer = allocator.answer(now, ask, limits)
+    answer = allocator.answer(now, request, limits)
     if allocator.pending_record is not None:
         ...    # write it, then:
         allocator.record_written(allocator.pending_record)
@@ -171,21 +171,21 @@
             self._bucket(now, name, limit)
 
     def answer(
-        self, now: float, ask: QuotaAsk, limits: Mapping[str, Limit]
+        self, now: float, request: QuotaAsk, limits: Mapping[str, Limit]
     ) -> QuotaAnswer | None:
         """Answer an entry's request. Returns None if it is late or a duplicate.
 
         ``limits`` are those of the configuration in force, by customer.
         """
-        entry = self._receive(now, ask)
+        entry = self._receive(now, request)
         if entry is None:
             return None
         grants = {}
-        for name, asked in ask.customers.items():
+        for name, customer_request in request.customers.items():
             limit = limits.get(name)
             if limit is not None:
-                grants[name] = self._grant(now, name, limit, entry, asked)
-        return QuotaAnswer(self.term, ask.number, grants)
+                grants[name] = self._grant(now, name, limit, entry, customer_request)
+        return QuotaAnswer(self.term, request.number, grants)
 
     def record_written(self, members: Mapping[str, Member]) -> None:
         """Note that a record has been written: its ceilings are in force."""
@@ -196,28 +196,28 @@
             if entry is not None:
                 entry.ceilings = dict(member.ceilings)
 
-    def _receive(self, now: float, ask: QuotaAsk) -> _Entry | None:
+    def _receive(self, now: float, request: QuotaAsk) -> _Entry | None:
         if now - self._reviewed_at >= REVIEW_INTERVAL_S:
             self._review(now)
-        key = (ask.entry, ask.incarnation)
+        key = (request.entry, request.incarnation)
         if key in self._superseded:
             return None
         entry = self._entries.get(key)
         if entry is None:
             entry = self._entries[key] = _Entry(*key)
-            before = self._silent_members.get(ask.entry)
-            if before is not None and before.incarnation == ask.incarnation:
+            before = self._silent_members.get(request.entry)
+            if before is not None and before.incarnation == request.incarnation:
                 entry.ceilings = dict(before.ceilings)
-                del self._silent_members[ask.entry]
-        if ask.number <= entry.number:
+                del self._silent_members[request.entry]
+        if request.number <= entry.number:
             return None
-        entry.number = ask.number
+        entry.number = request.number
         entry.expires_at = now + SHARE_TTL_S
-        heard = ask.heard if ask.term == self.term else 0
-        for name in entry.customers.keys() | ask.customers.keys():
-            asked = ask.customers.get(name, CustomerAsk())
+        heard = request.heard if request.term == self.term else 0
+        for name in entry.customers.keys() | request.customers.keys():
+            customer_request = request.customers.get(name, CustomerAsk())
             with self._updating_sums(name, entry.customers[name]) as holding:
-                _apply_report(holding, heard, asked)
+                _apply_report(holding, heard, customer_request)
         if heard and not entry.confirmed:
             self._confirm(entry)
         return entry
@@ -292,7 +292,12 @@
         return bucket
 
     def _grant(
-        self, now: float, name: str, limit: Limit, entry: _Entry, asked: CustomerAsk
+        self,
+        now: float,
+        name: str,
+        limit: Limit,
+        entry: _Entry,
+        customer_request: CustomerAsk,
     ) -> CustomerGrant:
         bucket = self._bucket(now, name, limit)
         holding = entry.customers[name]
@@ -305,9 +310,11 @@
         held = 1.0 - bucket.free
         bucket.level = min(bucket.level, limit.depth - held * limit.share_depth)
         bucket.record_stored(held * limit.share_depth + bucket.level)
-        advance = _advance(asked, bucket.level) if limit.advance_s > 0 else 0.0
+        advance = (
+            _advance(customer_request, bucket.level) if limit.advance_s > 0 else 0.0
+        )
         bucket.level -= advance
-        lacking = asked.wanted - advance
+        lacking = customer_request.wanted - advance
         room_in_s = 0.0
         if lacking > 0:
             part = share + bucket.free * self._contended_part(
@@ -369,20 +376,20 @@
         self.pending_record = members
 
 
-def _advance(asked: CustomerAsk, level: float) -> float:
+def _advance(customer_request: CustomerAsk, level: float) -> float:
     """Return the amount to advance: all that is wanted, or enough for the first call,
     or nothing. An amount that doesn't suffice for a call would be lost."""
-    if asked.wanted <= level:
-        return asked.wanted
-    return asked.least if asked.least <= level else 0.0
+    if customer_request.wanted <= level:
+        return customer_request.wanted
+    return customer_request.least if customer_request.least <= level else 0.0
 
 
-def _apply_report(holding: _Holding, heard: int, asked: CustomerAsk) -> None:
+def _apply_report(holding: _Holding, heard: int, customer_request: CustomerAsk) -> None:
     """Take over what the entry reports. Shares granted in answers up to ``heard``, the
     last one it has received, are replaced by the share that it reports."""
-    holding.reported = asked.share
-    holding.demand_per_s = asked.demand_per_s
-    holding.call_cost = asked.call_cost
+    holding.reported = customer_request.share
+    holding.demand_per_s = customer_request.demand_per_s
+    holding.call_cost = customer_request.call_cost
     holding.granted = {
         number: share for number, share in holding.granted.items() if number > heard
     }
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_messages.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_messages.py
@@ -1,7 +1,7 @@
 """The messages between entries and the allocator of quotas.
 
-A "customer" here stands for any limit that is divided among entries, including those
-that backend servers report (:mod:`reported_limits`).
+"Customer" here means any limit that is divided among entries, including those that
+backend servers report (:mod:`reported_limits`).
 """
 
 from __future__ import annotations
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_record.py
@@ -1,8 +1,8 @@
 """The record of the entries that may hold shares of quotas, in the key-value service.
 
-A new allocator has to know what the entries hold. Entries report it; for an entry that
-doesn't, the record tells that it exists, and the largest share of each customer's limit
-that it may hold. The record is written before such a share is granted.
+A new allocator needs to learn what the entries hold. Entries report it; of an entry
+that doesn't, the record contains its name and the largest share of each customer's
+limit that it may hold. The record is written before such a share is granted.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class UnreadableRecord(ValueError):
-    """The record is malformed; the message tells how."""
+    """The record is malformed; the message describes the error."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/reported_limits.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/reported_limits.py
@@ -14,15 +14,15 @@
 from bambootiller_core.gateway.quota_limits import Limit
 from bambootiller_core.gateway.update_filter import UpdateFilter
 
-#: How long a report is kept that says there is no limit, or comes from a backend server
-#: that is gone. Seconds; longer than a report takes to reach other processes.
+#: How long a report of no limit, or from a backend server that is gone, is kept.
+#: Seconds; longer than a report takes to reach other processes.
 RETENTION_S = 60.0
 #: The rate at which a backend server is called even if its limit is lower. Without such
-#: calls nobody would notice when it accepts calls again. Calls a second.
+#: calls no process would detect that it accepts more calls again. Calls a second.
 MIN_PER_S = 0.25
 #: The depth of the bucket, in seconds of its rate; the depth is at least one call.
 BUCKET_S = 0.5
-#: The window in which the first users' platform counts calls against a limit. Seconds.
+#: The window in which the platform counts calls against a limit. Seconds.
 WINDOW_S = 4.0
 #: The prefix of the name of a backend server's limit.
 PREFIX = "backend server "
@@ -97,7 +97,7 @@
                 return False
         elif limit.reported_at <= held.limit.reported_at:
             if limit.per_s != held.limit.per_s and source:
-                # The peer doesn't know the later report: recorded without a source,
+                # The peer hasn't received the later report: recorded without a source,
                 # it is sent to that peer too.
                 self._keep(held.limit, "")
             return False
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/residency.py
@@ -66,12 +66,12 @@
 EQUAL_DECIMALS = 1
 #: While there are calls, one in this many engines may be loading from the weight store.
 ENGINES_PER_LONG_LOAD = 2
-#: One load more than the store is known to serve is tried for at least this many
-#: waiting or returning callers: with fewer, another model may have more demand by the
-#: time the store is free.
+#: A probe, one load more than the store is known to serve, starts for a model with at
+#: least this many waiting or returning callers: with fewer, another model may have more
+#: demand by the time the store is free.
 MIN_CALLERS_TO_PROBE = 2 * MANY_WAITING
-#: Such a load is also tried for a model that nobody has been served of for this many
-#: times its load time: the queue for the store is long, whichever model is first.
+#: Such a load is also tried for a model for which no call has been served for this many
+#: times its load time: the queue for the store is then long, whichever model is first.
 PROBE_AFTER_LOADS = 4
 #: A load that ends later than the best one by more than this can't be equally good.
 #: Seconds: half of the last decimal and a little for rounding.
@@ -155,8 +155,8 @@
 
         ``demands`` is the demand of all entries together.
 
-        A model that an engine holds doesn't appear unless a second engine shall hold it
-        as well. Models that no engine has a copy of are prefetched, after all others.
+        A model that an engine holds appears only if a further engine is to hold it as
+        well. Models that no engine has a copy of are prefetched, after all others.
         """
         live_backends = [
             backend
@@ -445,9 +445,9 @@
     def _reserve(self, option: _Option) -> None:
         """Reserve an engine for a load that can start there next.
 
-        A load that waits for the store reserves no engine yet: otherwise, with a dozen
-        models in that queue, every engine was reserved, and none loaded a copy that
-        calls waited for.
+        A load that waits for the store reserves no engine yet. When it did, a dozen
+        models in that queue reserved every engine, and none loaded a copy that calls
+        waited for.
         """
         self._adapters.reserve(option.load_target, option.ready_in_s)
         option.load_target.planned_loads += 1
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/retry_budget.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/retry_budget.py
@@ -2,7 +2,7 @@
 
 The platform bounds how many retries may arrive at a service in any window of some
 seconds: a fraction of the calls, plus a fixed slack. Each entry spends its own part
-without asking the others, so the bound holds even while entries can't reach each other.
+without coordination, so the bound holds even while entries can't reach each other.
 An entry's part is that fraction of its own calls, plus the slack divided by the number
 of entries.
 """
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/retry_prediction.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/retry_prediction.py
@@ -1,8 +1,8 @@
 """Predicts whether a refused caller retries, and when.
 
 Callers follow a retry-after time up to a fraction of the time that they have left, and
-most of them retry once. Nothing in a call tells whether it is the first try, but the
-retry of a refused caller has less time left than other calls of its route.
+most of them retry once. A call contains no attempt number, but the retry of a refused
+caller has less time left than other calls of its route.
 
 Example::
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -26,7 +26,7 @@
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.incarnation import Incarnation
 
-#: The estimate at the start; the first users stated this number for their sites.
+#: The estimate at the start: the number of loads that a typical store serves.
 ASSUMED_LOADS = 4
 #: The initial estimate is lower if that many loads, one after the other, would take
 #: longer than this. A store that serves one load at a time keeps four engines from all
@@ -37,7 +37,7 @@
 SLOW_RATIO = 1.15
 #: A load that takes at most this multiple of its nominal time ran at full speed.
 FULL_SPEED_RATIO = 1.08
-#: Added to the measured number of loads before it is rounded down, so that a figure
+#: Added to the observed number of loads before it is rounded down, so that a figure
 #: just below a whole number counts as that number.
 ROUNDING_MARGIN = 0.25
 #: How many loads must be slow at the same time for the estimate to fall. A single slow
@@ -134,7 +134,7 @@
         """Return in how many seconds a load from the store ends.
 
         The agent's own estimate assumes that the load has the store to itself, as the
-        agent doesn't know the other loads.
+        agent isn't informed of the other loads.
         """
         tracked = self._tracked.get((incarnation, loading.model))
         if tracked is None:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency_by_service.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency_by_service.py
@@ -47,8 +47,8 @@
 def remaining_time(
     concurrency: StoreConcurrency, now: float
 ) -> Callable[[Backend], float]:
-    """Return a function that tells in how many seconds the load under way at an engine
-    ends, with the store's concurrency taken into account."""
+    """Return a function that estimates in how many seconds the load under way at an
+    engine ends, with the store's concurrency taken into account."""
 
     def left_s(backend: Backend) -> float:
         loading = backend.engine.loading
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_queue.py
@@ -28,9 +28,9 @@
     """How far a load may exceed the number that the store serves at full speed.
 
     ``MUST_QUEUE``: the load waits until the store has room. ``MAY_PROBE``: it may be
-    the probe, as it would be among the next loads whatever else is requested until
-    then. ``MAY_OVERSUBSCRIBE``: it may also start while the store is known to be full,
-    if it ends sooner that way.
+    the probe, because it would be among the next loads in any case, whichever others
+    are requested in the meantime. ``MAY_OVERSUBSCRIBE``: it may also start while the
+    store is known to be full, if it ends sooner that way.
     """
 
     MUST_QUEUE = 0
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/unserved.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/unserved.py
@@ -1,9 +1,9 @@
 """Models and adapters that are called but not served.
 
 A caller that is refused comes back, is refused again and gives up; each of these calls
-alone looks like any other that arrived at a bad moment. That a model has been refused
-to everybody for a minute shows only in the age of its first call since a call was last
-served.
+alone looks like any other that arrived at a bad moment. That all calls for a model have
+been refused for a minute shows only in the age of the first of them since a call was
+last served.
 
 Example::
 
@@ -53,8 +53,8 @@
         self._unserved_calls.pop((model, adapter), None)
 
     def count(self, now: float, older_than_s: float) -> int:
-        """How many have had no call served for so long, although calls came before that
-        and still come."""
+        """The number of models and adapters whose first unserved call is at least
+        ``older_than_s`` seconds old, and that are still called."""
         return sum(
             now - unserved_calls.since >= older_than_s
             and now - unserved_calls.last <= RECENT_CALL_S
@@ -62,7 +62,8 @@
         )
 
     def oldest_s(self, now: float) -> float:
-        """Seconds since the first of these calls, 0 if there is none."""
+        """The age of the first unserved call of any model or adapter that is still
+        called, in seconds; 0 if there is none."""
         ages = [
             now - unserved_calls.since
             for unserved_calls in self._unserved_calls.values()
