--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -1,4 +1,4 @@
-"""Models that are asked for again and again, and never served."""
+"""Models that are called again and again and never loaded."""
 
 import unittest
 from unittest import mock
@@ -16,14 +16,17 @@
 from tests.gateway.common import samples
 from tests.gateway.common.refusal_replay import RefusalReplay
 
-#: A load from the store begins so long after the one before has ended: what makes way
-#: ends its runs first. Seconds.
+#: The longest time from the end of one load from the store to the start of the next:
+#: the calls on a model that is evicted for it end first. Seconds.
 MAX_STORE_IDLE_S = 2.0
 
 
 class TestStoreForModelsWithAdapters(unittest.TestCase):
-    """No engine loaded from the weight store because each of them was the last one to
-    hold some model with adapters."""
+    """Symptom: the weight store is idle while callers wait for it.
+
+    No engine loaded from it because each of them was the last one to hold some model
+    with adapters.
+    """
 
     def replay(self, seed, seconds=60.0):
         rates = {f"m{number}": 0.5 for number in range(36)}
@@ -46,8 +49,10 @@
 
 
 class TestOrderOfStoreLoads(unittest.TestCase):
-    """A model whose callers were all refused was passed over by each busier one that
-    lost its copies later."""
+    """Symptom: a model is never loaded from the store, and all its callers are refused.
+
+    Each busier model that lost its copies later was loaded before it.
+    """
 
     def test_models_that_lose_copies_later_do_not_starve_it(self):
         later = [f"m{number}" for number in range(16)]
@@ -62,8 +67,10 @@
 
 
 class TestEnginesFullOfBusyModels(unittest.TestCase):
-    """A rarely used model was never loaded where all that engines hold has calls under
-    way at every moment."""
+    """Symptom: a rarely used model is never loaded.
+
+    All models that the engines hold have running calls at every moment.
+    """
 
     def test_it_has_a_turn(self):
         busy = [f"m{number}" for number in range(6)]
@@ -77,7 +84,10 @@
 
 
 class TestModelsWhoseCallersAreAllRefused(unittest.TestCase):
-    """Another model took the store's turn each time, for a caller who could wait."""
+    """Symptom: a model is never loaded from the store, and all its callers are refused.
+
+    Each time the store loaded another model, for a caller who could wait.
+    """
 
     def test_the_model_refused_most_is_loaded_first(self):
         names = ("refused", "waited")
@@ -91,7 +101,11 @@
 
 
 class TestAdaptersOfNewlyLoadedModel(unittest.TestCase):
-    """Its one engine took a load of 13 s: no call had missed an adapter yet."""
+    """Symptom: callers wait 13 s for an adapter of a model that is loaded.
+
+    The only engine with the model began a load of 13 s, as no call had missed an
+    adapter yet.
+    """
 
     def test_a_long_load_is_planned_at_another_engine(self):
         plain = [f"p{number}" for number in range(4)]
@@ -108,8 +122,11 @@
 
 
 class TestCallersOfAdaptersRefusedDuringALoad(unittest.IsolatedAsyncioTestCase):
-    """When that load had ended nobody wished for the adapter, and the engine's next one
-    began before they were back."""
+    """Symptom: callers are refused again, as their adapter isn't loaded.
+
+    When the load had ended nobody requested the adapter, and the engine's next load
+    began before the callers were back.
+    """
 
     async def test_the_adapter_is_loaded_when_it_ends(self):
         loading = Loading("poet", 60.0, True)
@@ -128,9 +145,12 @@
 
 
 class TestRetryDelayOfRefusedCallers(unittest.IsolatedAsyncioTestCase):
-    """They were told 6 s where the plan said 26, and came back for nothing."""
+    """Symptom: refused callers come back too early and are refused again.
 
-    async def told(self, planned):
+    They were told to come back after 6 s where the plan's time was 26 s.
+    """
+
+    async def delay_of_refusal(self, planned):
         context = mock.Mock()
         context.clock.return_value = 5.0
         context.gateway_state.fleet.of_service.return_value = []
@@ -147,15 +167,18 @@
 
     async def test_the_delay_is_the_planned_time_until_the_model_is_ready(self):
         planned = PlannedLoad("tutor", "", 26.0, False, True)
-        self.assertEqual(await self.told(planned), 26.0)
+        self.assertEqual(await self.delay_of_refusal(planned), 26.0)
 
     async def test_without_a_plan_the_delay_is_short(self):
-        self.assertEqual(await self.told(None), UNPLANNED_RETRY_S)
+        self.assertEqual(await self.delay_of_refusal(None), UNPLANNED_RETRY_S)
 
 
 class TestAdaptersOfReturningCallers(unittest.TestCase):
-    """Callers came back to their model and were refused for want of their adapter, as
-    the model's engine was in another long load by then."""
+    """Symptom: callers come back to a loaded model and are refused for lack of their
+    adapter.
+
+    By then the model's engine was busy with another long load.
+    """
 
     def setUp(self):
         self.prefetch = AdapterPrefetch()
@@ -189,7 +212,7 @@
 
 
 class TestCallersDueBack(unittest.TestCase):
-    """A model was loaded for refused callers and unloaded before they came back."""
+    """Symptom: refused callers return after the model loaded for them was unloaded."""
 
     def test_it_stays_until_they_are_back(self):
         spec = samples.engine(samples.model("tutor"), samples.model("poet"))
--- a/tests/gateway/failures/test_store_load_requests.py
+++ b/tests/gateway/failures/test_store_load_requests.py
@@ -1,4 +1,4 @@
-"""One turn of the weight store that was given to two models."""
+"""Requests of loads from the weight store, which serves few of them at a time."""
 
 import unittest
 
@@ -28,8 +28,8 @@
 
 
 class GatewayStateWithStore(FakeGatewayState):
-    """Engines without any copy, and a weight store that is slow enough to be taken to
-    serve one load at a time."""
+    """Engines without any copy, and a weight store so slow that its estimated
+    concurrency is one load."""
 
     def __init__(self, app):
         super().__init__(app)
@@ -45,24 +45,29 @@
 
 
 class TestOneFreeStoreSlot(unittest.TestCase):
-    """Two loads began within 40 ms, at two engines: each entry gave the turn that had
-    come free to the first of the models that it sees to."""
+    """Symptom: two loads from the store start within 40 ms at two engines.
 
-    def entry(self, instance, demands):
+    The store could serve one more load, and each entry requested one for the first of
+    the models for which it is the responsible planner.
+    """
+
+    def plan_at_entry(self, instance, demands):
         app = App(instance)
-        known = GatewayStateWithStore(app)
+        gateway_state = GatewayStateWithStore(app)
         requested = []
 
         def load_request(backend, load_request):
             requested.append(load_request.model)
 
         self.lines = []
-        plans = EnginePlans(app, known, load_request, self.lines.append)
+        plans = EnginePlans(app, gateway_state, load_request, self.lines.append)
         plans.entries = ENTRIES
         plans.make_plans(app.at)
         app.at += MAX_STALL_S + 0.1
         for number in range(6):
-            known.fleet.engine_reported(app.at, samples.engine_state(f"b{number}"))
+            gateway_state.fleet.engine_reported(
+                app.at, samples.engine_state(f"b{number}")
+            )
         plans.make_plans(app.at)
         requested.clear()
         plans.totals_reported(app.at, SERVICE, "10.0.0.1", demands)
@@ -70,49 +75,50 @@
         return app, plans, requested
 
     def test_exactly_one_entry_requests_the_load(self):
-        giving = set()
+        requesting = set()
         for instance in planners(ENTRIES):
             for first in MODELS:
                 demands = dict.fromkeys(MODELS, Demand(0.1, 1))
                 demands[first] = Demand(0.5, 2)
-                if self.entry(instance, demands)[2]:
-                    giving.add(instance)
-        self.assertEqual(len(giving), 1)
+                if self.plan_at_entry(instance, demands)[2]:
+                    requesting.add(instance)
+        self.assertEqual(len(requesting), 1)
 
     def test_the_log_line_has_the_start_reason(self):
-        asked = []
+        requests = []
         for instance in planners(ENTRIES):
-            self.entry(instance, {"m1": Demand(0.5, 2)})
+            self.plan_at_entry(instance, {"m1": Demand(0.5, 2)})
             lines = [line for line in self.lines if isinstance(line, StoreLoadAsked)]
-            asked += [line for line in lines if line.model == "m1"]
-        (line,) = asked
+            requests += [line for line in lines if line.model == "m1"]
+        (line,) = requests
         self.assertEqual((line.turn, line.full_speed), ("free", 1))
 
     def test_an_entry_keeps_its_choice_until_the_agent_reports(self):
         for instance in planners(ENTRIES):
             first = {**dict.fromkeys(MODELS, Demand(0.1, 1)), "m1": Demand(0.5, 2)}
-            app, plans, requested = self.entry(instance, first)
-            asked = set(requested)
+            app, plans, requested = self.plan_at_entry(instance, first)
+            initially_requested = set(requested)
             for model in MODELS:
                 later = {**first, model: Demand(0.9, 3)}
                 plans.totals_reported(app.at, SERVICE, "10.0.0.1", later)
                 app.at += PLAN_INTERVAL_S
                 plans.make_plans(app.at)
-            self.assertEqual(set(requested), asked)
+            self.assertEqual(set(requested), initially_requested)
 
 
 class TestLoadsThatDoNotStart(unittest.TestCase):
     """Symptom: no model without a copy is loaded for the rest of the day.
 
-    The load of the first in the queue didn't begin, and each plan asked for it again.
+    The load of the first model in the queue didn't start, and each plan requested it
+    again.
     """
 
-    def plans(self, admits):
+    def requested_models(self, admits):
         app = App(ENTRIES[0])
-        known, requested = GatewayStateWithStore(app), []
+        gateway_state, requested = GatewayStateWithStore(app), []
         plans = EnginePlans(
             app,
-            known,
+            gateway_state,
             lambda backend, load_request: requested.append(load_request.model),
             admits=admits,
         )
@@ -121,17 +127,21 @@
         for _ in range(round((MAX_STALL_S + 12.0) / PLAN_INTERVAL_S)):
             app.at += PLAN_INTERVAL_S
             for number in range(6):
-                known.fleet.engine_reported(app.at, samples.engine_state(f"b{number}"))
+                gateway_state.fleet.engine_reported(
+                    app.at, samples.engine_state(f"b{number}")
+                )
             plans.totals_reported(app.at, SERVICE, "10.0.0.1", demands)
             plans.make_plans(app.at)
         return requested
 
     def test_a_load_that_is_not_admitted_takes_no_slot(self):
-        requested = self.plans(admits=lambda model: model != "m1")
+        requested = self.requested_models(admits=lambda model: model != "m1")
         self.assertEqual(set(requested), {"m2"})
 
     def test_a_load_that_does_not_start_is_not_requested_again_at_once(self):
-        self.assertEqual(set(self.plans(admits=lambda model: True)), {"m1", "m2"})
+        self.assertEqual(
+            set(self.requested_models(admits=lambda model: True)), {"m1", "m2"}
+        )
 
 
 class TestStoreLoadRequests(unittest.TestCase):
@@ -160,8 +170,11 @@
 
 
 class TestProbeAtRemovedEngine(unittest.TestCase):
-    """One load more was tried again and again after the registry had dropped the engine
-    of the first trial before its load was seen; a second one began beside it."""
+    """Symptom: a second probe of the store's concurrency starts beside the first.
+
+    The registry removed the engine of the first probe before its load was reported, and
+    further probes were started again and again.
+    """
 
     def setUp(self):
         self.load_requests = StoreLoadRequests()
--- a/tests/gateway/failures/test_store_loads.py
+++ b/tests/gateway/failures/test_store_loads.py
@@ -1,4 +1,4 @@
-"""Loads from the weight store that keep engines from all other orders."""
+"""Slow loads from the weight store, during which engines accept no other orders."""
 
 import unittest
 from dataclasses import dataclass
@@ -12,14 +12,14 @@
 ENGINES = 12
 STEP_S = 0.5
 LENGTH_S = 30.0
-#: A load that takes longer than this many times its own time is over so late that its
-#: engine had better served others.
+#: A load that is slowed down by more than this factor ends so late that its engine had
+#: better served other models.
 MAX_SLOWDOWN = 1.5
 
 
 @dataclass
 class SimulatedLoad:
-    """A load under way; the store's speed is settled as it begins."""
+    """A load in progress; its slowdown is fixed when it starts."""
 
     model: str
     ends_at: float
@@ -27,8 +27,8 @@
 
 
 class SimulatedStore:
-    """A weight store that serves so many loads at full speed, and what a plan for it
-    has engines begin."""
+    """A weight store that serves some loads at full speed, and engines that start the
+    loads that are planned for them."""
 
     def __init__(self, full_speed_loads, models, waiting):
         self.full_speed_loads = full_speed_loads
@@ -45,7 +45,7 @@
         self.started_loads.append(load)
 
     def lose_engine(self, instance):
-        """The engine crashes or leaves, and its load is over."""
+        """Ends an engine's load, as when it crashes or leaves."""
         del self.under_way[instance]
 
     def run(self):
@@ -80,11 +80,12 @@
 
 
 class TestOverloadedStore(unittest.TestCase):
-    """Symptom: models with a copy are refused, as their engines wait for the store.
+    """Symptom: calls for models with a copy are refused, as the engines that have the
+    copies are loading other models from the store.
 
-    An engine was lost in the middle of a load from the weight store. What the store had
-    slowed as it began went on as slowly, so that beginning beside it seemed sooner than
-    waiting for it; each load begun that way made the next one seem so, too.
+    An engine was lost during its load from the weight store. Loads that had started
+    slowed down stayed as slow, so that a load beside them seemed to end sooner than one
+    that waits for them. Each load started that way made the next one seem so, too.
     """
 
     def test_no_load_starts_that_would_be_slowed_down_much(self):
