--- a/tests/adapter/failures/test_processes.py
+++ b/tests/adapter/failures/test_processes.py
@@ -58,10 +58,12 @@
             await fleet.wait_ready(entry)
             fleet.store.failure_mode = FailureMode.SILENT
 
-            async def noticed():
+            async def outage_detected():
                 return bool(entry.events("dependency_lost"))
 
-            await wait_until(noticed, "the entry notices that the store is silent")
+            await wait_until(
+                outage_detected, "the entry detects that the store is silent"
+            )
             status, _ = await fleet.call(entry, MODEL_NAME)
             self.assertEqual(status, 200)
             self.assertTrue(await fleet.is_ready(entry))
--- a/tests/adapter/failures/test_stalls.py
+++ b/tests/adapter/failures/test_stalls.py
@@ -254,10 +254,10 @@
         await asyncio.sleep(0.5)
         background_loop.call(store.remove, "servers/i-1")
         await asyncio.sleep(0.8)
-        held = gateway_state.fleet.get("i-1")
+        backend = gateway_state.fleet.get("i-1")
         for task in tasks:
             task.cancel()
-        self.assertIsNone(held)
+        self.assertIsNone(backend)
         self.assertEqual(events.of_kind("dependency_lost"), [])
 
 
@@ -304,12 +304,12 @@
 @contextlib.contextmanager
 def unresponsive_port():
     """A port whose accept queue is full: it neither accepts nor refuses connections."""
-    with contextlib.ExitStack() as held:
-        listening = held.enter_context(socket.socket())
+    with contextlib.ExitStack() as sockets:
+        listening = sockets.enter_context(socket.socket())
         listening.bind(("127.0.0.1", 0))
         listening.listen(0)
         for _ in range(4):
-            sock = held.enter_context(socket.socket())
+            sock = sockets.enter_context(socket.socket())
             sock.setblocking(False)
             sock.connect_ex(listening.getsockname())
         yield listening.getsockname()[1]
--- a/tests/adapter/failures/test_unframed_answers.py
+++ b/tests/adapter/failures/test_unframed_answers.py
@@ -25,20 +25,23 @@
         await self.harness.close()
 
     def script_first_answer(self, *pieces, reset=False):
-        """Have the first answer, of whichever replica, end after ``pieces``."""
+        """Have the first answer, of whichever replica, end after ``pieces``.
 
-        def reply(replica):
+        The replica then closes the connection, or resets it if ``reset``.
+        """
+
+        def unframed_reply(replica):
             def unframed(request):
                 for other in self.harness.replicas:
                     other.next_replies.clear()
-                found = replica.answer(request, length=False, close=True)
-                found.pieces, found.reset = pieces, reset
-                return found
+                reply = replica.answer(request, length=False, close=True)
+                reply.pieces, reply.reset = pieces, reset
+                return reply
 
             return unframed
 
         for replica in self.harness.replicas:
-            replica.next_replies.append(reply(replica))
+            replica.next_replies.append(unframed_reply(replica))
 
     async def call(self):
         return await self.harness.call(path=b"/a/x", x_model=MODEL_NAME)
@@ -77,9 +80,9 @@
         for replica in self.harness.replicas:
 
             def unframed(request, replica=replica):
-                found = replica.answer(request, length=False, close=True)
-                found.pieces = (*EVENTS[:2], b"id: 3")
-                return found
+                reply = replica.answer(request, length=False, close=True)
+                reply.pieces = (*EVENTS[:2], b"id: 3")
+                return reply
 
             replica.next_replies = [unframed] * 9
         answer = await self.call()
