--- a/tests/gateway/common/fleets.py
+++ b/tests/gateway/common/fleets.py
@@ -1,4 +1,4 @@
-"""Random fleets of engines with random demand, equal for equal seeds."""
+"""Random fleets of engines with random demand; equal seeds give equal fleets."""
 
 import random
 from dataclasses import replace
@@ -32,16 +32,16 @@
     ]
 
 
-def _some(rng, names, most):
-    return rng.sample(names, min(len(names), rng.randint(0, most)))
+def _sample_up_to(rng, names, max_count):
+    return rng.sample(names, min(len(names), rng.randint(0, max_count)))
 
 
 def _engine(rng, number, spec, demands, tight):
-    # The last name is one that the configuration doesn't know.
+    # The last name isn't in the configuration.
     names = [*spec.models, "unknown"]
-    near = names[: rng.choice((4, 40, len(names)))]
+    candidates = names[: rng.choice((4, 40, len(names)))]
     held = {}
-    for name in _some(rng, near, rng.choice((2, 4))):
+    for name in _sample_up_to(rng, candidates, rng.choice((2, 4))):
         adapters = range(rng.choice((0, 0, 1, 3)))
         held[name] = frozenset(f"a{adapter}" for adapter in adapters)
     loading = None
@@ -52,7 +52,7 @@
         for name, adapters in held.items()
         if name in spec.models
     )
-    busy = 0.9 if tight else 0.4
+    in_use_probability = 0.9 if tight else 0.4
     values = keep_values(held, demands)
     if rng.random() < 0.3 and not tight:
         values = {name: rng.choice((0.0, 0.3, 0.5, 9.0)) for name in held}
@@ -61,14 +61,18 @@
         held,
         loading,
         rng.random() < 0.1,
-        frozenset([*held, *_some(rng, names, 3)]),
-        frozenset(_some(rng, names, 9)),
+        frozenset([*held, *_sample_up_to(rng, names, 3)]),
+        frozenset(_sample_up_to(rng, names, 9)),
         rng.choice((0, 3, 24)),
         rng.choice((0, 0, 5)),
         used * rng.choice((1.0, 1.0, 1.1)),
         rng.random() < 0.95,
         values,
-        {name: rng.choice((0, 1, 7, 24)) for name in held if rng.random() < busy},
+        {
+            name: rng.choice((0, 1, 7, 24))
+            for name in held
+            if rng.random() < in_use_probability
+        },
         rng.random() < 0.05,
     )
 
@@ -76,10 +80,10 @@
 def _demands(rng, spec, idle, tight):
     names = [*spec.models, "unknown"]
     if tight:
-        # Room for an awaited model may be made by moving another.
+        # Another model may be moved to make room for one that calls wait for.
         return {
             name: Demand(rng.choice((0.9, 3.0)), rng.choice((0, 0, 0, 2, 6)), 1)
-            for name in _some(rng, names, len(names))
+            for name in _sample_up_to(rng, names, len(names))
         }
     return {
         name: Demand(
@@ -89,23 +93,23 @@
             rng.choice((0.0, 0.3, rng.uniform(0.0, 4.0))),
             rng.choice((0, 1, 2, 5)),
         )
-        for name in _some(rng, names, len(names))
+        for name in _sample_up_to(rng, names, len(names))
     }
 
 
 def _with_adapter_misses(rng, spec, demands):
-    """Some calls for models that have adapters find theirs nowhere."""
-    found = dict(demands)
+    """Adds to some demands a rate of calls whose adapter no engine has."""
+    with_misses = dict(demands)
     for name, demand in demands.items():
         if name in spec.models and spec.models[name].adapters and demand.rate:
             rate = demand.rate * rng.choice((0.0, 0.02, 0.3))
-            found[name] = replace(demand, adapter_miss_rate=rate)
-    return found
+            with_misses[name] = replace(demand, adapter_miss_rate=rate)
+    return with_misses
 
 
-def fleet(seed):
-    """The engines' settings, the backend servers, the demand for models, and how many
-    loads the store serves at full speed."""
+def random_fleet(seed):
+    """Returns the engines' settings, the backend servers, the demand for models, and
+    how many loads the store serves at full speed."""
     rng = random.Random(seed)
     tight = rng.random() < 0.3
     models = {spec.name: spec for spec in _models(rng, tight)}
@@ -120,10 +124,10 @@
             f"i-{number}", "s", f"10.0.0.{number}:80", "z", 24, leaving, number
         )
         last_received_at = NOW - rng.choice((0.1, 0.1, 0.1, 0.8, 1.2, 2.0))
-        found = Backend(record, state, last_received_at, rng.choice((0, 2, 30)))
+        backend = Backend(record, state, last_received_at, rng.choice((0, 2, 30)))
         if rng.random() < 0.03:
-            found.engine = None
+            backend.engine = None
         if rng.random() < 0.1:
-            found.mark_unreachable(NOW - 0.5)
-        backends.append(found)
+            backend.mark_unreachable(NOW - 0.5)
+        backends.append(backend)
     return spec, backends, demands, rng.choice((1, 2, 4))
--- a/tests/gateway/common/refusal_replay.py
+++ b/tests/gateway/common/refusal_replay.py
@@ -1,9 +1,9 @@
-"""Replays refused callers of rarely used models on virtual time, around the real demand
-and the real plan.
+"""Replays refused callers of rarely used models in virtual time, with the real demand
+tracker and planner.
 
-More models are asked for than the engines hold. Some have no copy on any engine and
-come from a weight store that serves one load at a time. A caller whose model isn't
-there in time is refused, and returns once.
+More models are called than the engines can hold. Some have no copy on any engine and
+are loaded from a weight store that serves one load at a time. A caller whose model
+isn't loaded in time is refused, and returns once.
 """
 
 import math
@@ -25,8 +25,9 @@
 
 TICK_S = 0.1
 DISK_S, CALL_DURATION_S = 0.4, 0.5
-#: A caller of which the model comes later than this is refused. Seconds.
+#: A caller whose model is ready later than this is refused. Seconds.
 MAX_WAIT_S = 4.0
+#: After at most this time a refused caller returns. Seconds.
 MAX_COME_BACK_S = 6.0
 MODELS_PER_ENGINE = 3
 
@@ -47,22 +48,28 @@
 
 @dataclass
 class Caller:
-    """One call; ``again`` is whether its caller returns after a refusal,
-    ``missed_adapter`` whether it has found its adapter nowhere."""
+    """One call.
+
+    ``will_return`` is whether its caller returns after a refusal, ``missed_adapter``
+    whether no engine had its adapter, and ``left_s`` the time until the caller gives
+    up, in seconds.
+    """
 
     model: str
     adapter: str
     arrived: float
-    again: bool = True
+    will_return: bool = True
     missed_adapter: bool = False
     left_s: float = math.inf
 
 
 @dataclass(frozen=True)
 class StoreLoadStart:
-    """A load from the store as it begins; ``callers`` are those of its model who wait
-    or are to come back, ``max_other_callers`` those of the other model without a copy that has the
-    most."""
+    """The start of a load from the store.
+
+    ``callers`` is the number of the model's callers who wait or are expected back,
+    ``max_other_callers`` the highest such number of another model without a copy.
+    """
 
     at: float
     model: str
@@ -72,8 +79,11 @@
 
 @dataclass(frozen=True)
 class CallerTimeouts:
-    """How long callers wait for their model, and how much time they have; without a
-    limit they come back when they are told to, but within ``max_return_delay_s``. Seconds.
+    """How long callers wait for their model at a time, after which delay they return
+    at the latest, and how much time they have in all. Seconds.
+
+    Refused callers return when they are told to, but within ``max_return_delay_s`` and
+    a third of the time that they have left.
     """
 
     max_wait_s: float = MAX_WAIT_S
@@ -84,9 +94,9 @@
 class RefusalReplay:
     """One seeded trace.
 
-    ``rates`` are calls a second by model, ``copied`` the models that have a copy at the
-    start. If there are ``adapters``, each call names one of so many. ``shifts`` are
-    pairs of a time and the rates from then on.
+    ``rates`` are calls per second by model, ``copied`` the models that have a copy at
+    the start. If ``adapters`` isn't 0, each call names one of that many adapters.
+    ``shifts`` are pairs of a time and the rates from then on.
     """
 
     def __init__(
@@ -125,58 +135,60 @@
         self._waiting = []
         self._returning = []
         self.now = 0.0
-        #: By model and adapter, when each call ended, and whether it was served.
-        self.ends = defaultdict(list)
-        #: Times in which no load from the store was under way, though a caller had been
-        #: refused within the last second for a model without any copy. Seconds.
+        #: When each call ended and whether it was served, by model and adapter.
+        self.call_ends = defaultdict(list)
+        #: Times at which no load from the store was in progress, though a caller of a
+        #: model without any copy had been refused within the last second. Seconds.
         self.store_idle_times = []
-        #: The loads from the store, in the order in which they began.
+        #: The loads from the store, in the order in which they started.
         self.store_load_starts = []
         self._plan = {}
 
     def run(self, seconds, losses=()):
-        """Play it; ``losses`` are pairs of a time and a model that all engines lose
-        their copies of then."""
+        """Runs the replay; ``losses`` are pairs of a time and of a model of which all
+        engines lose their copies then."""
         losses = sorted(losses)
         while self.now < seconds:
             while losses and losses[0][0] <= self.now:
-                self._lose(losses.pop(0)[1])
+                self._lose_copies(losses.pop(0)[1])
             while self._shifts and self._shifts[0][0] <= self.now:
                 _, self._rates = self._shifts.pop(0)
             self._end_loads()
-            self._arrive()
+            self._add_arrivals()
             self._serve_held()
-            self._order()
+            self._start_planned_loads()
             self._serve()
             self._record_store_idle()
             self.now = round(self.now + TICK_S, 1)
 
     def starved(self, min_calls=4, span_s=8.0):
-        """The models and adapters asked for so often over so long and never served."""
+        """Returns the models and adapters that were called at least this often, over at
+        least this time, and never served."""
         return [
             key
-            for key, ends in sorted(self.ends.items())
+            for key, ends in sorted(self.call_ends.items())
             if len(ends) >= min_calls
             and ends[-1][0] - ends[0][0] >= span_s
             and not any(served for _, served in ends)
         ]
 
     def longest_store_idle_s(self):
-        """The longest time in which the store served nobody though it could have."""
-        longest = spell = 0
+        """Returns the longest time during which the store was idle though a load from
+        it was needed."""
+        longest = idle_ticks = 0
         for before, at in zip(
             [float("-inf"), *self.store_idle_times], self.store_idle_times
         ):
-            spell = spell + 1 if at - before < 1.5 * TICK_S else 1
-            longest = max(longest, spell)
+            idle_ticks = idle_ticks + 1 if at - before < 1.5 * TICK_S else 1
+            longest = max(longest, idle_ticks)
         return longest * TICK_S
 
-    def _lose(self, model):
+    def _lose_copies(self, model):
         for engine in self.engines:
             engine.copies.discard(model)
             engine.held.pop(model, None)
 
-    def _arrive(self):
+    def _add_arrivals(self):
         arrived = [caller for at, caller in self._returning if at <= self.now]
         self._returning = [pair for pair in self._returning if pair[0] > self.now]
         for model, rate in self._rates.items():
@@ -193,26 +205,26 @@
             self._waiting.append(caller)
 
     def _serve_held(self):
-        """Calls whose model is there don't wait for it."""
-        staying = []
+        """Serves the waiting calls whose model and adapter are loaded."""
+        still_waiting = []
         for caller in self._waiting:
             engine = self._holder(caller)
             if engine is None:
-                staying.append(caller)
+                still_waiting.append(caller)
                 continue
             engine.held[caller.model] = self.now + CALL_DURATION_S
-            self._end(caller, served=True)
-        self._waiting = staying
+            self._record_end(caller, served=True)
+        self._waiting = still_waiting
 
     def _serve(self):
         self._serve_held()
-        staying = []
+        still_waiting = []
         for caller in self._waiting:
             if self._is_in_time(caller):
-                staying.append(caller)
+                still_waiting.append(caller)
             else:
-                self._refused(caller)
-        self._waiting = staying
+                self._refuse(caller)
+        self._waiting = still_waiting
 
     def _holder(self, caller):
         holders = [engine for engine in self.engines if caller.model in engine.held]
@@ -237,29 +249,29 @@
         load = self._plan.get(caller.model)
         return load is not None and load.ready_in_s < left_s
 
-    def _refused(self, caller):
+    def _refuse(self, caller):
         load = self._plan.get(caller.model)
         ready_in_s = load.ready_in_s if load is not None else MAX_COME_BACK_S
         left_s = caller.left_s - (self.now - caller.arrived)
         max_delay_s = min(self._timeouts.max_return_delay_s, left_s / 3)
         come_back_s = min(max(0.2, ready_in_s), max_delay_s)
-        expected_s = come_back_s if caller.again else None
+        expected_s = come_back_s if caller.will_return else None
         self.demand_tracker.refused(
             self.now, caller.model, come_back_s, returns_in_s=expected_s
         )
-        self._end(caller, served=False)
-        if caller.again:
+        self._record_end(caller, served=False)
+        if caller.will_return:
             left_s -= come_back_s
-            again = Caller(
-                caller.model, caller.adapter, 0.0, again=False, left_s=left_s
+            returning = Caller(
+                caller.model, caller.adapter, 0.0, will_return=False, left_s=left_s
             )
-            self._returning.append((self.now + come_back_s, again))
+            self._returning.append((self.now + come_back_s, returning))
 
-    def _end(self, caller, served):
+    def _record_end(self, caller, served):
         self.demand_tracker.end_waiting(caller.arrived, caller.model)
         if not served:
             self.demand_tracker.unserved(caller.arrived, caller.model)
-        self.ends[(caller.model, caller.adapter)].append((self.now, served))
+        self.call_ends[(caller.model, caller.adapter)].append((self.now, served))
 
     def _end_loads(self):
         for engine in self.engines:
@@ -269,7 +281,7 @@
                 engine.copies.add(engine.loading)
                 engine.loading = ""
 
-    def _order(self):
+    def _start_planned_loads(self):
         backends = [self._backend(engine) for engine in self.engines]
         holders, copies = defaultdict(int), defaultdict(int)
         for backend in backends:
@@ -333,13 +345,13 @@
 
     def _store_load_start(self, model):
         copied = {name for engine in self.engines for name in engine.copies}
-        coming = {engine.loading for engine in self.engines}
-        here = [caller.model for caller in self._waiting]
-        count = Counter(here + [caller.model for _, caller in self._returning])
+        loading = {engine.loading for engine in self.engines}
+        waiting = [caller.model for caller in self._waiting]
+        count = Counter(waiting + [caller.model for _, caller in self._returning])
         others = [
             count[name]
             for name in self.spec.models
-            if name != model and name not in copied | coming
+            if name != model and name not in copied | loading
         ]
         return StoreLoadStart(self.now, model, count[model], max(others, default=0))
 
@@ -347,7 +359,7 @@
         if any(engine.loading and engine.from_store for engine in self.engines):
             return
         copied = {name for engine in self.engines for name in engine.copies}
-        for (model, _), ends in self.ends.items():
+        for (model, _), ends in self.call_ends.items():
             at, served = ends[-1]
             if not served and self.now - at <= 1.0 and model not in copied:
                 self.store_idle_times.append(self.now)
--- a/tests/gateway/common/replay.py
+++ b/tests/gateway/common/replay.py
@@ -1,9 +1,9 @@
-"""Replays calls for rarely used models on virtual time, around the real plan.
+"""Replays calls for rarely used models in virtual time, with the real planner.
 
 Engines here load one model at a time, from a copy on their own disk or from a weight
-store that serves a few at full speed; what makes way first ends its runs. There is no
-network: calls arrive by a seeded trace, and each is served as soon as an engine holds
-its model.
+store that serves a few loads at full speed. Before a model is evicted its calls end.
+There is no network: calls arrive by a seeded trace, and each is served as soon as an
+engine holds its model.
 """
 
 import random
@@ -22,7 +22,7 @@
 #: Models of which one engine has a copy.
 COPIED = 40
 CALLS_PER_S = 1.2
-#: A caller is late after the first, and leaves after the second. Seconds.
+#: A call is late after the first, and its caller leaves after the second. Seconds.
 TARGET_S, MAX_WAIT_S = 4.0, 16.0
 #: How long a call runs. Seconds.
 CALL_DURATION_S = 2.0
@@ -48,11 +48,11 @@
 
 @dataclass
 class Outcome:
-    """What became of the calls of a replay."""
+    """How many calls of a replay were served in time, served late, or abandoned."""
 
     in_time: int = 0
     late: int = 0
-    left: int = 0
+    abandoned: int = 0
 
     @property
     def served(self):
@@ -62,8 +62,8 @@
 class Replay:
     """One seeded trace.
 
-    ``reports_time_left`` False leaves out of the demand how long calls are in time, as
-    entries of an earlier version do.
+    Without ``reports_time_left`` the demand doesn't say how much time is left until
+    calls are late, as from entries of an earlier version.
     """
 
     def __init__(self, seed, reports_time_left=True):
@@ -83,18 +83,18 @@
         self.outcome = Outcome()
 
     def run(self):
-        """Play it; returns the outcome."""
+        """Runs the replay and returns its outcome."""
         ticks = round(LENGTH_S / TICK_S)
         for tick in range(ticks):
             now = tick * TICK_S
-            self._arrive(now)
+            self._add_arrivals(now)
             self._end_loads(now)
             self._serve(now)
-            self._order(now)
-        self.outcome.left += sum(map(len, self._waiting.values()))
+            self._start_planned_loads(now)
+        self.outcome.abandoned += sum(map(len, self._waiting.values()))
         return self.outcome
 
-    def _arrive(self, now):
+    def _add_arrivals(self, now):
         for model in self._rates:
             self._rates[model] *= 1 - TICK_S / DECAY_S
         if self._rng.random() < CALLS_PER_S * TICK_S:
@@ -120,28 +120,28 @@
                     self.outcome.in_time += in_time
                     self.outcome.late += not in_time
                 continue
-            staying = [at for at in since if now - at <= MAX_WAIT_S]
-            self.outcome.left += len(since) - len(staying)
-            self._waiting[model] = staying
-            if not staying:
+            still_waiting = [at for at in since if now - at <= MAX_WAIT_S]
+            self.outcome.abandoned += len(since) - len(still_waiting)
+            self._waiting[model] = still_waiting
+            if not still_waiting:
                 del self._waiting[model]
 
     def _demands(self, now):
         demands = {}
         for model, rate in self._rates.items():
             since = self._waiting.get(model, [])
-            left = [at + TARGET_S - now for at in since if at + TARGET_S > now]
+            remaining_s = [at + TARGET_S - now for at in since if at + TARGET_S > now]
             demands[model] = Demand(
                 rate,
                 len(since),
                 sum(model in engine.held for engine in self._engines),
                 now - min(since, default=now),
                 sum(model in engine.copies for engine in self._engines),
-                min(left, default=0.0) if self._reports_time_left else 0.0,
+                min(remaining_s, default=0.0) if self._reports_time_left else 0.0,
             )
         return demands
 
-    def _order(self, now):
+    def _start_planned_loads(self, now):
         demands = self._demands(now)
         backends = [self._backend(now, engine, demands) for engine in self._engines]
         plan = Planner(self._spec, STORE_LOADS).plan(now, backends, demands)
--- a/tests/gateway/common/samples.py
+++ b/tests/gateway/common/samples.py
@@ -30,8 +30,8 @@
 
 
 def engine(*models, memory_mb=100.0, adapter_slots=2, batch=8):
-    found = models or (model(),)
-    by_name = {item.name: item for item in found}
+    specs = models or (model(),)
+    by_name = {spec.name: spec for spec in specs}
     return EngineSpec(memory_mb, adapter_slots, batch, 3.5, by_name)
 
 
@@ -42,7 +42,7 @@
 
 
 def allocator_client(clock=lambda: 0.0):
-    """Those of an entry that hears no allocator."""
+    """Returns the client of an entry that has no stream to an allocator."""
     return AllocatorClient("e1", lambda peer: True, lambda: False, clock)
 
 
@@ -62,11 +62,11 @@
 
 
 def backend(instance="b1", now=0.0, state=None, **fields):
-    found = Backend(registration(instance, **fields))
+    sample = Backend(registration(instance, **fields))
     if state is not None:
-        found.engine = state
-        found.last_received_at = now
-    return found
+        sample.engine = state
+        sample.last_received_at = now
+    return sample
 
 
 def call(route_=None, service="plain", now=0.0, deadline=10.0, ask=None, **fields):
@@ -99,7 +99,7 @@
 
 
 def engine_backend(now, instance, holdings=(), **fields):
-    """An engine whose agent has just spoken; its models take 40 MB each."""
+    """Returns an engine whose agent has just reported; its models take 40 MB each."""
     fields.setdefault("memory_mb_used", 40.0 * len(holdings))
     state = engine_state(instance, holdings, **fields)
     return backend(instance, now, state, service="llm")
--- a/tests/gateway/randomised/plan_records.py
+++ b/tests/gateway/randomised/plan_records.py
@@ -18,7 +18,7 @@
 
 
 def plan(seed):
-    spec, backends, demands, store_loads = fleets.fleet(seed)
+    spec, backends, demands, store_loads = fleets.random_fleet(seed)
     return Planner(spec, store_loads).plan(fleets.NOW, backends, demands)
 
 
--- a/tests/gateway/randomised/test_plans.py
+++ b/tests/gateway/randomised/test_plans.py
@@ -29,7 +29,7 @@
         """
         for seed in range(40):
             with self.subTest(seed=seed):
-                spec, backends, demands, loads = fleets.fleet(seed)
+                spec, backends, demands, loads = fleets.random_fleet(seed)
                 planner = Planner(spec, loads)
                 planner.plan(fleets.NOW, random.Random(seed).sample(backends, 1), {})
                 found = planner.plan(fleets.NOW, backends, demands)
