--- a/packages/bambootiller-core/src/bambootiller_core/gateway/calls.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/calls.py
@@ -42,6 +42,7 @@
     Times are seconds on this process's monotonic clock. ``deadline`` is when the final
     answer is due: the earlier of the caller's own deadline and the route's timeout.
     ``first_event_due`` is when the caller of a stream disconnects if no event has come.
+    ``ask`` is the model and prompt of a call to an engine, None for other services.
     ``resume_after`` is the last event that the caller of a resumed stream already has.
     ``fingerprint`` is the same for every attempt and retry of a request. If calls need
     a key (``keyed``), ``key`` is the digest of the caller's key and ``customer`` the
@@ -65,8 +66,8 @@
 
     @property
     def priority(self) -> int:
-        """The effective priority, 0 being the highest: the customer's priority if it
-        has one, else the route's."""
+        """The effective priority of the call, 0 being the highest: the customer's
+        priority if it has one, else the route's."""
         if self.customer is not None and self.customer.priority is not None:
             return self.customer.priority
         return self.route.priority
--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -27,7 +27,7 @@
         self._context = context
         self._progress = progress
         self._ask = call.ask
-        self._prompt_unread = call.ask is not None
+        self._awaits_prefill = call.ask is not None
         self.backend = backend
         self.conn = conn
         #: When it was sent, in running time and by the clock. Seconds.
@@ -36,7 +36,7 @@
         self._may_have_run_before = progress.may_have_run
         self._last_event = progress.last_event
         backend.call_sent(*self._model_and_adapter())
-        if self._prompt_unread:
+        if self._awaits_prefill:
             backend.prefill_queued()
         progress.tried.append(backend.incarnation)
         progress.sends += 1
@@ -44,7 +44,7 @@
 
     @property
     def progressed(self) -> bool:
-        """Whether an event of it has been forwarded."""
+        """Whether an event of this attempt has been forwarded."""
         return self._progress.last_event != self._last_event
 
     def mark_not_run(self) -> None:
@@ -54,8 +54,8 @@
     def prefill_done(self) -> None:
         """Record that the prompt has been processed: the first event was received, or
         the attempt has ended."""
-        if self._prompt_unread:
-            self._prompt_unread = False
+        if self._awaits_prefill:
+            self._awaits_prefill = False
             self.backend.prefill_done()
 
     def end(self, answered: bool) -> None:
@@ -129,8 +129,8 @@
         return self._context.dialect.classify(self._call, head) is AnswerKind.STRAY
 
     def is_refusal(self, attempt: Attempt, head: AnswerHead) -> bool:
-        """Whether the backend server guarantees that it hasn't run the call; if so the
-        refusal is recorded.
+        """Whether the answer guarantees that the backend server hasn't run the call; if
+        so the refusal is recorded.
 
         Raises :class:`ConnectionLost` if the answer is unusable.
         """
@@ -158,7 +158,7 @@
         self, attempt: Attempt, head: AnswerHead, answer_kind: AnswerKind
     ) -> None:
         """Record the limit that an answer reports. A missing limit counts only if the
-        call was served: the sender of any other answer may not know the limit."""
+        call was served: the sender of any other answer may not be aware of it."""
         backend, limits = attempt.backend, self._context.server_limits
         limit = self._context.dialect.limit(head)
         if isinstance(limit, Unreadable):
@@ -172,7 +172,7 @@
             limits.record_no_limit(backend, attempt.sent_at_clock)
 
     def record_lost_answer(self, attempt: Attempt, exc: ConnectionLost) -> None:
-        """Record that the answer to an attempt was lost, and possibly its run."""
+        """Record that the answer to an attempt was lost, and that its run may be."""
         context, backend, conn = self._context, attempt.backend, attempt.conn
         if conn.reused:
             # Whatever broke this reused connection may have broken the idle ones too.
--- a/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
+++ b/packages/bambootiller/src/bambootiller/gateway/backend_connection.py
@@ -29,8 +29,8 @@
 from bambootiller.gateway.silence import RunningTimeSource, SilenceTimeout
 
 #: An idle connection is reused only within this fraction of the keep-alive timeout that
-#: the backend server states. Later, a call could cross the server's close, and it would
-#: be unknown whether it ran.
+#: the backend server states. Later, the server might close the connection while a call
+#: is on its way, and it would be unknown whether the call ran.
 KEEP_ALIVE_FRACTION = 0.6
 #: How long an idle connection is reused if the backend server states no timeout: the
 #: header can't express timeouts below a second. Seconds.
@@ -59,8 +59,8 @@
 class ConnectionLost(Exception):
     """The answer broke off or isn't valid HTTP.
 
-    ``closed_cleanly`` tells an ordinary close from a reset; ``received_any`` is whether
-    any byte of an answer was received.
+    ``closed_cleanly`` is whether the connection was closed without a reset,
+    ``received_any`` whether any byte of an answer was received.
     """
 
     def __init__(self, detail: str, closed_cleanly: bool, received_any: bool) -> None:
@@ -310,7 +310,7 @@
         self._in_call = False
         return usable
 
-    def fresh(self, now: float) -> bool:
+    def can_be_reused(self, now: float) -> bool:
         """Whether an idle connection may still be reused."""
         if self._unusable or self._transport is None or self._transport.is_closing():
             return False
--- a/packages/bambootiller/src/bambootiller/gateway/connection_pool.py
+++ b/packages/bambootiller/src/bambootiller/gateway/connection_pool.py
@@ -56,7 +56,7 @@
             self.close()
         while self._idle:
             conn = self._idle.pop()
-            if conn.fresh(now):
+            if conn.can_be_reused(now):
                 return conn
             self._drop(conn)
         if self.open >= self._max_open:
@@ -89,7 +89,7 @@
     def sweep(self, now: float) -> None:
         """Close idle connections that can't be reused."""
         for conn in list(self._idle):
-            if not conn.fresh(now):
+            if not conn.can_be_reused(now):
                 self._idle.remove(conn)
                 self._drop(conn)
 
--- a/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
+++ b/packages/bambootiller/src/bambootiller/gateway/crash_isolation.py
@@ -15,9 +15,9 @@
     AdmissionDecision,
 )
 
-#: A call is held no longer than this, and for no more than this fraction of its
-#: remaining time: a caller that would finally be refused is better refused at once.
-#: Seconds.
+#: A call is held for at most this many seconds, and at most this fraction of its
+#: remaining time. If it would have to wait longer, it is refused at once and not only
+#: after the wait.
 MAX_HOLD_S = 2.5
 HOLD_FRACTION = 0.5
 
--- a/packages/bambootiller/src/bambootiller/gateway/http_front.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_front.py
@@ -50,8 +50,8 @@
 class HttpFront:
     """Accepts calls and runs a relay for each.
 
-    While ``is_leaving`` holds, answers ask the caller to close its connection, so that
-    none of its later calls crosses the shutdown of this process.
+    While ``is_leaving`` holds, answers have the header ``connection: close``, so that
+    no later call is sent over a connection that the shutdown is about to close.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
             return
         except AnswerTruncated:
             # Without the final event the server closes the connection, the only way in
-            # HTTP/1.1 to tell a caller that a body is incomplete.
+            # HTTP/1.1 to signal to a caller that a body is incomplete.
             return
         finally:
             self.under_way -= 1
--- a/packages/bambootiller/src/bambootiller/gateway/http_limits.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_limits.py
@@ -134,7 +134,7 @@
 
     def on_response_complete(self) -> None:
         """An answer is complete. Callers may reuse a connection for most of the idle
-        timeout; if it were closed any sooner, a call could cross the close."""
+        timeout; if it were closed sooner, a call could already be on its way."""
         kept_s = self.get_limits().idle_timeout_s * KEEP_ALIVE_FACTOR
         self.timeout_keep_alive = max(self.timeout_keep_alive, kept_s)
         super().on_response_complete()
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -55,7 +55,8 @@
         self._awaited_permit: PermitEstimate | None = None
 
     def ask(self) -> None:
-        """Count the call in the demand for its model."""
+        """Count the call in the demand for its model, and in the statistics that its
+        weight and its caller's retries are predicted from."""
         now, service = self._context.clock(), self._call.service
         state = self._context.service(service)
         self._weight = state.levels.weigh(now, level_of(self._call))
@@ -262,16 +263,16 @@
         eligible.sort(
             key=lambda backend: -selection.placement_weight(ask, backend.instance)
         )
-        turn = int((now - began) / ADAPTER_REQUEST_INTERVAL_S) % len(eligible)
+        index = int((now - began) / ADAPTER_REQUEST_INTERVAL_S) % len(eligible)
         self._context.engines.load_request(
-            eligible[turn], LoadRequest(ask.model, ask.adapter)
+            eligible[index], LoadRequest(ask.model, ask.adapter)
         )
         return None
 
     def _refuse_cold(self, now: float, retry_after_s: float) -> Refusal:
-        """Refuse the call and have its adapter prefetched for the caller's retry. This
-        is requested now because the engine may start another long load as soon as its
-        current one finishes."""
+        """Refuse the call and have its adapter prefetched for the caller's retry. The
+        prefetch is scheduled now because the engine may start another long load as soon
+        as its current one finishes."""
         prefetch = self._context.engines.plans.adapter_prefetch(self._call.service)
         prefetch.refused(now, self._call.ask, retry_after_s)
         return Refusal(RefusalReason.MODEL_NOT_LOADED, retry_after_s)
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -27,9 +27,10 @@
     """A caller's request as parsed from its head.
 
     ``target`` is the path with the query, byte for byte; ``headers`` are those that may
-    be forwarded. ``deadline_s`` is the time for which the caller still waits in
-    seconds, ``key`` the digest of the request's only API key, ``tokens`` the number of
-    tokens that the request states, None without.
+    be forwarded. ``deadline_s`` is for how many seconds the caller still waits. ``ask``
+    is the model that the request names, with its prompt. ``key`` is the digest of the
+    request's only API key, ``tokens`` the number of tokens that the request states.
+    Each is None if the request doesn't state it.
     """
 
     method: str
@@ -73,9 +74,9 @@
 
     ``ANSWER``: the backend server's own answer to this call. ``NOT_RUN``: a guarantee
     that the call hasn't run there. ``MISDIRECTED``: the same, because another backend
-    server has the address, or it doesn't hold the model. ``STRAY``: an answer to
-    another call. ``USELESS``: an answer that may not be forwarded, although the call
-    may have run."""
+    server has the address, or because this one doesn't hold the model. ``STRAY``: an
+    answer to another call. ``USELESS``: an answer that may not be forwarded, although
+    the call may have run."""
 
     ANSWER = "answer"
     NOT_RUN = "not run"
@@ -100,7 +101,7 @@
         framing."""
 
     def time_left_header(self, seconds: float) -> Header:
-        """The header that states how many seconds a backend server has left."""
+        """The header with the seconds that a backend server has left to answer."""
 
     def classify(self, call: Call, head: AnswerHead) -> AnswerKind:
         """Classify an answer to ``call`` by its head."""
@@ -159,9 +160,9 @@
 class Bounds:
     """The platform's guarantees to its callers that the gateway has to keep.
 
-    The ``retry_`` fields are the parameters of the retry budget. ``leaving_s`` is
-    within how many seconds a leaving backend server must get no more calls, ``quota``
-    the tolerance beyond a customer's quota."""
+    The ``retry_`` fields are the parameters of the retry budget. A backend server gets
+    no more calls from ``leaving_s`` seconds after it began to leave. ``quota`` is the
+    tolerance beyond a customer's quota."""
 
     retry_ratio: float = 0.2
     retry_slack: float = 50.0
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -197,7 +197,7 @@
             self._placement.sent()
         answered = False
         try:
-            ended = await self._exchange_watched(attempt)
+            ended = await self._receive_watched(attempt)
             answered = ended in (None, AttemptOutcome.REFUSED)
             return ended
         except ConnectionLost as exc:
@@ -223,8 +223,8 @@
         context, progress = self._context, self._progress
         now = context.clock()
         try:
-            # Whatever lost the previous answer from this backend server has probably
-            # broken its idle connections as well.
+            # Whatever caused the loss of the previous answer from this backend server
+            # has probably broken its idle connections as well.
             tried_before = backend.incarnation in progress.tried
             pool = context.pool(backend)
             return await pool.acquire(
@@ -237,7 +237,7 @@
             progress.tried.append(backend.incarnation)
             return None
 
-    async def _exchange_watched(self, attempt: Attempt) -> AttemptOutcome | None:
+    async def _receive_watched(self, attempt: Attempt) -> AttemptOutcome | None:
         context = self._context
         silence_timeout_s = self._silence_timeout_s(context.clock())
         if silence_timeout_s is None:
@@ -305,8 +305,9 @@
         return True
 
     def _is_lost(self, backend: Backend) -> bool:
-        """Whether waiting is pointless. A partially forwarded answer isn't given up on
-        a suspicion: that an agent has ended doesn't mean that its engine has."""
+        """Whether the backend server counts as lost for this call. A partially
+        forwarded answer isn't given up on a suspicion: that an agent has ended doesn't
+        mean that its engine has."""
         return not self._progress.forwarded and backend.is_lost(self._context.clock())
 
     def _silence_timeout_s(self, now: float) -> float | None:
@@ -383,7 +384,7 @@
             events = splitter.feed(data)
             if not events:
                 continue
-            if any(_is_endless(event) for event in events):
+            if any(_is_oversized(event) for event in events):
                 raise ConnectionLost("an event exceeds the maximum size", False, True)
             if first:
                 first = False
@@ -432,7 +433,7 @@
         )
 
 
-def _is_endless(event: Event) -> bool:
+def _is_oversized(event: Event) -> bool:
     return len(event.data) > MAX_EVENT_BYTES and event.number is None
 
 
--- a/packages/bambootiller/src/bambootiller/gateway/relay_context.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay_context.py
@@ -32,9 +32,9 @@
 
 #: Connections to one backend server if the configuration sets no limit.
 DEFAULT_MAX_CONNECTIONS = 256
-#: A new entry has heard from all reachable agents after this time. Seconds.
+#: A new entry has received reports of all reachable agents after this time. Seconds.
 STARTUP_GRACE_S = 1.5
-#: Each entry may open this many, however many entries share the limit.
+#: Each entry may open this many connections, however many entries share the limit.
 MIN_CONNECTIONS = 8
 #: An entry that temporarily gets most of the calls may open this many connections per
 #: slot of a backend server. It is more than one because connections that are still
@@ -93,8 +93,8 @@
         self._pools: dict[Incarnation, ConnectionPool] = {}
 
     def is_starting(self) -> bool:
-        """Whether this process has just started: it may not have heard from all agents
-        yet."""
+        """Whether this process has just started: it may not have received reports of
+        all agents yet."""
         return self.clock() - self.started_at < STARTUP_GRACE_S
 
     def service(self, name: str) -> ServiceState:
@@ -115,7 +115,7 @@
         self.review_health(service, backend.incarnation)
 
     def review_health(self, service: str, server: Incarnation) -> None:
-        """Review the health of a backend server and log a change of its standing."""
+        """Review the health of a backend server and log a change of its state."""
         change = self.service(service).health.review(self.clock(), server)
         if change is None:
             return
--- a/packages/bambootiller/src/bambootiller/gateway/server_admission.py
+++ b/packages/bambootiller/src/bambootiller/gateway/server_admission.py
@@ -1,7 +1,7 @@
 """Keeps the calls of all entries within the rate limits that backend servers report.
 
-Each call to such a backend server needs a permit, which stands for one call of the
-limit. The allocator divides the limit between the entries; see
+Each call to such a backend server needs a permit, which is charged to the limit as one
+call. The allocator divides the limit between the entries; see
 :mod:`bambootiller.gateway.allocator_client`. A call that gets no permit goes to another
 backend server, waits if a permit is expected in time, or is refused at once.
 """
@@ -18,15 +18,15 @@
 from bambootiller_core.gateway.quota_account import QuotaCharge
 from bambootiller_core.gateway.reported_limits import limit_name, shared_limits
 
-#: The kind under which these limits are kept beside the customers' quotas.
+#: The allocator client's group of these limits, apart from the customers' quotas.
 LIMIT_GROUP = "backend servers"
 #: The cost of a call under a limit.
 CALL_COST = 1.0
 #: A call waits no longer than this for the allocator's answer, since another backend
 #: server may take it. Seconds.
 ALLOCATOR_TIMEOUT_S = 0.2
-#: While a limit is exhausted the allocator is asked again after this time at the
-#: latest, as the demand of other entries may have dropped by then. Seconds.
+#: While a limit is exhausted, the next request to the allocator is sent after this time
+#: at the latest, as the demand of other entries may have dropped by then. Seconds.
 MAX_PAUSE_S = 2.0
 #: The pause, and the retry-after time of a refusal, if no allocator has answered.
 #: Seconds.
--- a/packages/bambootiller/src/bambootiller/gateway/silence.py
+++ b/packages/bambootiller/src/bambootiller/gateway/silence.py
@@ -41,14 +41,15 @@
     """Watches one connection while a call uses it.
 
     One timer serves all events of a stream. It checks when data was last received. A
-    timeout around each read would race with the data instead: after a stall it expires
-    in the same iteration of the event loop that reads the sockets, and wins.
+    timeout around each read would race with the data instead: after a stall it would
+    expire in the same iteration of the event loop in which the data is read, and take
+    effect first.
 
     Example::
 
-        watch = SilenceDetector(conn, 0.7, running_time)
+        detector = SilenceDetector(conn, 0.7, running_time)
         try: ...
-        finally: watch.stop()
+        finally: detector.stop()
     """
 
     def __init__(
--- a/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
+++ b/packages/bambootiller/src/bambootiller/gateway/stall_monitor.py
@@ -29,13 +29,13 @@
 
 
 class StallCheck:
-    """Tells whether a missing answer may be due to a stall of this process.
+    """Determines whether a missing answer may be due to a stall of this process.
 
     Example::
 
         began = stall_check.now()
-        if await ask() is None and not stall_check.was_stalled(began):
-            lost()
+        if await send_request() is None and not stall_check.was_stalled(began):
+            handle_silent_peer()
     """
 
     def __init__(
