--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
@@ -433,8 +433,8 @@
         for name in self._runs:
             crashes = self._weighted_count(name, CrashVerdict.CRASHED)
             if crashes >= QUARANTINE_CRASHES:
-                # Of two with as many crashes, take the one with the latest crash: the
-                # other may have been kept from running by then.
+                # Of two with the same number of crashes, take the one with the latest
+                # crash: the other may not have run any more by then.
                 last_at = self._last_lost_at(name)
                 suspects.append((-crashes, _is_part(name), -last_at, name))
         heapq.heapify(suspects)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/customers.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/customers.py
@@ -36,10 +36,8 @@
 class Quota:
     """How much a customer may run on all entries together: a rate and a burst.
 
-    ``rate_per_s`` is in units a second, ``burst`` in units.
-
-    ``plain_tokens`` is the cost of a call that states no number of tokens, if the unit
-    is tokens.
+    ``rate_per_s`` is in units a second, ``burst`` in units. If the unit is tokens,
+    ``plain_tokens`` is the cost of a call that states no number of tokens.
     """
 
     rate_per_s: float
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/demand_collection.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/demand_collection.py
@@ -33,8 +33,8 @@
 CHANGED_S = 1.0
 #: The number of entries that request loads which none of their own calls waits for, and
 #: that therefore plan even without waiting calls. More of them would only compute the
-#: same plan again; a single one would leave all such loads undone until the agents
-#: detect its failure.
+#: same plan again; if a single one failed, no such load would be requested until the
+#: agents detect its failure.
 PLANNER_COUNT = 4
 #: Cached results of :func:`responsible_planner`, for combinations of models and entry
 #: lists that agents report.
@@ -58,9 +58,9 @@
 def relevant_demands(
     demands: Mapping[str, Demand], state: EngineState | None
 ) -> dict[str, Demand]:
-    """The part of the demand that one agent decides on: for the models that its engine
-    holds or loads. The demand for any other model arrives with the request to load it.
-    """
+    """The part of the demand that one agent needs for its decisions: for the models
+    that its engine holds or loads. The demand for any other model arrives with the
+    request to load it."""
     if state is None:
         return {}
     names = set(state.holdings)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/health.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/health.py
@@ -33,7 +33,7 @@
 MAX_BACKOFF_S = 4.0
 #: From the first cost on a backend server counts as failing or slow, and below the
 #: second as good again; in between the state stays, so that it doesn't flap. In units
-#: of a full batch: from 1 on, calls go elsewhere even while others are full.
+#: of a full batch: from 1 on, others are preferred even if their batches are full.
 BAD_COST = 1.0
 GOOD_COST = 0.5
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/initial_discovery.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/initial_discovery.py
@@ -1,8 +1,8 @@
-"""Decides when an entry that has just started knows the engines of a service.
+"""Decides when an entry that has just started has discovered a service's engines.
 
 The registry lists engines one after the other, and their agents report a moment later.
 Until then a model whose only copy is at an engine that hasn't reported yet seems to
-have no copy at all, and would be loaded from the weight store for nothing.
+have no copy at all, and would needlessly be loaded from the weight store.
 
 Example::
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/load_targets.py
@@ -21,8 +21,8 @@
 #: Seconds above which a load counts as long: it blocks other orders at the same engine.
 LONG_LOAD_S = 1.5
 #: Seconds until another model's call ends, for which a load that evicts that model
-#: waits. The wait is longer with more calls, because the last of them counts: it grows
-#: by this fraction of the duration for each factor of e.
+#: waits. With more calls it waits for the last of them, which is longer: by this
+#: fraction of the duration for each factor of e in the number of calls.
 CALL_DURATION_S = 1.5
 CALL_DURATION_GROWTH = 0.5
 #: A model isn't evicted for one with less than a third of its demand.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/model_demand.py
@@ -19,8 +19,7 @@
 #: much of the store's time, so that none waits forever behind models with more demand.
 STORE_AGING_S = 10.0
 #: Each second for which a caller has been held because its model is next counts as this
-#: many more callers: if another model went first, the caller would have waited for
-#: nothing.
+#: many more callers: if another model went first, the caller would have waited in vain.
 WAITED_SECOND_VALUE = 3.0
 #: The value of keeping a model without any demand, in calls per second, so that of
 #: several such models the one that the most engines hold is evicted first.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/quota_allocator.py
@@ -385,8 +385,8 @@
 
 
 def _apply_report(holding: _Holding, heard: int, customer_request: CustomerAsk) -> None:
-    """Take over what the entry reports. Shares granted in answers up to ``heard``, the
-    last one it has received, are replaced by the share that it reports."""
+    """Apply an entry's report. Shares granted in answers up to number ``heard``, the
+    last one that it has received, are replaced by the share that it reports."""
     holding.reported = customer_request.share
     holding.demand_per_s = customer_request.demand_per_s
     holding.call_cost = customer_request.call_cost
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -60,8 +60,8 @@
     times = [spec.load_s for spec in engine.models.values()]
     if not times:
         return ASSUMED_LOADS
-    most = math.floor(MAX_INITIAL_TOTAL_S / max(0.1, statistics.median(times)))
-    return max(1, min(ASSUMED_LOADS, most))
+    max_loads = math.floor(MAX_INITIAL_TOTAL_S / max(0.1, statistics.median(times)))
+    return max(1, min(ASSUMED_LOADS, max_loads))
 
 
 #: Identifies a load: the incarnation of the engine where it runs, and the model.
@@ -284,8 +284,8 @@
         for tracked in self._tracked.values():
             seconds = tracked.seen_at - tracked.started_at
             if seconds > SLOW_RATIO * tracked.nominal_s:
-                most = tracked.group.slowest_position
-                bounds.append(most * tracked.nominal_s / seconds)
+                position = tracked.group.slowest_position
+                bounds.append(position * tracked.nominal_s / seconds)
         if not bounds:
             return
         self._bound_is_known = True
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_idle.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_idle.py
@@ -13,7 +13,7 @@
 from collections.abc import Collection
 
 #: Idle periods shorter than this aren't reported. Some idle time between two loads is
-#: normal: the agent has to notice the end of the first, and an entry has to make a
+#: normal: the agent has to detect the end of the first, and an entry has to make a
 #: plan. Seconds.
 MIN_IDLE_S = 1.0
 #: How often an idle period that continues is reported again. Seconds.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_load_requests.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_load_requests.py
@@ -111,8 +111,8 @@
     def may_probe(self, now: float) -> bool:
         """Whether a load beyond the store's known concurrency may be requested.
 
-        No probe starts for a while after the engine of one has left the registry: that
-        load is seen neither to end nor to fail, but the store may still be serving it.
+        No probe starts for a while after the engine of one has left the registry: the
+        end of that load can't be observed, and the store may still be serving it.
         """
         return now >= self._probe_not_before
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_gate.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_gate.py
@@ -30,7 +30,8 @@
 class StorePermitGate:
     """Lets an order book start loads from the store while it is open.
 
-    The holder of the permit opens and closes it.
+    The order book only checks it; the code that acquires and releases the agent's
+    permit opens and closes it.
 
     Example::
 
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_record.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_permit_record.py
@@ -2,7 +2,7 @@
 
 Each load from the store holds one key, from before it is ordered until it has ended.
 The keys of a service are numbered from 0. An agent takes the first free one below the
-number of permits that it assumes, so no more permits are held than agents allow.
+number of permits that it assumes, which bounds the number of simultaneous loads.
 """
 
 from __future__ import annotations
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/timeline.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/timeline.py
@@ -5,7 +5,7 @@
 a request was logged without its id, by other processes, before it arrived.
 
 Each line contains the time since its process started, which is monotonic and consistent
-within one process. Events that all processes see serve as anchors between them: a
+within one process. Events that all processes observe are anchors between them: a
 configuration or registration of one revision reaches all processes within a moment. The
 median of the differences between the anchors' times is the offset of two processes.
 
@@ -33,7 +33,7 @@
 #: Events that a process logs this soon after its start are no anchors: they report the
 #: state that it found, not what happened then. Seconds.
 STARTUP_S = 1.0
-#: Events that all processes see at nearly the same moment.
+#: Events that all processes observe at nearly the same moment.
 _ANCHORS = ("config_in_force", "backend_listed")
 _ABOUT_MODEL = ("order", "load_ended")
 _ABOUT_BACKEND = (
