--- a/tests/gateway/randomised/plan_records.py
+++ b/tests/gateway/randomised/plan_records.py
@@ -1,7 +1,7 @@
-"""What is planned for random fleets, as short digests to compare with.
+"""Digests of the plans for random fleets, as records for comparison.
 
-A change that only makes the plan cheaper must not change one decision. After a change
-of policy the records are written anew, and the commit says why they differ::
+An optimisation of the planner must not change any decision. After a change of policy
+the records are written again, and the commit says why they differ::
 
     python -m tests.gateway.randomised.plan_records
 """
@@ -23,7 +23,8 @@
 
 
 def digest(seed):
-    """The loads of one plan in their order, to the microsecond."""
+    """Returns the checksum of the loads of one plan in order, with times to the
+    microsecond."""
     lines = [
         f"{load.model} {load.instance} {load.ready_in_s:.6f} {load.request_now} "
         f"{load.from_store}"
--- a/tests/gateway/randomised/test_orders.py
+++ b/tests/gateway/randomised/test_orders.py
@@ -1,4 +1,4 @@
-"""An engine whose answers are lost and whose orders come late never gets too much."""
+"""Orders never exceed an engine's memory, though answers are lost and orders late."""
 
 import random
 import unittest
@@ -22,7 +22,8 @@
 
 
 class FakeEngine:
-    """Follows the published rules of orders; ends a test that orders too much."""
+    """An engine that follows the published rules of orders and fails the test on an
+    order that exceeds its memory or adapter slots."""
 
     def __init__(self, rng):
         self.rng = rng
@@ -45,7 +46,7 @@
 
     def used(self):
         total = sum(MODELS[name] for name in self.held)
-        total += ADAPTER_MB * sum(len(found) for found in self.held.values())
+        total += ADAPTER_MB * sum(len(adapters) for adapters in self.held.values())
         if (
             self.current_order is not None
             and self.current_order[1].kind is OrderKind.LOAD
@@ -54,13 +55,13 @@
         return total
 
     def report(self, now):
-        self.settle(now)
-        held = {name: frozenset(found) for name, found in self.held.items()}
+        self.advance(now)
+        held = {name: frozenset(adapters) for name, adapters in self.held.items()}
         return EngineReport(
             self.instance, held, self.accepted, self.current_order is not None
         )
 
-    def settle(self, now):
+    def advance(self, now):
         for at, instance, order in [
             item for item in self.late_orders if item[0] <= now
         ]:
@@ -95,17 +96,18 @@
         else:
             seconds = LOAD_S if order.kind is OrderKind.LOAD else 0.1
             self.current_order = (now + seconds, order)
-        slots = sum(len(found) for found in self.held.values())
+        slots = sum(len(adapters) for adapters in self.held.values())
         if self.used() > MEMORY_MB or slots > ADAPTER_SLOTS:
             raise AssertionError(f"crashed by {order}: {self.used()} MB, {slots} slots")
         return OrderAnswer.ACCEPTED
 
 
 class SameNameEngine(FakeEngine):
-    """Starts again under its name, so that late orders to the start before reach it.
+    """An engine that restarts under the same name, so that it gets late orders that
+    were sent to the previous start.
 
-    It knows the highest fencing token since its start, as each new agent has a higher
-    one: ``token`` is the present agent's.
+    It remembers the highest fencing token since its start. Each new agent has a higher
+    one; ``token`` is that of the present agent.
     """
 
     instance = "b1"
@@ -131,7 +133,7 @@
         self.fence = token
         if not order.adapter and order.kind is OrderKind.LOAD:
             if order.model in self.held and order.expected == self.accepted:
-                # Only a late order asks for what it holds; that takes no more memory.
+                # Only a late order is for a model that is held. It takes no memory.
                 return OrderAnswer.HOLDS
         return super().execute(now, self.instance, order)
 
@@ -139,14 +141,14 @@
         self.token += 1
 
 
-def simulate(seed, steps, kind=FakeEngine, restarts=0.01):
+def simulate(seed, steps, engine_class=FakeEngine, restarts=0.01):
     rng = random.Random(seed)
     models = [
         samples.model(name, size, adapters=4, adapter_mb=ADAPTER_MB)
         for name, size in MODELS.items()
     ]
     spec = samples.engine(*models, memory_mb=MEMORY_MB, adapter_slots=ADAPTER_SLOTS)
-    book, engine, now, loads = OrderBook(spec), kind(rng), 0.0, 0
+    book, engine, now, loads = OrderBook(spec), engine_class(rng), 0.0, 0
     for _ in range(steps):
         now += rng.uniform(0.0, 0.3)
         model = rng.choice(list(MODELS))
@@ -155,7 +157,7 @@
         if rng.random() < restarts:
             engine.restart()
         if rng.random() < 0.01:
-            # A new agent process: it knows nothing of orders on their way.
+            # A new agent process has no record of orders that haven't arrived yet.
             book = OrderBook(spec)
             engine.new_agent()
         instance = engine.instance
@@ -183,11 +185,13 @@
                 self.assertGreater(loads, 5)
 
     def test_seed_7075_of_restarts_under_the_same_name(self):
-        """An engine is ordered beyond its memory. Two loads that got no answer were
-        meant for two starts of it; both come late to a third, one after the other,
-        before an agent that was started anew meanwhile has given its first order. Each
-        names the count that the third start has at that moment, and nobody who knows
-        of both is left."""
+        """Symptom: an engine is ordered beyond its memory.
+
+        Two unanswered loads were sent to two starts of the engine. Both arrive late at
+        a third start, one after the other, before an agent that was restarted meanwhile
+        has sent its first order. Each has the count that the third start expects at
+        that moment, and no process is left that knows of both.
+        """
         simulate(7075, 300, SameNameEngine, restarts=0.05)
 
     def test_orders_never_exceed_the_memory_after_restarts_under_the_same_name(self):
--- a/tests/gateway/randomised/test_plans.py
+++ b/tests/gateway/randomised/test_plans.py
@@ -1,8 +1,8 @@
-"""The plan of loads for random fleets is the one that was recorded.
+"""Plans of loads for random fleets equal the recorded ones.
 
-The records were written by a planner that looked at each model and engine by itself.
-The present one works out once for a plan what several of them share, and leaves out
-what can't win; neither may change a decision.
+The records were written by a planner that evaluated each model and engine separately.
+The present one computes once per plan what several of them share, and skips candidates
+that can't be chosen. Neither may change a decision.
 """
 
 import json
@@ -23,17 +23,17 @@
                 self.assertEqual(plan_records.digest(seed), expected)
 
     def test_a_planner_keeps_no_state_between_plans(self):
-        """Symptom: a load is planned for what the fleet was a moment ago.
+        """Symptom: a load is planned for an outdated state of the fleet.
 
-        What is worked out once for a plan must not outlive it.
+        Values that are computed once per plan must not be used for the next one.
         """
         for seed in range(40):
             with self.subTest(seed=seed):
                 spec, backends, demands, loads = fleets.random_fleet(seed)
                 planner = Planner(spec, loads)
                 planner.plan(fleets.NOW, random.Random(seed).sample(backends, 1), {})
-                found = planner.plan(fleets.NOW, backends, demands)
-                self.assertEqual(found, plan_records.plan(seed))
+                actual = planner.plan(fleets.NOW, backends, demands)
+                self.assertEqual(actual, plan_records.plan(seed))
 
     def test_the_random_fleets_cover_many_cases(self):
         plans = [plan_records.plan(seed) for seed in range(plan_records.SEEDS)]
--- a/tests/gateway/randomised/test_quotas.py
+++ b/tests/gateway/randomised/test_quotas.py
@@ -1,6 +1,6 @@
-"""Entries, allocators and a network that fails, over random schedules.
+"""Quotas over random schedules of faults of entries, allocators and the network.
 
-In each window of the platform's a customer's calls stay within what is allowed.
+In each window of the platform a customer's calls stay within what is allowed.
 """
 
 import random
@@ -23,7 +23,7 @@
 QUOTA = Quota(1000.0, 1000.0, QuotaUnit.TOKEN)
 TOLERANCE = QuotaTolerance(window_s=8.0, overage=0.1, slack=1000.0)
 LIMIT = Limit.of(QUOTA, TOLERANCE)
-#: What may run in a window where no call runs twice.
+#: The cost that may run in a window if no call runs twice.
 MAX_WINDOW_COST = USABLE_FRACTION * TOLERANCE.allowed(QUOTA)
 NAME = "c1"
 ENTRIES = 6
@@ -46,42 +46,47 @@
         if not self.alive or now < self.frozen_until:
             return
         self.account.record_demand(now, cost)
-        if not self.spend(cost):
+        if not self.start_call(cost):
             self.waiting = [*self.waiting, cost][-3:]
             self.ask()
 
-    def spend(self, cost):
+    def start_call(self, cost):
         now = self.fleet.world.now
-        spent = self.account.take(now, LIMIT, cost)
-        if spent is None:
+        charge = self.account.take(now, LIMIT, cost)
+        if charge is None:
             return False
         if self.fleet.world.rng.random() < 0.2:
-            # It is refused after a while, and never ran.
+            # The call is refused after a while and never runs.
             self.fleet.world.after(
-                self.fleet.world.rng.random() * 6, lambda: self.refund(spent)
+                self.fleet.world.rng.random() * 6, lambda: self.refund(charge)
             )
         else:
-            self.account.settle(spent)
+            self.account.settle(charge)
             self.fleet.record_run(cost)
         return True
 
-    def refund(self, spent):
+    def refund(self, charge):
         if self.alive:
-            self.account.refund(self.fleet.world.now, LIMIT, spent)
+            self.account.refund(self.fleet.world.now, LIMIT, charge)
 
     def ask(self):
         now = self.fleet.world.now
         if not self.alive or now < self.frozen_until:
             return
         self.number += 1
-        asked = {NAME: self.account.ask(now, LIMIT, self.waiting)}
+        customer_asks = {NAME: self.account.ask(now, LIMIT, self.waiting)}
         ask = QuotaAsk(
-            self.name, self.incarnation, self.number, self.term, self.last_answer, asked
+            self.name,
+            self.incarnation,
+            self.number,
+            self.term,
+            self.last_answer,
+            customer_asks,
         )
         for allocator in self.fleet.allocators:
             target = allocator.name
             self.fleet.world.send(
-                self.name, target, lambda a=allocator: a.take(self, ask, now)
+                self.name, target, lambda a=allocator: a.answer(self, ask, now)
             )
 
     def answered(self, answer, asked_at):
@@ -98,11 +103,11 @@
         self.term, self.last_answer = answer.term, answer.number
         grant = answer.customers[NAME]
         self.account.granted(now, LIMIT, asked_at, grant.share, grant.advance)
-        self.waiting = [cost for cost in self.waiting if not self.spend(cost)]
+        self.waiting = [cost for cost in self.waiting if not self.start_call(cost)]
 
 
 class LeaseHolder:
-    """A process that allocates while its lease holds."""
+    """A process that is the allocator while it holds the lease."""
 
     def __init__(self, fleet, term):
         self.fleet, self.term, self.name = fleet, term, f"a{term}"
@@ -114,28 +119,29 @@
     def members(self, record):
         return record
 
-    def take(self, entry, ask, asked_at):
+    def answer(self, entry, ask, asked_at):
         world = self.fleet.world
         if world.now >= self.valid_until:
             return
         answer = self.allocator.answer(world.now, ask, {NAME: LIMIT})
-        wanted = self.allocator.pending_record
-        if wanted is not None and world.rng.random() < 0.7:
-            self.fleet.record = wanted
-            self.allocator.record_written(wanted)
+        record = self.allocator.pending_record
+        if record is not None and world.rng.random() < 0.7:
+            self.fleet.record = record
+            self.allocator.record_written(record)
         if answer is not None:
             world.send(self.name, entry.name, lambda: entry.answered(answer, asked_at))
 
 
 class QuotaFleet:
-    """All of them, with cuts, restarts, standstills and changes of the allocator."""
+    """Entries and allocators with partitions, restarts, stalls and changes of the
+    allocator."""
 
     def __init__(self, seed):
         rng = random.Random(seed)
         self.world = World(rng, Network(lost=0.1, doubled=0.1, late=0.1, late_s=8.0))
         self.record, self.allocators, self.last_term = {}, [], 0
         self.entries = [Entry(self, f"e{n}", "0") for n in range(ENTRIES)]
-        self.windows, self.fullest, self.admitted = deque(), 0.0, 0
+        self.recent_runs, self.max_window_cost, self.admitted = deque(), 0.0, 0
         self.factors = [rng.choice((0.2, 1.0, 3.0)) for _ in range(ENTRIES)]
         self.faults_per_s = rng.choice((0.05, 0.15, 0.4))
         self.replace_allocator()
@@ -148,13 +154,15 @@
     def record_run(self, cost):
         now = self.world.now
         self.admitted += 1
-        self.windows.append((now, cost))
-        while self.windows[0][0] < now - TOLERANCE.window_s:
-            self.windows.popleft()
-        self.fullest = max(self.fullest, sum(item[1] for item in self.windows))
+        self.recent_runs.append((now, cost))
+        while self.recent_runs[0][0] < now - TOLERANCE.window_s:
+            self.recent_runs.popleft()
+        self.max_window_cost = max(
+            self.max_window_cost, sum(item[1] for item in self.recent_runs)
+        )
 
     def replace_allocator(self):
-        """The lease of the allocator before has ended."""
+        """Starts the next allocator, after the previous one's lease has expired."""
         self.is_changing = False
         self.last_term += 1
         self.allocators = [*self.allocators[-1:], LeaseHolder(self, self.last_term)]
@@ -197,7 +205,8 @@
         self.world.after(LEASE_S / 4, self.renew)
 
     def change_allocator(self):
-        """The lease of the present one is renewed no more."""
+        """Stops renewing the lease of the present allocator, which is replaced once it
+        has expired."""
         if not self.is_changing:
             self.is_changing = True
             self.world.at(self.allocators[-1].valid_until, self.replace_allocator)
@@ -210,7 +219,8 @@
 
 
 class SplitFleet(QuotaFleet):
-    """Half of the entries are cut off with their shares, and the allocator changes."""
+    """Half of the entries are partitioned while they have shares, and the allocator
+    changes."""
 
     def fault(self):
         self.factors = [3.0] * ENTRIES
@@ -219,17 +229,17 @@
         self.world.at(21.0, self.change_allocator)
 
 
-def fullest_window(seeds):
-    """The fullest window of the runs, and the seed of it."""
-    found = (0.0, None)
+def highest_window_cost(seeds):
+    """Returns the highest cost in a window over these seeds, and its seed."""
+    highest = (0.0, None)
     for seed in seeds:
         fleet = QuotaFleet(seed)
         fleet.world.run(END_S)
-        found = max(found, (fleet.fullest, seed))
-    return found
+        highest = max(highest, (fleet.max_window_cost, seed))
+    return highest
 
 
-# Most of the limit is in shares, which are what can be given twice.
+# Most of the limit is in shares, which could be granted twice.
 @mock.patch.object(quota_allocator, "MAX_SHARED_FRACTION", 0.9)
 @mock.patch.object(quota_allocator, "HEADROOM", 1.5)
 @mock.patch.object(quota_allocator, "MIN_SHARE_CALLS", 0.0)
@@ -237,20 +247,20 @@
     SEEDS = range(20)
 
     def test_no_window_has_more_than_is_allowed(self):
-        fullest, seed = fullest_window(self.SEEDS)
-        self.assertLessEqual(fullest, MAX_WINDOW_COST, f"seed {seed}")
-        # The load presses against the limit, so that a leak would show.
-        plain = QUOTA.rate_per_s * TOLERANCE.window_s
-        self.assertGreater(fullest, 0.9 * plain, f"seed {seed}")
+        highest_cost, seed = highest_window_cost(self.SEEDS)
+        self.assertLessEqual(highest_cost, MAX_WINDOW_COST, f"seed {seed}")
+        # The load is close to the limit, so that exceeding it would show.
+        quota_of_window = QUOTA.rate_per_s * TOLERANCE.window_s
+        self.assertGreater(highest_cost, 0.9 * quota_of_window, f"seed {seed}")
 
     def test_limits_hold_when_half_of_the_entries_are_partitioned(self):
-        self.assertLessEqual(self.fullest_split(), MAX_WINDOW_COST)
+        self.assertLessEqual(self.partitioned_window_cost(), MAX_WINDOW_COST)
 
     def test_without_the_record_of_members_limits_are_exceeded(self):
         with mock.patch.object(LeaseHolder, "members", lambda self, record: {}):
-            self.assertGreater(self.fullest_split(), MAX_WINDOW_COST)
+            self.assertGreater(self.partitioned_window_cost(), MAX_WINDOW_COST)
 
-    def fullest_split(self):
+    def partitioned_window_cost(self):
         fleet = SplitFleet(seed=3)
         fleet.world.run(END_S)
-        return fleet.fullest
+        return fleet.max_window_cost
--- a/tests/gateway/randomised/test_reported_limits.py
+++ b/tests/gateway/randomised/test_reported_limits.py
@@ -1,5 +1,5 @@
-"""Many entries under the limit that one backend server names, over random schedules of
-cuts, restarts, standstills and changes of the allocator."""
+"""Many entries that share the rate limit reported by a backend server, over random
+schedules of partitions, restarts, stalls and changes of the allocator."""
 
 import unittest
 from unittest import mock
@@ -13,7 +13,7 @@
 
 
 class LimitedFleet(QuotaFleet):
-    """Each entry has calls for the backend server all the time."""
+    """Entries that all call the backend server all the time."""
 
     def call(self, number):
         self.entries[number].call(1.0)
@@ -21,10 +21,13 @@
 
 
 class TestReportedLimitsHold(unittest.TestCase):
-    """Divided beforehand, a limit of two calls a second among 24 entries is less than a
-    call for each; each by itself, they sent ten times as many."""
+    """Symptom: a backend server gets ten times as many calls as its limit allows.
 
-    def fullest(self, per_s, seed):
+    A limit of two calls per second, divided in advance among 24 entries, is less than a
+    call for each, and each entry sent calls on its own.
+    """
+
+    def run_fleet(self, per_s, seed):
         (limit,) = shared_limits({"i-1": per_s}).values()
         with (
             mock.patch.object(test_quotas, "LIMIT", limit),
@@ -40,7 +43,7 @@
             allowed = 1.5 * per_s * WINDOW_S + 5
             for seed in range(2):
                 with self.subTest(per_s=per_s, seed=seed):
-                    fleet = self.fullest(per_s, seed)
-                    self.assertLessEqual(fleet.fullest, allowed)
-                    # Most of what it takes is used.
+                    fleet = self.run_fleet(per_s, seed)
+                    self.assertLessEqual(fleet.max_window_cost, allowed)
+                    # The entries use most of what the limit allows.
                     self.assertGreater(fleet.admitted, 0.5 * per_s * END_S)
--- a/tests/gateway/randomised/test_retry_budget.py
+++ b/tests/gateway/randomised/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The bound on second attempts, over entries that can't talk to each other."""
+"""The bound on retries over all entries, which can't communicate."""
 
 import random
 import unittest
@@ -10,7 +10,10 @@
 
 
 def simulate(seed, entries):
-    """Times of calls and of second attempts, when every call wants one."""
+    """Returns the times of calls and of retries.
+
+    Each call is retried up to twice if the budget of its entry allows it.
+    """
     rng = random.Random(seed)
     budgets = [RetryBudget(RATIO, SLACK, WINDOW_S) for _ in range(entries)]
     for budget in budgets:
