--- a/packages/bambootiller/src/bambootiller/gateway/failover.py
+++ b/packages/bambootiller/src/bambootiller/gateway/failover.py
@@ -90,33 +90,37 @@
         self._report = report
 
     async def find_target(
-        self, silent: Attempt, detail: str
+        self, silent_attempt: Attempt, detail: str
     ) -> FailoverTarget | StayReason:
-        """The target of the next attempt, or why the call stays with the ``silent``
-        one."""
-        seen_count = silent.conn.progress_count
+        """The target of the next attempt, or why the call stays with its silent
+        attempt."""
+        seen_count = silent_attempt.conn.progress_count
         while True:
-            target = await self._connect_first(silent.conn, seen_count)
+            target = await self._connect_first(silent_attempt.conn, seen_count)
             if isinstance(target, StayReason):
                 return target
-            reason = self._stay_reason(silent.conn, seen_count)
+            reason = self._stay_reason(silent_attempt.conn, seen_count)
             if reason is not None:
                 self.release_target(target)
                 return reason
             if self._context.quarantine.suspects(self._call):
                 return target
-            found = await self._send_unless_refused(target, silent.conn, seen_count)
+            found = await self._send_unless_refused(
+                target, silent_attempt.conn, seen_count
+            )
             if found not in (StayReason.REFUSED, StayReason.FAILED):
                 return found
             full_detail = f"{detail}; then sent to {target.backend.instance}"
-            self._report.silence_tolerated(silent.backend, full_detail, found.value)
+            self._report.silence_tolerated(
+                silent_attempt.backend, full_detail, found.value
+            )
 
     def _stay_reason(
-        self, silent: BackendConnection, seen_count: int
+        self, silent_conn: BackendConnection, seen_count: int
     ) -> StayReason | None:
         """Why the call isn't sent although a connection is open; otherwise None, and
         the retry is charged to the budget."""
-        if silent.has_changed_since(seen_count):
+        if silent_conn.has_changed_since(seen_count):
             return StayReason.RESUMED
         if not self._context.quarantine.admits(self._call):
             return StayReason.ISOLATED
@@ -124,16 +128,19 @@
         return None if retry_budget.take(self._context.clock()) else StayReason.BUDGET
 
     async def _send_unless_refused(
-        self, target: FailoverTarget, silent: BackendConnection, seen_count: int
+        self, target: FailoverTarget, silent_conn: BackendConnection, seen_count: int
     ) -> FailoverTarget | StayReason:
         """Send the call and wait briefly for a refusal, while the silent attempt keeps
         running."""
         attempt = self._sender.send(target.backend, target.conn)
         keep_attempt = answered = False
         try:
-            found = await self._head_unless_resumed(attempt, silent, seen_count)
+            found = await self._head_unless_resumed(attempt, silent_conn, seen_count)
             if found is None:
-                resumed = silent.has_changed_since(seen_count) and silent.loss is None
+                resumed = (
+                    silent_conn.has_changed_since(seen_count)
+                    and silent_conn.loss is None
+                )
                 keep_attempt = not resumed
             elif self._sender.is_refusal(attempt, found):
                 answered = True
@@ -151,7 +158,7 @@
         return FailoverTarget(target.backend, target.conn, attempt)
 
     async def _head_unless_resumed(
-        self, attempt: Attempt, silent: BackendConnection, seen_count: int
+        self, attempt: Attempt, silent_conn: BackendConnection, seen_count: int
     ) -> AnswerHead | None:
         """The head of the answer, or None if it takes too long or the silent backend
         server resumes first. The head stays buffered in the connection."""
@@ -162,7 +169,9 @@
         )
         head_task = asyncio.ensure_future(attempt.conn.head(self._sender.is_stray))
         try:
-            while not head_task.done() and not silent.has_changed_since(seen_count):
+            while not head_task.done() and not silent_conn.has_changed_since(
+                seen_count
+            ):
                 left_s = min(end - running_time(), latest - clock())
                 if left_s <= 0:
                     break
@@ -175,7 +184,7 @@
                 await asyncio.wait((head_task,))
 
     async def _connect_first(
-        self, silent: BackendConnection, seen_count: int
+        self, silent_conn: BackendConnection, seen_count: int
     ) -> FailoverTarget | StayReason:
         """A connection to the first other backend server that accepts one."""
         failed = False
@@ -183,22 +192,24 @@
             backend = self._choose_backend()
             if isinstance(backend, StayReason):
                 return StayReason.NO_CONNECTION if failed else backend
-            conn = await self._connect_unless_resumed(backend, silent, seen_count)
+            conn = await self._connect_unless_resumed(backend, silent_conn, seen_count)
             if conn is not None:
                 return FailoverTarget(backend, conn)
-            if silent.has_changed_since(seen_count):
+            if silent_conn.has_changed_since(seen_count):
                 return StayReason.RESUMED
             failed = True
 
     async def _connect_unless_resumed(
-        self, backend: Backend, silent: BackendConnection, seen_count: int
+        self, backend: Backend, silent_conn: BackendConnection, seen_count: int
     ) -> BackendConnection | None:
         """A connection, or None if it fails or the silent backend server resumes first:
         its data would otherwise wait for as long as connecting may take."""
         connect_task = asyncio.ensure_future(self._connect(backend))
         conn = None
         try:
-            while not connect_task.done() and not silent.has_changed_since(seen_count):
+            while not connect_task.done() and not silent_conn.has_changed_since(
+                seen_count
+            ):
                 await asyncio.wait((connect_task,), timeout=SILENT_POLL_S)
             conn = connect_task.result() if connect_task.done() else None
             return conn
