--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -120,8 +120,8 @@
         self.engines.received(update)
 
     def count_plans(self, intervals):
-        """Returns how many plans are made within some plan intervals, which together
-        are shorter than an idle entry's pause between plans."""
+        """Returns how many plans are made within some plan intervals, of which up to
+        four are shorter than the idle interval."""
         before = len(self.plans)
         for _ in range(intervals):
             self.app.time += PLAN_INTERVAL_S
@@ -137,7 +137,7 @@
             subjects = (model, "weight store of tutor")
             if all(responsible_planner(name, names) == other for name in subjects):
                 return model, names
-        raise AssertionError("no entry that sees to a model and to the weight store")
+        raise AssertionError("no planner of both a model and the weight store")
 
     def test_an_entry_that_requests_nothing_plans_only_when_idle(self):
         model, names = self.entries_with_other_planner()
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -101,21 +101,25 @@
 
 
 class TestAdaptersOfNewlyLoadedModel(unittest.TestCase):
-    """Symptom: callers wait 13 s for an adapter of a model that is loaded.
+    """Symptom: the only engine with a newly loaded model starts a load of 13 s, during
+    which it can't load adapters.
 
-    The only engine with the model began a load of 13 s, as no call had missed an
-    adapter yet.
+    No call had missed an adapter of the model yet, so the planner didn't avoid it.
     """
 
     def test_a_long_load_is_planned_at_another_engine(self):
-        plain = [f"p{number}" for number in range(4)]
+        plain_models = [f"p{number}" for number in range(4)]
         models = [samples.model("tutor", adapters=10, load_s=13.0)]
-        rare = [f"r{number}" for number in range(20)]
-        models += [samples.model(name, load_s=13.0) for name in (*plain, *rare)]
+        rare_models = [f"r{number}" for number in range(20)]
+        models += [
+            samples.model(name, load_s=13.0) for name in (*plain_models, *rare_models)
+        ]
         spec = samples.engine(*models, memory_mb=120.0)
         backends = [samples.engine_backend(1.0, "b0", ["tutor"])]
-        backends += [samples.engine_backend(1.0, f"b-{name}", [name]) for name in plain]
-        for name in rare:
+        backends += [
+            samples.engine_backend(1.0, f"b-{name}", [name]) for name in plain_models
+        ]
+        for name in rare_models:
             demands = {"tutor": Demand(2.0, holders=1, copies=1), name: Demand(0.2, 1)}
             load = Planner(spec, 1).plan(1.0, backends, demands)[name]
             self.assertNotEqual(load.instance, "b0")
@@ -202,9 +206,11 @@
         self.assertEqual(self.requested(3.0, held), [])
 
     def test_one_that_an_engine_has_is_not_loaded_again(self):
-        has = samples.engine_state("b1", adapters={"tutor": frozenset({"physics"})})
+        with_adapter = samples.engine_state(
+            "b1", adapters={"tutor": frozenset({"physics"})}
+        )
         other = samples.engine_state("b2", ["tutor"])
-        self.assertEqual(self.requested(3.0, has, other), [])
+        self.assertEqual(self.requested(3.0, with_adapter, other), [])
 
     def test_nothing_is_loaded_for_callers_that_did_not_come_back(self):
         held = samples.engine_state("b1", ["tutor"])
@@ -224,6 +230,6 @@
                 demands = demand.demands(now, {"tutor": 1}, {"tutor": 1})
                 values = keep_values(["tutor"], demands)
                 held = {"tutor": frozenset()}
-                found = choose_victims(spec, held, 40.0, {}, values, Demand(0.2, 1))
+                victims = choose_victims(spec, held, 40.0, {}, values, Demand(0.2, 1))
                 with self.subTest(come_back_s=come_back_s, now=now):
-                    self.assertIsNone(found)
+                    self.assertIsNone(victims)
