--- a/tests/gateway/failures/test_peer_streams.py
+++ b/tests/gateway/failures/test_peer_streams.py
@@ -43,8 +43,8 @@
 
     @staticmethod
     def fill(update, peer_stream):
-        if not peer_stream.last_sent.get("said"):
-            peer_stream.last_sent["said"] = True
+        if not peer_stream.last_sent.get("collect_sent"):
+            peer_stream.last_sent["collect_sent"] = True
             update.entry.collect = True
 
     def peer_update(self, begins=True, complete=None):
--- a/tests/gateway/randomised/test_quotas.py
+++ b/tests/gateway/randomised/test_quotas.py
@@ -181,7 +181,9 @@
 
     def fault(self):
         world, rng = self.world, self.world.rng
-        kind = rng.choice(("cut", "restart", "freeze", "follow", "all", "burst"))
+        kind = rng.choice(
+            ("cut", "restart", "freeze", "change_allocator", "all", "burst")
+        )
         entry = rng.choice(self.entries)
         if kind == "cut":
             world.cut.add(entry.name)
@@ -190,7 +192,7 @@
             self.restart(self.entries.index(entry))
         elif kind == "freeze":
             entry.frozen_until = world.now + rng.random() * 8
-        elif kind == "follow":
+        elif kind == "change_allocator":
             self.change_allocator()
         elif kind == "all":
             for number in range(ENTRIES):
