--- a/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/crash_ledger.py
@@ -424,7 +424,7 @@
     def _update_quarantine(self) -> None:
         """Recompute which suspects are quarantined, the most suspicious first.
 
-        This starts from scratch each time, so that a request that was quarantined for
+        All are recomputed each time, so that a request that was quarantined because of
         another's crashes is released once the other one has crashed further backend
         servers.
         """
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/incarnation.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/incarnation.py
@@ -13,7 +13,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One incarnation of a backend server, from a start of it to its end.
+    """One incarnation of a backend server, from a start of it to its end. Comments also
+    call it a start of the backend server.
 
     A backend server may restart under the same name. It then holds nothing from before
     and its counters start again, so the name alone doesn't identify its state.
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/running_clock.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/running_clock.py
@@ -2,12 +2,13 @@
 
 A process that gets no processor time, or is stopped for a while, doesn't read its
 sockets, and messages that arrive meanwhile stay unread. Measured by the clock alone,
-all others have then been silent: backend servers, agents, other entries, the key-value
-store. Streams would be given up although their events have arrived, and all connections
-opened again, which costs the process the little processor time that it gets.
+all its peers have then been silent: backend servers, agents, other entries, the
+key-value store. Streams would be given up although their events have arrived, and all
+connections opened again, which costs the process the little processor time that it
+gets.
 
-So timeouts on the silence of others are measured in the time during which this process
-could have received messages.
+So timeouts on the silence of peers count only the time during which this process could
+have received messages.
 
 Example::
 
