--- a/packages/bambootiller-core/src/bambootiller_core/gateway/calls.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/calls.py
@@ -65,7 +65,7 @@
     tokens: int | None = None
 
     @property
-    def priority(self) -> int:
+    def effective_priority(self) -> int:
         """The effective priority of the call, 0 being the highest: the customer's
         priority if it has one, else the route's."""
         if self.customer is not None and self.customer.priority is not None:
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/service_levels.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/service_levels.py
@@ -39,7 +39,7 @@
 
 def level_of(call: Call) -> ServiceLevel:
     """The service level of a call."""
-    return ServiceLevel(call.priority, call.route.target_s)
+    return ServiceLevel(call.effective_priority, call.route.target_s)
 
 
 class ServiceLevels:
--- a/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engine_plans.py
@@ -51,7 +51,7 @@
     """The demand and the load plans of all services that have engines.
 
     Calls that need a model ask :meth:`plan_for` when it will be available, and register
-    with :meth:`demand` while they wait, so that the plan counts them. ``load_request``
+    with :meth:`demand` while they wait, so that the plan counts them. ``request_load``
     requests a load from the agent beside an engine, ``admits`` tells whether a model
     may be loaded.
     """
@@ -60,13 +60,13 @@
         self,
         app: Application,
         gateway_state: GatewayState,
-        load_request: Callable[[Backend, LoadRequest], object],
+        request_load: Callable[[Backend, LoadRequest], object],
         emit: Callable[[LogLine], None] = lambda line: None,
         admits: Callable[[str], bool] = lambda model: True,
     ) -> None:
         self._app = app
         self._gateway_state = gateway_state
-        self._request_load = load_request
+        self._request_load = request_load
         self._emit = emit
         self._admits = admits
         #: The entries that are live to the agents, this one among them.
@@ -74,7 +74,7 @@
         self._demand_trackers: dict[str, DemandTracker] = {}
         self._own_demands: dict[str, dict[str, Demand]] = {}
         self._load_requester = LoadRequester(
-            app.instance, gateway_state.fleet, lambda: self.entries, load_request, emit
+            app.instance, gateway_state.fleet, lambda: self.entries, request_load, emit
         )
         self._totals = CollectedDemand()
         self._plans: dict[str, dict[str, PlannedLoad]] = {}
--- a/packages/bambootiller/src/bambootiller/gateway/engines.py
+++ b/packages/bambootiller/src/bambootiller/gateway/engines.py
@@ -72,7 +72,7 @@
         )
         self.server_limits = ServerLimits(events, app.now, self._notify_limits)
         self.plans = EnginePlans(
-            app, gateway_state, self.load_request, self._emit, self._admits_load
+            app, gateway_state, self.request_load, self._emit, self._admits_load
         )
         self._reachability: list[tuple[str, bool, bool]] = []
 
@@ -92,7 +92,7 @@
     def _emit(self, line: LogLine) -> None:
         self._events.emit(line)
 
-    def load_request(self, backend: Backend, load_request: LoadRequest) -> bool:
+    def request_load(self, backend: Backend, load_request: LoadRequest) -> bool:
         """Queues a load request for the agent beside the engine. Returns False if there
         is no stream to it, or if loads of the model are suspected of crashing engines
         and not admitted now."""
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -264,7 +264,7 @@
             key=lambda backend: -selection.placement_weight(ask, backend.instance)
         )
         index = int((now - began) / ADAPTER_REQUEST_INTERVAL_S) % len(eligible)
-        self._context.engines.load_request(
+        self._context.engines.request_load(
             eligible[index], LoadRequest(ask.model, ask.adapter)
         )
         return None
--- a/tests/adapter/common/entry.py
+++ b/tests/adapter/common/entry.py
@@ -82,7 +82,7 @@
         self.plans = EmptyPlans()
         self.load_requests = []
 
-    def load_request(self, backend, load_request):
+    def request_load(self, backend, load_request):
         self.load_requests.append(load_request)
         return True
 
--- a/tests/gateway/failures/test_store_load_requests.py
+++ b/tests/gateway/failures/test_store_load_requests.py
@@ -56,11 +56,11 @@
         gateway_state = GatewayStateWithStore(app)
         requested = []
 
-        def load_request(backend, load_request):
+        def request_load(backend, load_request):
             requested.append(load_request.model)
 
         self.lines = []
-        plans = EnginePlans(app, gateway_state, load_request, self.lines.append)
+        plans = EnginePlans(app, gateway_state, request_load, self.lines.append)
         plans.entries = ENTRIES
         plans.make_plans(app.at)
         app.at += MAX_STALL_S + 0.1
