--- a/packages/bambootiller-core/src/bambootiller_core/gateway/demand_tracker.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/demand_tracker.py
@@ -48,7 +48,7 @@
 
     Example::
 
-        demand_tracker.asked(now, "tutor")
+        demand_tracker.record_call(now, "tutor")
         demand_tracker.begin_waiting(now, "tutor")
         ...
         demand_tracker.end_waiting(now, "tutor")
@@ -62,7 +62,7 @@
         self._returning: dict[str, list[tuple[float, float]]] = {}
         self._unserved: dict[str, _Unserved] = {}
 
-    def asked(self, now: float, model: str, weight: float = 1.0) -> None:
+    def record_call(self, now: float, model: str, weight: float = 1.0) -> None:
         """Record a call for the model."""
         rate = _rate(self._rates, now, model) + weight / DECAY_S
         self._rates[model] = (rate, now)
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/retry_prediction.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/retry_prediction.py
@@ -7,7 +7,7 @@
 Example::
 
     predictor = RetryPredictor()
-    predictor.asked(call)
+    predictor.record_call(call)
     seconds = predictor.expected_retry_in_s(call, now, retry_after_s=8.0)
 """
 
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self._max_allowed_s: dict[str, float] = {}
 
-    def asked(self, call: Call) -> None:
+    def record_call(self, call: Call) -> None:
         """Record a call, to learn how much time callers of its route have."""
         allowed_s, route = _time_allowed_s(call), call.route.name
         self._max_allowed_s[route] = max(allowed_s, self._max_allowed_s.get(route, 0.0))
--- a/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/store_concurrency.py
@@ -26,7 +26,8 @@
 from bambootiller_core.gateway.fleet import Backend
 from bambootiller_core.gateway.incarnation import Incarnation
 
-#: The estimate at the start: the number of loads that a typical store serves.
+#: How many loads the store is assumed to serve at full speed until loads have been
+#: observed.
 ASSUMED_LOADS = 4
 #: The initial estimate is lower if that many loads, one after the other, would take
 #: longer than this. A store that serves one load at a time keeps four engines from all
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -54,15 +54,15 @@
         #: The permit under a reported limit that the call waits for.
         self._awaited_permit: PermitEstimate | None = None
 
-    def ask(self) -> None:
+    def record_demand(self) -> None:
         """Count the call in the demand for its model, and in the statistics that its
         weight and its caller's retries are predicted from."""
         now, service = self._context.clock(), self._call.service
         state = self._context.service(service)
         self._weight = state.levels.weigh(now, level_of(self._call))
-        state.retry_predictor.asked(self._call)
+        state.retry_predictor.record_call(self._call)
         demand = self._context.engines.plans.demand(service)
-        demand.asked(now, self._call.ask.model, self._weight)
+        demand.record_call(now, self._call.ask.model, self._weight)
 
     async def place(self) -> Backend | Refusal:
         """The backend server for the next attempt, or why there is none. Waits for a
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -122,7 +122,7 @@
         self._admission = admission
         self._service.retry_budget.record_call(self._context.clock())
         if self._call.ask is not None:
-            self._placement.ask()
+            self._placement.record_demand()
         while True:
             sent = self._next_is_sent
             isolation_refusal = None if sent else await self._crash_isolation.wait()
--- a/tests/gateway/common/refusal_replay.py
+++ b/tests/gateway/common/refusal_replay.py
@@ -200,7 +200,7 @@
                 arrived.append(Caller(model, adapter, self.now, left_s=left_s))
         for caller in arrived:
             caller.arrived = self.now
-            self.demand_tracker.asked(self.now, caller.model)
+            self.demand_tracker.record_call(self.now, caller.model)
             self.demand_tracker.begin_waiting(self.now, caller.model)
             self._waiting.append(caller)
 
--- a/tests/gateway/cover/test_demand_collection.py
+++ b/tests/gateway/cover/test_demand_collection.py
@@ -223,7 +223,7 @@
             fleet = engines._gateway_state.fleet
             fleet.engine_reported(10.0, samples.engine_state("b1", ("m0", "m1")))
             for number in range(count):
-                engines.plans.demand("tutor").asked(10.0, f"m{number}")
+                engines.plans.demand("tutor").record_call(10.0, f"m{number}")
             figures = engines.report_for(fleet.get("b1"))
             self.assertEqual(
                 sorted(item.model for item in figures.demand), ["m0", "m1"]
--- a/tests/gateway/cover/test_engine_plans.py
+++ b/tests/gateway/cover/test_engine_plans.py
@@ -52,7 +52,7 @@
         gateway_state = FakeGatewayState(app)
         gateway_state.fleet.engine_reported(app.at, samples.engine_state("b1", ["m1"]))
         plans = EnginePlans(app, gateway_state, lambda backend, load_request: True)
-        plans.demand(SERVICE).asked(app.at, "m1")
+        plans.demand(SERVICE).record_call(app.at, "m1")
         self.assertEqual(plans.own_demands(SERVICE)["m1"].holders, 1)
         gateway_state.fleet.get("b1").mark_unreachable(app.at)
         app.at += AGENT_TIMEOUT_S + 0.1
@@ -74,7 +74,7 @@
         )
         self.plans.entries = ENTRIES
         self.demand = self.plans.demand(SERVICE)
-        self.demand.asked(self.app.at, "m1")
+        self.demand.record_call(self.app.at, "m1")
         self.plans.start(self.app.at)
 
     def plans_in(self, seconds):
--- a/tests/gateway/cover/test_retry_prediction.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -22,7 +22,7 @@
 class TestRetryPredictor(unittest.TestCase):
     def setUp(self):
         self.retry_predictor = RetryPredictor()
-        self.retry_predictor.asked(call(30.0))
+        self.retry_predictor.record_call(call(30.0))
 
     def expected(self, caller_timeout_s, retry_after_s, held_s=0.0):
         return self.retry_predictor.expected_retry_in_s(
@@ -42,19 +42,19 @@
     def test_callers_of_a_route_whose_timeout_is_shortened_are_expected(self):
         """All of them counted as retries from then on."""
         short = call(12.0, timeout_s=12.0)
-        self.retry_predictor.asked(short)
+        self.retry_predictor.record_call(short)
         self.assertEqual(self.retry_predictor.expected_retry_in_s(short, 0.0, 3.0), 3.0)
 
     def test_caller_timeouts_are_learnt_per_route(self):
         short = call(10.0, name="/b/")
-        self.retry_predictor.asked(short)
+        self.retry_predictor.record_call(short)
         self.assertEqual(self.retry_predictor.expected_retry_in_s(short, 0.0, 2.0), 2.0)
 
 
 class TestCallers(unittest.TestCase):
     def setUp(self):
         self.demand = DemandTracker()
-        self.demand.asked(0.0, "tutor")
+        self.demand.record_call(0.0, "tutor")
 
     def callers(self, now):
         return self.demand.demands(now, {}, {})["tutor"].callers
@@ -99,7 +99,7 @@
                 now=5.0, deadline=seconds, ask=samples.ask("tutor"), service="llm"
             )
             placement = Placement(context, call, Progress())
-            placement.ask()
+            placement.record_demand()
             with mock.patch.object(Placement, "_plan_snapshot", return_value=None):
                 await placement.place()
         return demand.demands(6.0, {}, {})["tutor"].callers
--- a/tests/gateway/cover/test_service_levels.py
+++ b/tests/gateway/cover/test_service_levels.py
@@ -63,9 +63,9 @@
         """
         demand_tracker = DemandTracker()
         for number in range(8):
-            demand_tracker.asked(number / 8, "tutor", 0.7)
+            demand_tracker.record_call(number / 8, "tutor", 0.7)
             demand_tracker.refused(number / 8, "tutor", 2.0, 0.7)
-        demand_tracker.asked(1.0, "critic", 6.0)
+        demand_tracker.record_call(1.0, "critic", 6.0)
         demand_tracker.begin_waiting(1.0, "critic", 6.0)
         demands = demand_tracker.demands(1.0, {}, {})
         self.assertGreaterEqual(demands["critic"].waiting, demands["tutor"].waiting)
@@ -74,6 +74,6 @@
 
     def test_a_waiting_call_counts_as_one_at_least(self):
         demand_tracker = DemandTracker()
-        demand_tracker.asked(0.0, "tutor", 0.4)
+        demand_tracker.record_call(0.0, "tutor", 0.4)
         demand_tracker.begin_waiting(0.0, "tutor", 0.4)
         self.assertEqual(demand_tracker.demands(0.0, {}, {})["tutor"].waiting, 1)
--- a/tests/gateway/failures/test_engines.py
+++ b/tests/gateway/failures/test_engines.py
@@ -172,7 +172,7 @@
 
     def test_an_entry_that_makes_no_plans_reports_its_demand(self):
         self.report_demand("poet", self.entries_without_planning())
-        self.engines.plans.demand("tutor").asked(self.app.time, "critic")
+        self.engines.plans.demand("tutor").record_call(self.app.time, "critic")
         self.app.time += IDLE_PLAN_INTERVAL_S
         self.timers.advance(self.app.time)
         self.assertIn("critic", self.engines.plans.own_demands("tutor"))
@@ -185,7 +185,7 @@
     def test_an_entry_with_a_waiting_call_plans_at_each_interval(self):
         model, names = self.entries_with_other_planner()
         self.report_demand(model, names)
-        self.engines.plans.demand("tutor").asked(self.app.time, "poet")
+        self.engines.plans.demand("tutor").record_call(self.app.time, "poet")
         self.engines.plans.demand("tutor").begin_waiting(self.app.time, "poet")
         self.assertEqual(self.count_plans(3), 3)
 
@@ -204,7 +204,7 @@
             address = f"10.0.1.{number}:1"
             record = registration(f"i{number}", "tutor", address)
             self.gateway_state.fleet.registry_changed(0.0, record)
-        self.engines.plans.demand("tutor").asked(self.app.time, "poet")
+        self.engines.plans.demand("tutor").record_call(self.app.time, "poet")
         self.engines.plans.demand("tutor").begin_waiting(self.app.time, "poet")
         self.engines.plans.make_plans(self.app.time)
         self.assertLessEqual(
@@ -214,7 +214,7 @@
     def test_an_entry_that_expects_refused_callers_plans_at_each_interval(self):
         model, names = self.entries_with_other_planner()
         self.report_demand(model, names)
-        self.engines.plans.demand("tutor").asked(self.app.time, "poet")
+        self.engines.plans.demand("tutor").record_call(self.app.time, "poet")
         self.engines.plans.demand("tutor").refused(self.app.time, "poet", 3.0)
         self.engines.plans.make_plans(self.app.time)
         self.assertEqual(self.count_plans(3), 3)
@@ -222,7 +222,7 @@
     def test_a_call_gets_a_current_plan(self):
         self.engines.received(agent_update("b1", {}))
         demand = self.engines.plans.demand("tutor")
-        demand.asked(self.app.time, "poet")
+        demand.record_call(self.app.time, "poet")
         demand.begin_waiting(self.app.time, "poet")
         before = len(self.plans)
         for _ in range(5):
@@ -236,7 +236,7 @@
 
     def test_a_model_that_no_engine_can_load_causes_one_plan(self):
         demand = self.engines.plans.demand("tutor")
-        demand.asked(self.app.time, "unheard")
+        demand.record_call(self.app.time, "unheard")
         demand.begin_waiting(self.app.time, "unheard")
         before = len(self.plans)
         for _ in range(5):
@@ -251,7 +251,7 @@
         for all further calls as well, and there was such a plan nearly always.
         """
         demand = self.engines.plans.demand("tutor")
-        demand.asked(self.app.time, "unheard")
+        demand.record_call(self.app.time, "unheard")
         demand.refused(self.app.time, "unheard", 3.0)
         self.engines.plans.make_plans(self.app.time)
         before = len(self.plans)
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -224,7 +224,7 @@
         spec = samples.engine(samples.model("tutor"), samples.model("poet"))
         for come_back_s in (1.0, 3.5, 6.0):
             demand = DemandTracker()
-            demand.asked(0.0, "tutor")
+            demand.record_call(0.0, "tutor")
             demand.refused(0.0, "tutor", come_back_s)
             for now in (0.5 * come_back_s, come_back_s):
                 demands = demand.demands(now, {"tutor": 1}, {"tutor": 1})
