--- a/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/selection.py
@@ -52,7 +52,7 @@
         total += health.cost(now, backend.incarnation)
         total += ZONE_COST * (backend.registration.zone != zone)
         total += RANK_COST * holder_rank.get(backend.instance, 0)
-        if call.ask is not None:
+        if call.model_request is not None:
             total += PREFILL_COST * backend.engine_pending_prefills(now)
         return total + rng.random() * JITTER
 
@@ -64,10 +64,10 @@
     return backend.occupied(now) >= MAX_OCCUPANCY * max(1, backend.registration.slots)
 
 
-def placement_weight(ask: ModelRequest, instance: str) -> int:
+def placement_weight(model_request: ModelRequest, instance: str) -> int:
     """The engine's rendezvous hashing weight for the placement of an adapter; all
     entries prefer the engine with the greatest weight."""
-    return rendezvous.weight(f"{ask.model}/{ask.adapter}", instance)
+    return rendezvous.weight(f"{model_request.model}/{model_request.adapter}", instance)
 
 
 def _holder_ranks(call: Call, eligible: Sequence[Backend]) -> dict[str, int]:
@@ -77,9 +77,9 @@
     than the next. So the shared parts of their prompts are prefilled once, and the
     further holders become idle and can unload the model for one that no engine holds.
     """
-    if call.ask is None:
+    if call.model_request is None:
         return {}
     names = rendezvous.ranked(
-        call.ask.model, [backend.instance for backend in eligible]
+        call.model_request.model, [backend.instance for backend in eligible]
     )
     return {name: rank for rank, name in enumerate(names)}
--- a/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
+++ b/packages/bambootiller/src/bambootiller/gateway/attempt_sender.py
@@ -26,8 +26,8 @@
     ) -> None:
         self._context = context
         self._progress = progress
-        self._ask = call.ask
-        self._awaits_prefill = call.ask is not None
+        self._model_request = call.model_request
+        self._awaits_prefill = call.model_request is not None
         self.backend = backend
         self.conn = conn
         #: When it was sent, in running time and by the clock. Seconds.
@@ -70,9 +70,9 @@
             pool.discard(self.conn)
 
     def _model_and_adapter(self) -> tuple[str, str]:
-        if self._ask is None:
+        if self._model_request is None:
             return "", ""
-        return self._ask.model, self._ask.adapter
+        return self._model_request.model, self._model_request.adapter
 
 
 class AttemptSender:
@@ -149,8 +149,10 @@
                 )
             return False
         attempt.mark_not_run()
-        if answer_kind is AnswerKind.MISDIRECTED and call.ask is not None:
-            backend.record_denial(context.clock(), call.ask.model, call.ask.adapter)
+        if answer_kind is AnswerKind.MISDIRECTED and call.model_request is not None:
+            backend.record_denial(
+                context.clock(), call.model_request.model, call.model_request.adapter
+            )
         self.record_failure(backend)
         return True
 
--- a/packages/bambootiller/src/bambootiller/gateway/http_front.py
+++ b/packages/bambootiller/src/bambootiller/gateway/http_front.py
@@ -191,7 +191,7 @@
             deadline=arrived + _time_limit_s(route, incoming),
             first_event_due=arrived
             + (route.event_timeout_s or _time_limit_s(route, incoming)),
-            ask=incoming.ask if has_engine else None,
+            model_request=incoming.model_request if has_engine else None,
             resume_after=incoming.resume_after,
             fingerprint=fingerprint(
                 incoming.method, incoming.host, incoming.target, body
@@ -226,7 +226,7 @@
             route=call.route.name if call else None,
             service=call.service if call else None,
             kind=call.route.kind.value if call else None,
-            model=call.ask.model if call and call.ask else None,
+            model=call.model_request.model if call and call.model_request else None,
             reason=refusal.reason.value,
             status=refusal.status,
             come_back_s=refusal.come_back_s,
@@ -235,7 +235,11 @@
             config_version=config.version if config else None,
             plan=refusal.plan,
             fingerprint=_crash_fingerprint(refusal, call),
-            adapter=(call.ask.adapter or None) if call and call.ask else None,
+            adapter=(
+                (call.model_request.adapter or None)
+                if call and call.model_request
+                else None
+            ),
             customer=call.customer.name if call and call.customer else None,
             cost=call.cost or None if call else None,
             quota=refusal.quota,
--- a/packages/bambootiller/src/bambootiller/gateway/placement.py
+++ b/packages/bambootiller/src/bambootiller/gateway/placement.py
@@ -62,7 +62,7 @@
         self._weight = state.levels.weigh(now, level_of(self._call))
         state.retry_predictor.record_call(self._call)
         demand = self._context.engines.plans.demand(service)
-        demand.record_call(now, self._call.ask.model, self._weight)
+        demand.record_call(now, self._call.model_request.model, self._weight)
 
     async def place(self) -> Backend | Refusal:
         """The backend server for the next attempt, or why there is none. Waits for a
@@ -89,7 +89,7 @@
             permit.return_unused()
 
     async def _find(self) -> Backend | Refusal:
-        if self._call.ask is None:
+        if self._call.model_request is None:
             return await self._place_plain()
         return await self._place_on_engine()
 
@@ -109,11 +109,14 @@
         Those that report a limit are left out: the call would have to wait for a permit
         while its current backend server is silent.
         """
-        ask, now = self._call.ask, self._context.clock()
+        model_request, now = self._call.model_request, self._context.clock()
         eligible = [
             backend
             for backend in self.untried()
-            if (ask is None or backend.serves(now, ask.model, ask.adapter))
+            if (
+                model_request is None
+                or backend.serves(now, model_request.model, model_request.adapter)
+            )
             and not self._context.server_admission.is_limited(backend)
         ]
         return self._choose(eligible)
@@ -197,11 +200,11 @@
     async def _place_on_engine(self) -> Backend | Refusal:
         """An engine that has the model and the adapter loaded. Waits for one, or
         returns a refusal."""
-        context, ask = self._context, self._call.ask
+        context, model_request = self._context, self._call.model_request
         demand = context.engines.plans.demand(self._call.service)
         began = context.clock()
         due = self._call.arrived + self._call.route.target_s - FIRST_EVENT_MARGIN_S
-        demand.begin_waiting(began, ask.model, self._weight, due)
+        demand.begin_waiting(began, model_request.model, self._weight, due)
         found = None
         try:
             while found is None:
@@ -210,22 +213,24 @@
                     await context.gateway_state.changed.wait(RECHECK_S)
             return found
         finally:
-            demand.end_waiting(began, ask.model, self._weight, due)
+            demand.end_waiting(began, model_request.model, self._weight, due)
             if not isinstance(found, Backend):
-                demand.unserved(began, ask.model, self._weight)
+                demand.unserved(began, model_request.model, self._weight)
 
     def _try_engines(self, began: float) -> Backend | Refusal | None:
         """An engine or a refusal, or None to wait."""
-        ask, now = self._call.ask, self._context.clock()
+        model_request, now = self._call.model_request, self._context.clock()
         untried = self.untried()
-        holders = [backend for backend in untried if backend.serves(now, ask.model)]
+        holders = [
+            backend for backend in untried if backend.serves(now, model_request.model)
+        ]
         if not holders and self._progress.may_have_run:
             # The only holder of the model lost the answer. It is still the best choice:
             # any other engine would have to load the model first.
             holders = [
                 backend
                 for backend in self._in_service()
-                if backend.serves(now, ask.model)
+                if backend.serves(now, model_request.model)
                 and not self._health.is_avoided(now, backend.incarnation)
             ]
         if not holders:
@@ -233,7 +238,7 @@
         with_adapter = [
             backend
             for backend in holders
-            if backend.serves(now, ask.model, ask.adapter)
+            if backend.serves(now, model_request.model, model_request.adapter)
         ]
         chosen = self._choose(with_adapter)
         if chosen is not None:
@@ -247,7 +252,7 @@
     def _await_adapter(
         self, now: float, began: float, holders: list[Backend]
     ) -> Refusal | None:
-        ask = self._call.ask
+        model_request = self._call.model_request
         self._record_adapter_miss(now)
         eligible = [backend for backend in holders if backend.accepts_orders(now)]
         if not eligible:
@@ -261,11 +266,13 @@
             if _accepts_order_in_s(backend) <= soonest + ADAPTER_REQUEST_INTERVAL_S
         ]
         eligible.sort(
-            key=lambda backend: -selection.placement_weight(ask, backend.instance)
+            key=lambda backend: -selection.placement_weight(
+                model_request, backend.instance
+            )
         )
         index = int((now - began) / ADAPTER_REQUEST_INTERVAL_S) % len(eligible)
         self._context.engines.request_load(
-            eligible[index], LoadRequest(ask.model, ask.adapter)
+            eligible[index], LoadRequest(model_request.model, model_request.adapter)
         )
         return None
 
@@ -274,7 +281,7 @@
         prefetch is scheduled now because the engine may start another long load as soon
         as its current one finishes."""
         prefetch = self._context.engines.plans.adapter_prefetch(self._call.service)
-        prefetch.refused(now, self._call.ask, retry_after_s)
+        prefetch.refused(now, self._call.model_request, retry_after_s)
         return Refusal(RefusalReason.MODEL_NOT_LOADED, retry_after_s)
 
     def _record_adapter_miss(self, now: float) -> None:
@@ -282,19 +289,19 @@
             return
         self._missed_adapter = True
         demand = self._context.engines.plans.demand(self._call.service)
-        demand.adapter_missed(now, self._call.ask.model, self._weight)
+        demand.adapter_missed(now, self._call.model_request.model, self._weight)
 
     def _await_model(self, now: float, untried: list[Backend]) -> Refusal | None:
-        call, ask = self._call, self._call.ask
+        call, model_request = self._call, self._call.model_request
         engines = self._context.engines
-        admission = self._context.quarantine.load_admission(ask.model)
+        admission = self._context.quarantine.load_admission(model_request.model)
         if admission.decision is AdmissionDecision.QUARANTINED:
             return Refusal(
                 RefusalReason.MODEL_NOT_LOADED,
                 admission.retry_in_s,
                 "loading it crashes engines",
             )
-        planned = engines.plans.plan_for(call.service, ask.model)
+        planned = engines.plans.plan_for(call.service, model_request.model)
         due = (
             min(self._call.next_event_due(self._progress), call.deadline)
             - FIRST_EVENT_MARGIN_S
@@ -312,19 +319,23 @@
         retry_predictor = self._context.service(call.service).retry_predictor
         returns_in_s = retry_predictor.expected_retry_in_s(call, now, retry_delay_s)
         demand = engines.plans.demand(call.service)
-        demand.refused(now, ask.model, retry_delay_s, self._weight, returns_in_s)
-        engines.plans.adapter_prefetch(call.service).refused(now, ask, retry_delay_s)
+        demand.refused(
+            now, model_request.model, retry_delay_s, self._weight, returns_in_s
+        )
+        engines.plans.adapter_prefetch(call.service).refused(
+            now, model_request, retry_delay_s
+        )
         plan = self._plan_snapshot(now, planned)
         return Refusal(RefusalReason.MODEL_NOT_LOADED, retry_delay_s, detail, plan)
 
     def _plan_snapshot(self, now: float, planned: PlannedLoad | None) -> PlanSnapshot:
         call = self._call
         plans = self._context.engines.plans
-        demand = plans.planned_demand(call.service, call.ask.model)
-        copies = plans.copies_seen(call.service, call.ask.model)
+        demand = plans.planned_demand(call.service, call.model_request.model)
+        copies = plans.copies_seen(call.service, call.model_request.model)
         store_loads = plans.store_loads_under_way(call.service)
         if planned is None:
-            obstacles = plans.obstacles(call.service, call.ask.model)
+            obstacles = plans.obstacles(call.service, call.model_request.model)
             return PlanSnapshot(
                 waiting=demand.waiting,
                 copies=copies,
--- a/packages/bambootiller/src/bambootiller/gateway/quarantine.py
+++ b/packages/bambootiller/src/bambootiller/gateway/quarantine.py
@@ -197,6 +197,6 @@
 def _fingerprints(call: Call) -> tuple[str, ...]:
     """The fingerprints of what may crash the backend servers that run the call: the
     whole request, and the parts of its prompt that other requests may share."""
-    if call.ask is None:
+    if call.model_request is None:
         return (call.fingerprint,)
-    return (call.fingerprint, *map(part_name, call.ask.shared_parts))
+    return (call.fingerprint, *map(part_name, call.model_request.shared_parts))
--- a/packages/bambootiller/src/bambootiller/gateway/relay.py
+++ b/packages/bambootiller/src/bambootiller/gateway/relay.py
@@ -121,7 +121,7 @@
             return admission
         self._admission = admission
         self._service.retry_budget.record_call(self._context.clock())
-        if self._call.ask is not None:
+        if self._call.model_request is not None:
             self._placement.record_demand()
         while True:
             sent = self._next_is_sent
--- a/packages/bambootiller/src/bambootiller/gateway/reporting.py
+++ b/packages/bambootiller/src/bambootiller/gateway/reporting.py
@@ -121,7 +121,11 @@
                 reused=reused,
                 fingerprint=self._call.fingerprint,
                 progressed=progressed,
-                parts=self._call.ask.shared_parts if self._call.ask else (),
+                parts=(
+                    self._call.model_request.shared_parts
+                    if self._call.model_request
+                    else ()
+                ),
             )
         )
 
@@ -193,11 +197,13 @@
 
 
 def _model(call: Call) -> str | None:
-    return call.ask.model if call.ask is not None else None
+    return call.model_request.model if call.model_request is not None else None
 
 
 def _adapter(call: Call) -> str | None:
-    return (call.ask.adapter or None) if call.ask is not None else None
+    return (
+        (call.model_request.adapter or None) if call.model_request is not None else None
+    )
 
 
 def _customer(call: Call) -> str | None:
--- a/tests/adapter/cover/test_dialect.py
+++ b/tests/adapter/cover/test_dialect.py
@@ -34,10 +34,15 @@
                 query=b"q=1",
             )
         )
-        self.assertEqual((found.ask.model, found.ask.adapter), ("tutor", "a3"))
-        self.assertEqual((found.ask.prompt_tokens, found.ask.max_tokens), (1460, 80))
-        self.assertEqual(found.ask.prefix, ("5c", "91", "e4"))
-        self.assertEqual(found.ask.shared_parts, ("5c", "91"))
+        self.assertEqual(
+            (found.model_request.model, found.model_request.adapter), ("tutor", "a3")
+        )
+        self.assertEqual(
+            (found.model_request.prompt_tokens, found.model_request.max_tokens),
+            (1460, 80),
+        )
+        self.assertEqual(found.model_request.prefix, ("5c", "91", "e4"))
+        self.assertEqual(found.model_request.shared_parts, ("5c", "91"))
         self.assertEqual((found.deadline_s, found.resume_after), (10.0, 12))
         self.assertEqual(found.target, b"/a/b?q=1")
 
@@ -77,7 +82,7 @@
         dialect = PlatformDialect()
         incoming = dialect.read(scope((b"x-model", b"tutor"), (b"accept", b"*/*")))
         route = samples.route(CallKind.STREAM, priority=1)
-        call = samples.call(route, ask=samples.ask())
+        call = samples.call(route, model_request=samples.model_request())
         headers = dict(dialect.request_headers(incoming, call, "i-7", 4))
         self.assertEqual(headers[b"x-expected-instance"], b"i-7")
         self.assertEqual(headers[b"last-event-id"], b"4")
@@ -142,8 +147,10 @@
         self.assertEqual(sent[b"authorization"], b"Bearer k")
 
     def test_customer_priority_overrides_route_priority(self):
-        ask = samples.ask()
-        call = samples.call(ask=ask, keyed=True, customer=Customer("c", priority=0))
+        model_request = samples.model_request()
+        call = samples.call(
+            model_request=model_request, keyed=True, customer=Customer("c", priority=0)
+        )
         self.assertEqual(self.sent(call)[b"x-request-priority"], b"0")
 
     def test_a_key_listed_in_the_connection_header_is_still_read(self):
--- a/tests/gateway/common/samples.py
+++ b/tests/gateway/common/samples.py
@@ -69,15 +69,24 @@
     return sample
 
 
-def call(route_=None, service="plain", now=0.0, deadline=10.0, ask=None, **fields):
+def call(
+    route_=None, service="plain", now=0.0, deadline=10.0, model_request=None, **fields
+):
     chosen = route_ or route()
     first_event_due = now + (chosen.event_timeout_s or deadline)
     return Call(
-        "r-1", chosen, service, now, now + deadline, first_event_due, ask, **fields
+        "r-1",
+        chosen,
+        service,
+        now,
+        now + deadline,
+        first_event_due,
+        model_request,
+        **fields,
     )
 
 
-def ask(model="tutor", adapter="", prefix=()):
+def model_request(model="tutor", adapter="", prefix=()):
     return ModelRequest(model, adapter, prefix=tuple(prefix))
 
 
--- a/tests/gateway/cover/test_retry_prediction.py
+++ b/tests/gateway/cover/test_retry_prediction.py
@@ -96,7 +96,10 @@
         state.levels, state.retry_predictor = ServiceLevels(), RetryPredictor()
         for seconds in caller_timeout_s:
             call = samples.call(
-                now=5.0, deadline=seconds, ask=samples.ask("tutor"), service="llm"
+                now=5.0,
+                deadline=seconds,
+                model_request=samples.model_request("tutor"),
+                service="llm",
             )
             placement = Placement(context, call, Progress())
             placement.record_demand()
--- a/tests/gateway/cover/test_selection.py
+++ b/tests/gateway/cover/test_selection.py
@@ -34,7 +34,7 @@
     def choose(self):
         return selection.choose(
             NOW,
-            samples.call(ask=samples.ask("tutor")),
+            samples.call(model_request=samples.model_request("tutor")),
             [self.first, self.next],
             Health(),
             "z1",
--- a/tests/gateway/failures/test_starvation.py
+++ b/tests/gateway/failures/test_starvation.py
@@ -140,7 +140,9 @@
         context.clock.return_value = 5.0
         context.gateway_state.fleet.of_service.return_value = [holder]
         context.engines.plans.adapter_prefetch.return_value = prefetch
-        call = samples.call(now=5.0, ask=samples.ask("tutor", "x1"), service="llm")
+        call = samples.call(
+            now=5.0, model_request=samples.model_request("tutor", "x1"), service="llm"
+        )
         refusal = await Placement(context, call, Progress()).place()
         self.assertIsInstance(refusal, Refusal)
         free = samples.engine_backend(6.0, "b1", ["tutor"])
@@ -164,7 +166,9 @@
         context.is_starting.return_value = False
         context.stop_deadline = None
         context.engines.plans.plan_for.return_value = planned
-        call = samples.call(now=5.0, ask=samples.ask("tutor"), service="llm")
+        call = samples.call(
+            now=5.0, model_request=samples.model_request("tutor"), service="llm"
+        )
         placement = Placement(context, call, Progress())
         with mock.patch.object(Placement, "_plan_snapshot", return_value=None):
             return (await placement.place()).come_back_s
