--- a/packages/bambootiller/src/bambootiller/entry/relay/core.py
+++ b/packages/bambootiller/src/bambootiller/entry/relay/core.py
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """LoadRank the places and choose again at ``until``, which may be now."""
+    """Rank the places and choose again at ``until``, which may be now."""
 
     until: float
 
