--- a/packages/bambootiller-core/src/bambootiller_core/gateway/calls.py
+++ b/packages/bambootiller-core/src/bambootiller_core/gateway/calls.py
@@ -42,7 +42,8 @@
     Times are seconds on this process's monotonic clock. ``deadline`` is when the final
     answer is due: the earlier of the caller's own deadline and the route's timeout.
     ``first_event_due`` is when the caller of a stream disconnects if no event has come.
-    ``model_request`` is the model and prompt of a call to an engine, None for other services.
+    ``model_request`` is the model and prompt of a call to an engine, None for other
+    services.
     ``resume_after`` is the last event that the caller of a resumed stream already has.
     ``fingerprint`` is the same for every attempt and retry of a request. If calls need
     a key (``keyed``), ``key`` is the digest of the caller's key and ``customer`` the
--- a/packages/bambootiller/src/bambootiller/gateway/ports.py
+++ b/packages/bambootiller/src/bambootiller/gateway/ports.py
@@ -27,10 +27,10 @@
     """A caller's request as parsed from its head.
 
     ``target`` is the path with the query, byte for byte; ``headers`` are those that may
-    be forwarded. ``deadline_s`` is for how many seconds the caller still waits. ``model_request``
-    is the model that the request names, with its prompt. ``key`` is the digest of the
-    request's only API key, ``tokens`` the number of tokens that the request states.
-    Each is None if the request doesn't state it.
+    be forwarded. ``deadline_s`` is for how many seconds the caller still waits.
+    ``model_request`` is the model that the request names, with its prompt. ``key`` is
+    the digest of the request's only API key, ``tokens`` the number of tokens that the
+    request states. Each is None if the request doesn't state it.
     """
 
     method: str
